--- a/entry/canaryreports.go
+++ b/entry/canaryreports.go
@@ -12,68 +12,69 @@
 	"github.com/bronzeturn/bronzeturn/tally"
 )
 
-// canaryPrefix begins the table keys of verdicts.
+// canaryPrefix is the prefix of the keys of canary verdicts in the gossip table.
 const canaryPrefix = "canary/"
 
-// tellVerdict floods this daemon's verdict against a version, once: all daemons have to
-// stop sending to it at once. What they count is added up over the tree.
-func (i *introductions) tellVerdict(service string, known *introduction, now time.Time) {
-	report := known.Report(now)
-	if known.told || report.Condemned == "" {
+// publishVerdict publishes this daemon's verdict against a version through the gossip table,
+// once: all daemons have to stop sending requests to the version immediately. The counts of
+// the daemons are not part of it; they are summed over the tree by package tally.
+func (i *introductions) publishVerdict(service string, intro *introduction, now time.Time) {
+	report := intro.Report(now)
+	if intro.verdictPublished || report.Condemned == "" {
 		return
 	}
-	known.told = true
+	intro.verdictPublished = true
 	report.Counts, report.Held = nil, nil
-	data, err := proto.Marshal(reportMessage(report))
+	data, err := proto.Marshal(encodeReport(report))
 	if err != nil {
-		i.daemon.log.Error().Err(err).Str("service", service).Msg("verdict not encoded")
+		i.daemon.log.Error().Err(err).Str("service", service).Msg("failed to encode verdict on an introduction")
 		return
 	}
 	i.daemon.fleet.publish(canaryPrefix+service+"/"+i.daemon.Settings.Name, uint64(now.UnixMilli()), data)
 }
 
-// counted returns what this daemon has counted of each introduction in progress, and the
-// sessions left over by those that have just ended.
-func (i *introductions) counted() map[string]*tally.Report {
+// localReports returns what this daemon has counted for each introduction in progress and, for
+// each introduction that has recently ended, the sessions that last ran on a stopped version.
+func (i *introductions) localReports() map[string]*tally.Report {
 	now := time.Now()
 	reports := make(map[string]*tally.Report)
-	for service, known := range i.active() {
-		reports[service] = reportMessage(i.withStopped(service, known.Report(now), now))
+	for service, intro := range i.active() {
+		reports[service] = encodeReport(i.withStopped(service, intro.Report(now), now))
 	}
-	for service, known := range i.settling(now) {
-		r := known.Report(now)
+	for service, intro := range i.recentlyEnded(now) {
+		r := intro.Report(now)
 		r.Counts, r.Held = nil, nil
-		reports[service] = reportMessage(i.withStopped(service, r, now))
+		reports[service] = encodeReport(i.withStopped(service, r, now))
 	}
 	return reports
 }
 
-// fleetName stands for all other daemons together.
+// fleetName is the source name under which the summed counts of all other daemons are recorded.
 const fleetName = "fleet"
 
-// othersCounted takes in what the other daemons have counted of a service.
-func (i *introductions) othersCounted(service string, others *tally.Report) {
-	known := i.known(service)
-	if known == nil {
+// receiveFleetReport records the summed counts of the other daemons for a service.
+func (i *introductions) receiveFleetReport(service string, others *tally.Report) {
+	intro := i.get(service)
+	if intro == nil {
 		return
 	}
-	report, now := reportOf(others), time.Now()
-	known.Heard(fleetName, report, now)
-	i.heardStopped(service, report, now)
+	report, now := decodeReport(others), time.Now()
+	intro.Heard(fleetName, report, now)
+	i.receiveStoppedSessions(service, report, now)
 }
 
-// known returns the introduction of a service, nil for none.
-func (i *introductions) known(service string) *introduction {
+// get returns the introduction of a service, or nil if there is none.
+func (i *introductions) get(service string) *introduction {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.byService[service]
 }
 
-// maxReportSessions bounds the sessions in a report.
+// maxReportSessions is the maximum number of held and of stopped sessions in a report.
 const maxReportSessions = 1024
 
-// reportMessage encodes a report.
-func reportMessage(r canary.Report) *tally.Report {
+// encodeReport converts a report to its wire format.
+func encodeReport(r canary.Report) *tally.Report {
 	m := &tally.Report{Target: r.Target, Order: r.Order, AgeMs: uint64(max(r.Age.Milliseconds(), 0)), Condemned: r.Condemned}
 	m.HeldSessions = r.Held[:min(len(r.Held), maxReportSessions)]
 	for _, s := range r.Stopped[:min(len(r.Stopped), maxReportSessions)] {
@@ -88,8 +89,8 @@
 	return m
 }
 
-// reportOf decodes a report.
-func reportOf(m *tally.Report) canary.Report {
+// decodeReport converts a report from its wire format.
+func decodeReport(m *tally.Report) canary.Report {
 	r := canary.Report{
 		Order: m.GetOrder(), Target: m.GetTarget(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
 		Counts: make(map[canary.CountKey]canary.Count), Held: m.GetHeldSessions(), Condemned: m.GetCondemned(),
@@ -106,30 +107,30 @@
 	return r
 }
 
-// errShortKey reports a table key without a daemon's name.
-var errShortKey = errors.New("key names no daemon")
+// errNoDaemonInKey reports a table key without a daemon name.
+var errNoDaemonInKey = errors.New("table key has no daemon name")
 
-// heard takes in the verdict of another daemon.
-func (i *introductions) heard(key string, _ uint64, value []byte) {
+// receiveVerdict records the verdict of another daemon from the gossip table.
+func (i *introductions) receiveVerdict(key string, _ uint64, value []byte) {
 	service, daemon, err := splitCanaryKey(key)
 	if err != nil || daemon == i.daemon.Settings.Name || len(value) == 0 {
 		return
 	}
 	var m bronzeturnv1.CanaryReport
 	if err := proto.Unmarshal(value, &m); err != nil {
-		i.daemon.log.Warn().Err(err).Str("key", key).Msg("verdict of a daemon not read")
+		i.daemon.log.Warn().Err(err).Str("key", key).Msg("failed to decode the verdict of another daemon")
 		return
 	}
-	if known := i.known(service); known != nil {
-		known.Heard(daemon, reportOf(&m), time.Now())
+	if intro := i.get(service); intro != nil {
+		intro.Heard(daemon, decodeReport(&m), time.Now())
 	}
 }
 
-// splitCanaryKey returns the service and the daemon of a report's key.
+// splitCanaryKey returns the service and the daemon that a verdict's key consists of.
 func splitCanaryKey(key string) (service, daemon string, err error) {
 	service, daemon, ok := strings.Cut(strings.TrimPrefix(key, canaryPrefix), "/")
 	if !ok {
-		return "", "", errShortKey
+		return "", "", errNoDaemonInKey
 	}
 	return service, daemon, nil
 }
--- a/entry/change_bench_test.go
+++ b/entry/change_bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// sameEngines decode every entry to an engine of its name.
+// sameEngines decodes every entry to an engine with the name of the entry.
 type sameEngines struct{ Documents }
 
 func (sameEngines) Engine(item follow.Item) (inventory.Registration, error) {
@@ -24,15 +24,15 @@
 	}}, nil
 }
 
-// BenchmarkOneEngineChanges is what a daemon pays when one engine comes or goes, from its
-// list of entries to the tables in force.
+// BenchmarkOneEngineChanges measures the cost of removing one engine and adding it again, from the
+// change of the list of entries to the tables in force.
 func BenchmarkOneEngineChanges(b *testing.B) {
 	for _, engines := range []int{216, 3000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			d := newChangingDaemon(b)
 			all := engineEntries(engines)
 			follower := follow.New(follow.Options{
-				Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop(),
+				Kind: "engines", Apply: d.registrationsChanged, Announce: func(uint64) {}, Log: zerolog.Nop(),
 			})
 			follower.Take(follow.NewSnapshot(1, slices.Values(all)))
 			revision := uint64(1)
@@ -65,7 +65,7 @@
 		`"sequence":%d,"born":%d}`, id, i%5, i/250, i%250, 8200+i%40, i%5, 1+i%3, 1781440087000+37*i)
 }
 
-// newChangingDaemon returns a daemon without network that follows its engines.
+// newChangingDaemon returns a daemon without network that applies changes of the engines.
 func newChangingDaemon(b testing.TB) *Daemon {
 	d := &Daemon{log: zerolog.Nop(), registry: prometheus.NewRegistry()}
 	d.Documents = sameEngines{}
--- a/entry/copies.go
+++ b/entry/copies.go
@@ -13,18 +13,18 @@
 	"github.com/bronzeturn/bronzeturn/route"
 )
 
-// copies follow the store's objects.
+// copies holds the followers that keep this daemon's copies of the store's objects up to date.
 type copies struct {
 	config, engines, orders, quarantine *follow.Follower
-	// evacuations is nil where data centres are not evacuated.
+	// evacuations is nil unless Settings.Evacuations is set.
 	evacuations *follow.Follower
 }
 
-// newCopies builds the followers.
+// newCopies creates the followers.
 func newCopies(d *Daemon) *copies {
 	c := &copies{}
 	c.config = d.follower(d.Documents.ConfigKind(), nil, randConfig, d.configChanged)
-	c.engines = d.follower(d.Documents.EngineKind(), c.config, randEngines, d.enginesListed)
+	c.engines = d.follower(d.Documents.EngineKind(), c.config, randEngines, d.registrationsChanged)
 	c.orders = d.follower(d.Documents.OrderKind(), c.config, randOrders, d.ordersChanged)
 	c.quarantine = d.follower(quarantine.Kind, c.config, randQuarantine, d.quarantineChanged)
 	if d.Settings.Evacuations {
@@ -33,13 +33,14 @@
 	return c
 }
 
-// follower builds one. The lead, if any, asks a store that does not answer.
+// follower creates the follower of a kind. While the store answers neither it nor lead, only
+// lead goes on asking the store. A nil lead means that the follower asks for itself.
 func (d *Daemon) follower(kind string, lead *follow.Follower, random uint64, apply func(follow.Update)) *follow.Follower {
 	return follow.New(follow.Options{
 		Kind: kind, Source: d.Store, Peers: d.fleet, Apply: apply, Lead: lead,
 		Announce:  func(revision uint64) { d.fleet.announce(kind, revision) },
 		Disturbed: func() { d.copies.relistOthers(kind) },
-		Random:    d.rand(random), Log: d.part("follow"),
+		Random:    d.rand(random), Log: d.logger("follow"),
 	})
 }
 
@@ -52,7 +53,7 @@
 	return followers
 }
 
-// of returns the follower of a kind.
+// of returns the follower of a kind, and whether there is one.
 func (c *copies) of(kind string) (*follow.Follower, bool) {
 	for _, f := range c.all() {
 		if f.Kind == kind {
@@ -62,7 +63,7 @@
 	return nil, false
 }
 
-// relistOthers lists all other kinds anew.
+// relistOthers makes the followers of all other kinds list their objects again.
 func (c *copies) relistOthers(kind string) {
 	for _, f := range c.all() {
 		if f.Kind != kind {
@@ -71,7 +72,7 @@
 	}
 }
 
-// start begins to follow.
+// start runs the followers.
 func (c *copies) start(d *Daemon) {
 	for _, f := range c.all() {
 		d.goLoop("follow "+f.Kind, f.Run)
@@ -79,7 +80,7 @@
 	}
 }
 
-// complete tells whether there is a copy of everything that requests need.
+// complete reports whether there is a copy of every kind, as serving requests requires.
 func (c *copies) complete() bool {
 	for _, f := range c.all() {
 		if f.Snapshot() == nil {
@@ -89,7 +90,8 @@
 	return true
 }
 
-// configChanged puts a configuration in force. A wrong one is refused whole.
+// configChanged puts a new configuration in force. An invalid configuration is rejected as a
+// whole.
 func (d *Daemon) configChanged(u follow.Update) {
 	config, ok, err := d.Documents.Config(u.Snapshot)
 	if err == nil && !ok {
@@ -100,7 +102,7 @@
 		table, err = route.Compile(config)
 	}
 	if err != nil {
-		d.log.Error().Err(err).Uint64("revision", config.Revision).Msg("configuration refused, the one before stays in force")
+		d.log.Error().Err(err).Uint64("revision", config.Revision).Msg("configuration refused, the previous one stays in force")
 		return
 	}
 	old := d.tables.Load()
@@ -112,8 +114,8 @@
 		Bool("from_daemon", u.FromPeer).Msg("configuration in force")
 }
 
-// failingFor returns how long the store has not answered for the kind that failed first,
-// zero while it answers for all of them.
+// failingFor returns how long the store has not answered for the kind that has been failing
+// longest, or zero if it answers for all kinds.
 func (c *copies) failingFor(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, f := range c.all() {
@@ -122,11 +124,11 @@
 	return longest
 }
 
-// enginesListed applies changes to the registrations. Calls must not overlap. An entry that
-// cannot be decoded is logged and counts as removed; the others are applied.
-func (d *Daemon) enginesListed(u follow.Update) {
+// registrationsChanged applies changes to the registrations of engines. Calls must not overlap.
+// An entry that cannot be decoded is logged and counts as removed; the others are applied.
+func (d *Daemon) registrationsChanged(u follow.Update) {
 	change := inventory.Change{Removed: u.Changes.Removed, Outage: u.AfterOutage}
-	var told []inventory.Registration
+	var registrations []inventory.Registration
 	for _, item := range u.Changes.Changed {
 		reg, err := d.Documents.Engine(item)
 		if err != nil {
@@ -135,46 +137,46 @@
 			continue
 		}
 		change.Registered = append(change.Registered, reg.Engine)
-		told = append(told, reg)
+		registrations = append(registrations, reg)
 	}
 	now := time.Now()
-	d.toldCold(told, now)
+	d.updateSlowStarts(registrations, now)
 	for _, e := range change.Registered {
 		d.quarantine.Registered(e, now)
 	}
 	d.engines.Apply(change, now)
 }
 
-// mostLines bounds the lines that one change of the engines writes: when a whole service
-// comes or goes, one line names them all.
-const mostLines = 8
+// maxEngineLines is the maximum number of log lines for one change of the engines. Larger
+// changes, such as a whole service that starts or stops, are logged in a single line.
+const maxEngineLines = 8
 
-// enginesChanged logs what came and went, and compiles the tables anew.
+// enginesChanged logs the engines that were added and removed, and recompiles the tables.
 func (d *Daemon) enginesChanged(old, now *inventory.View) {
-	came, went := difference(now, old), difference(old, now)
-	if len(came)+len(went) > mostLines {
-		d.log.Info().Int("came_count", len(came)).Strs("came", logging.FirstNames(keysOf(came))).
-			Int("went_count", len(went)).Strs("went", logging.FirstNames(keysOf(went))).
+	added, removed := difference(now, old), difference(old, now)
+	if len(added)+len(removed) > maxEngineLines {
+		d.log.Info().Int("came_count", len(added)).Strs("came", logging.FirstNames(keysOf(added))).
+			Int("went_count", len(removed)).Strs("went", logging.FirstNames(keysOf(removed))).
 			Int("engines", len(now.Engines)).Uint64("engines_view", now.Generation).Msg("many engines changed")
-		came, went = nil, nil
+		added, removed = nil, nil
 	}
-	for _, e := range came {
+	for _, e := range added {
 		d.log.Info().Str("engine", e.Key()).Str("service", e.Service).Str("address", e.Address).Str("version", e.Version).
 			Uint64("engines_view", now.Generation).Msg("engine takes work")
 	}
-	for _, e := range went {
+	for _, e := range removed {
 		d.log.Info().Str("engine", e.Key()).Str("service", e.Service).Uint64("engines_view", now.Generation).Msg("engine takes no work")
 	}
-	d.introductions.sawEngines(now)
+	d.introductions.enginesChanged(now)
 	d.compileEngines(now)
 }
 
-// difference returns the engines of one view whose keys another does not have. Both views
-// are sorted by key.
-func difference(of, without *inventory.View) []*inventory.Engine {
+// difference returns the engines of view whose keys other does not have. Both views are sorted
+// by key.
+func difference(view, other *inventory.View) []*inventory.Engine {
 	var list []*inventory.Engine
-	rest := without.Engines
-	for _, e := range of.Engines {
+	rest := other.Engines
+	for _, e := range view.Engines {
 		if len(rest) > 0 && rest[0] == e {
 			rest = rest[1:]
 			continue
@@ -201,7 +203,7 @@
 	return keys
 }
 
-// assign implements gateway.Assign. Engines of an evacuated data centre get no work.
+// assign implements gateway.Assign. Engines of evacuated data centres receive no requests.
 func (d *Daemon) assign(e inventory.Engine) []string {
 	if d.evacuated.includes(e.DataCentre) {
 		return nil
@@ -209,12 +211,13 @@
 	return d.introductions.assign(e)
 }
 
-// compileEngines puts a view of the engines in force, with the newest orders and
-// evacuations. A view that is older than the one in force does not replace it: changes
-// of different kinds come at the same time, and each has the engines compiled.
+// compileEngines compiles the tables from a view of the engines, the latest orders and the
+// latest evacuations, and puts them in force. If v is older than the view in force, the latter
+// is compiled instead: changes of several kinds may arrive concurrently, and each of them calls
+// compileEngines with the view that it has read.
 func (d *Daemon) compileEngines(v *inventory.View) {
-	d.compiling.Lock()
-	defer d.compiling.Unlock()
+	d.compileMu.Lock()
+	defer d.compileMu.Unlock()
 	if t := d.tables.Load(); t != nil && t.Engines != nil && t.Engines.View.Generation > v.Generation {
 		v = t.Engines.View
 	}
@@ -226,7 +229,7 @@
 	d.update(func(t *gateway.Tables) { t.Engines = engines })
 }
 
-// update swaps the tables for changed ones.
+// update atomically replaces the tables with a changed copy.
 func (d *Daemon) update(change func(t *gateway.Tables)) {
 	for {
 		old := d.tables.Load()
@@ -242,18 +245,20 @@
 	}
 }
 
-// expirePoll is the time between two looks at engines that lapsed.
-const expirePoll = 200 * time.Millisecond
+// expirePollInterval is the interval between checks for engines whose registrations have expired.
+const expirePollInterval = 200 * time.Millisecond
 
-// expireEngines drops the engines that did not come back after an outage.
+// expireEngines periodically removes the engines that did not register again after an outage of
+// the store, recompiles the tables while engines wait for an order, ends slow starts and reviews
+// the engines' speed, until ctx is done. It runs less often while there is nothing to do.
 func (d *Daemon) expireEngines(ctx context.Context) error {
-	interval := expirePoll
+	interval := expirePollInterval
 	for backoff.Tick(ctx, interval) == nil {
 		expiryPending := !d.engines.Expire(time.Now()).IsZero()
-		d.introductions.release()
+		d.introductions.recompileWaiting()
 		d.logSlowStarts("engine is warm", d.slowStarts.Expire(time.Now()))
 		d.reviewEngines()
-		interval = expirePoll
+		interval = expirePollInterval
 		if !expiryPending && d.gateway.InProgress() == 0 && len(d.introductions.active()) == 0 {
 			interval = backoff.IdleInterval
 		}
@@ -261,7 +266,7 @@
 	return nil
 }
 
-// reviewEngines judges the engines' speed and logs what changed.
+// reviewEngines has the balancer reassess the engines' speed, and logs each change.
 func (d *Daemon) reviewEngines() {
 	t := d.tables.Load()
 	if t == nil || t.Engines == nil {
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -17,21 +17,21 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// testDocuments decode engines whose spec is "good".
+// testDocuments decodes the entries of engines, and fails unless the spec is "good".
 type testDocuments struct{ Documents }
 
-var errBad = errors.New("bad entry")
+var errInvalidEntry = errors.New("bad entry")
 
 func (testDocuments) Engine(item follow.Item) (inventory.Registration, error) {
 	if string(item.Spec) != "good" {
-		return inventory.Registration{}, errBad
+		return inventory.Registration{}, errInvalidEntry
 	}
 	return inventory.Registration{Engine: inventory.Engine{ID: item.Name, Service: "s"}}, nil
 }
 
-// TestBadRegistrationIsReportedOnceAndNamesNoEngine turns an engine's entry bad: it gets
-// no work from then on, the others hold, and the log has one line for each revision.
-func TestBadRegistrationIsReportedOnceAndNamesNoEngine(t *testing.T) {
+// TestInvalidRegistrationRemovesTheEngine guards against an entry that cannot be decoded: the engine
+// must be removed, the other engines must stay, and each revision must be logged once.
+func TestInvalidRegistrationRemovesTheEngine(t *testing.T) {
 	c := qt.New(t)
 	var lines bytes.Buffer
 	d := &Daemon{log: zerolog.New(&lines), registry: prometheus.NewRegistry()}
@@ -40,7 +40,7 @@
 	d.Documents = testDocuments{}
 	d.engines = inventory.New(time.Second, func(_, _ *inventory.View) {})
 	follower := follow.New(follow.Options{
-		Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop(),
+		Kind: "engines", Apply: d.registrationsChanged, Announce: func(uint64) {}, Log: zerolog.Nop(),
 	})
 	listed := func(revision uint64, spec string) {
 		follower.Take(follow.NewSnapshot(revision, slices.Values([]follow.Item{
@@ -68,7 +68,7 @@
 	c.Assert(json.Unmarshal(lines.Bytes(), &line), qt.IsNil)
 	c.Check(line.Key, qt.Equals, "a")
 	c.Check(line.Revision, qt.Equals, uint64(2))
-	c.Check(line.Error, qt.Equals, errBad.Error())
+	c.Check(line.Error, qt.Equals, errInvalidEntry.Error())
 	listed(3, "torn")
 	c.Check(strings.Count(lines.String(), "names no engine"), qt.Equals, 2)
 	listed(4, "good")
--- a/entry/directory.go
+++ b/entry/directory.go
@@ -9,13 +9,13 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-// AddressQuestion is a caller's question where to connect.
+// AddressQuestion is a caller's query for the addresses to connect to.
 type AddressQuestion struct {
-	// Region is the caller's, "" if it does not say.
+	// Region is the region of the caller, or "" if the caller does not state it.
 	Region string
 }
 
-// directoryHandler answers which addresses to use.
+// directoryHandler serves the addresses that callers should connect to.
 func (d *Daemon) directoryHandler() http.Handler {
 	mux := bunrouter.New()
 	mux.GET(d.Documents.AddressesPath(), func(w http.ResponseWriter, r bunrouter.Request) error {
@@ -29,8 +29,7 @@
 	return mux
 }
 
-// addresses returns the caller addresses of the daemons that take requests, in random
-// order.
+// addresses returns the caller addresses of the daemons that accept requests, in random order.
 func (f *fleet) addresses(q AddressQuestion) []string {
 	view := f.members.View()
 	ready := make(map[string]string)
@@ -44,9 +43,10 @@
 	return list
 }
 
-// addressesFor returns the addresses for a caller: those of the daemons in its own region,
-// so that what it sends leaves the region only where an engine elsewhere is to work on it,
-// or all while none there takes requests.
+// addressesFor returns the addresses for a caller: those of the daemons in its own region, so
+// that a request leaves the region only if it is sent to an engine elsewhere. If no daemon of
+// the region accepts requests, or the region is unknown, it returns the addresses of all daemons
+// that do.
 func addressesFor(q AddressQuestion, members []membership.Member, ready, regions map[string]string) []string {
 	var near, all []string
 	for _, m := range members {
--- a/entry/directory_test.go
+++ b/entry/directory_test.go
@@ -8,7 +8,7 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-func TestCallersAreSentToDaemonsOfTheirRegion(t *testing.T) {
+func TestCallersGetAddressesOfTheirRegion(t *testing.T) {
 	c := qt.New(t)
 	regions := map[string]string{"hall-1": "north", "hall-2": "north", "hall-3": "south"}
 	members := []membership.Member{
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the daemon that carries opaque requests: it joins the store's
-// copies, the fleet, the engines and the gateway. A main needs a few lines:
+// Package entry implements the entry daemon, which forwards opaque requests from callers to
+// engines. It connects the copies of the store's objects, the fleet of daemons, the set of
+// engines and the gateway. A main function needs only a few lines:
 //
 //	d, err := entry.New(options)
 //	if err != nil { ... }
@@ -37,66 +38,70 @@
 	"github.com/bronzeturn/bronzeturn/slowstart"
 )
 
-// Settings of one daemon. All fields are required unless they say otherwise.
+// Settings configure one daemon. All fields are required unless stated otherwise.
 type Settings struct {
 	// Name is unique in the fleet.
 	Name       string
 	DataCentre string
-	// Regions are the regions of the data centres by name. Without them, requests that are
-	// bound to regions have no engine.
+	// Regions maps the names of data centres to their regions. If it is empty, requests that are
+	// bound to regions find no engine.
 	Regions map[string]string
 	IP      string
-	// Listeners, as IP and port. Others use the same addresses.
+	// The listen addresses, as IP and port. Other processes connect to the same addresses.
 	CallerListen, ReadyListen, PeerListen, DirectoryListen string
-	// MetricsListen serves metrics, "" for none besides ReadyListen.
+	// MetricsListen is an additional address for metrics, or "" to serve them on ReadyListen
+	// only.
 	MetricsListen string
 	// Seeds are peer addresses of other daemons.
 	Seeds []string
 	// MemoryBytes is the memory that the process may use.
 	MemoryBytes int64
-	// Cores is the processor time that the process may use, in cores; zero if unknown.
+	// Cores is the CPU time that the process may use, in cores, or zero if unknown.
 	Cores float64
-	// Capacity is what the host can carry for the fleet, compared with the others' hosts:
-	// duties are shared out in proportion to it. Zero counts as 1.
+	// Capacity is the capacity of the host relative to the hosts of the other daemons. Tasks of
+	// the fleet, such as watching the store, are distributed in proportion to it. Zero means 1.
 	Capacity float64
-	// StopGrace is the time from SIGTERM to the end of the process.
+	// StopGrace is the time from SIGTERM to the exit of the process.
 	StopGrace time.Duration
-	// LapseGrace is how long an engine whose entry vanished with an outage of the
-	// store is still used.
+	// LapseGrace is how long an engine remains in use after its entry has disappeared during an
+	// outage of the store.
 	LapseGrace time.Duration
-	// ColdOverage and ColdSlack bound what a cold engine gets within a second from all
-	// daemons together: ColdOverage times what its service bears, and ColdSlack requests.
+	// ColdOverage and ColdSlack limit the requests per second that a cold engine receives from
+	// all daemons together: ColdOverage times the limit configured for its service, plus
+	// ColdSlack.
 	ColdOverage, ColdSlack float64
-	// Evacuations tells that operators may ask that the engines of a data centre get
-	// nothing more. Where they don't, nothing is read from the store for it.
+	// Evacuations enables the evacuation of data centres, in which operators request that the
+	// engines of a data centre receive no new requests. If it is not set, the evacuations in the
+	// store are not read.
 	Evacuations bool
-	// AddressTTL is how long callers may keep an answer about addresses.
+	// AddressTTL is how long callers may cache the addresses that they were given.
 	AddressTTL    time.Duration
 	Budget        gateway.BudgetOptions
 	Introductions canary.Options
 }
 
-// Store is the part of the platform's store that the daemon uses.
+// Store is the subset of the platform's store that the daemon uses.
 type Store interface {
 	follow.Source
 	bootstrap.Store
 	quarantine.Store
-	// SetStatus writes the status of an object if its revision is the given one.
+	// SetStatus writes the status of an object if the object has the given revision.
 	SetStatus(ctx context.Context, kind, name string, revision uint64, status json.RawMessage) error
 }
 
-// Documents decodes the store's objects and answers in the platform's form.
+// Documents converts the store's objects and the answers about addresses from and to the
+// platform's formats.
 type Documents interface {
 	ConfigKind() string
 	EngineKind() string
 	OrderKind() string
 	EvacuationKind() string
-	// Value returns what the product has stored in an object of its own.
+	// Value returns the value of an object that bronzeturn itself has stored.
 	Value(item follow.Item) ([]byte, error)
 	Config(s *follow.Snapshot) (route.Config, bool, error)
 	Engine(item follow.Item) (inventory.Registration, error)
 	Order(item follow.Item) (canary.Order, canary.State, error)
-	// Evacuated returns the names of the data centres whose evacuation is asked for.
+	// Evacuated returns the names of the data centres whose evacuation has been requested.
 	Evacuated(s *follow.Snapshot) []string
 	OrderStatus(target string, state canary.State) (json.RawMessage, error)
 	AddressesPath() string
@@ -104,19 +109,19 @@
 	AnswerAddresses(w http.ResponseWriter, list []string, keepSeconds float64) error
 }
 
-// Options are what a Daemon needs.
+// Options configure a Daemon.
 type Options struct {
 	Settings  Settings
 	Store     Store
 	Documents Documents
 	Codec     gateway.Codec
-	// Models say when a larger model's answer pays.
+	// Models determine when the answer of a larger model is worth its cost.
 	Models gateway.ModelOptions
-	// LogWriter takes one line per call and must not block.
+	// LogWriter receives one line per call and must not block.
 	LogWriter io.Writer
 }
 
-// Daemon is one entry host's part of the system. All daemons are equal.
+// Daemon is the process that runs on an entry host. All daemons have the same role.
 type Daemon struct {
 	Options
 	log      zerolog.Logger
@@ -133,27 +138,29 @@
 	slowStarts    *slowstart.Pacer
 	gateway       *gateway.Gateway
 	quarantine    *quarantine.Quarantine
-	// shared is the balancer with the work of all daemons, book the counts that this
-	// daemon keeps for the others.
+	// shared is the balancer that takes the work of all daemons into account, book the counts
+	// that this daemon keeps for the others.
 	shared  *sharedBalancer
 	book    *occupancy.Book
 	servers *servers
 
 	tables atomic.Pointer[gateway.Tables]
-	// compiling is held while the engines in force are compiled. The set of engines calls
-	// for it with its own lock held, so nothing under it may ask the set.
-	compiling sync.Mutex
-	// current holds the settings that may change while the daemon runs.
+	// compileMu serialises the compilation of the engines. The set of engines triggers a
+	// compilation while it holds its own lock, so code that holds compileMu must not call the
+	// set.
+	compileMu sync.Mutex
+	// current holds the settings as of the last reload. Only some of them take effect while the
+	// daemon runs.
 	current atomic.Pointer[Settings]
 	leaving atomic.Bool
 	seed    uint64
 }
 
-// memoryShare is the part of the memory that the runtime's heap may grow to; the
-// rest is for stacks, buffers of the kernel and what was not yet collected.
+// memoryShare is the fraction of Settings.MemoryBytes that is set as the runtime's memory limit.
+// The rest is reserved for stacks, kernel buffers and garbage that is not yet collected.
 const memoryShare = 0.7
 
-// New provisions a daemon and opens its listeners. Nothing is served before Run.
+// New creates a daemon and opens its listeners. Requests are served only after Run is called.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{Options: o, registry: prometheus.NewRegistry(), seed: process.Seed(), started: time.Now(), book: occupancy.NewBook()}
 	backoff.SetPhase(time.Duration(rand.New(rand.NewPCG(d.seed, randTickPhase)).Int64N(int64(time.Second))))
@@ -185,10 +192,9 @@
 	return d, nil
 }
 
-// balanceOptions suits engines that batch: what a request waits for is the
-// reading of the prompts before it, so the work in progress counts in full. They
-// are judged and taken back faster than the defaults say, since answers take
-// seconds at most.
+// balanceOptions returns balancer options for engines that batch requests: a request waits for
+// the prefill of the prompts ahead of it, so the work in progress counts in full. Engines are
+// ejected and readmitted faster than by default because answers take a few seconds at most.
 func balanceOptions() balance.Options {
 	o := balance.DefaultOptions()
 	o.RemoteThreshold = 5 * time.Millisecond
@@ -211,13 +217,13 @@
 	return o
 }
 
-// part returns the logger of one part.
-func (d *Daemon) part(name string) zerolog.Logger { return logging.Part(d.log, name) }
+// logger returns the logger of one component.
+func (d *Daemon) logger(name string) zerolog.Logger { return logging.Part(d.log, name) }
 
-// rand returns a random source for one part.
-func (d *Daemon) rand(part uint64) *rand.Rand { return rand.New(rand.NewPCG(d.seed, part)) }
+// rand returns the random source of one component.
+func (d *Daemon) rand(component uint64) *rand.Rand { return rand.New(rand.NewPCG(d.seed, component)) }
 
-// Parts of the daemon that have a random source of their own.
+// Components of the daemon that have their own random source.
 const (
 	randMembership uint64 = iota + 1
 	randBootstrap
@@ -231,7 +237,7 @@
 	randTickPhase
 )
 
-// Run serves until ctx ends, then stops gracefully. It may be called once.
+// Run serves until ctx is done, then stops gracefully. It must be called at most once.
 func (d *Daemon) Run(ctx context.Context) error {
 	s := &d.Settings
 	d.log.Info().Str("callers", s.CallerListen).Str("peers", s.PeerListen).Str("directory", s.DirectoryListen).
@@ -252,23 +258,24 @@
 	return d.stop()
 }
 
-// goLoop runs a loop under the tomb. Its context ends with the daemon.
+// goLoop runs a loop as a goroutine of the tomb. Its context is done when the daemon stops.
 func (d *Daemon) goLoop(name string, f func(ctx context.Context) error) {
 	process.Go(&d.tomb, name, f)
 }
 
-// Parts of the grace of a stop.
+// Phases of the grace period of a stop.
 const (
-	// streamsUntil is the part of the grace in which streams are still taken: the
-	// platform excuses those that are cut at the end only if they came early.
-	streamsUntil = 0.35
-	// answersUntil is the part in which requests with whole answers are.
-	answersUntil = 0.8
-	// stopMargin is left before the end of the grace.
+	// streamAdmissionShare is the fraction of the grace period in which requests for streams are
+	// still admitted. The platform tolerates streams that are cut at the end of the period only
+	// if they began early in it.
+	streamAdmissionShare = 0.35
+	// admissionShare is the fraction in which requests for unary answers are still admitted.
+	admissionShare = 0.8
+	// stopMargin is the time reserved at the end of the grace period.
 	stopMargin = 700 * time.Millisecond
 )
 
-// stop carries out the graceful shutdown.
+// stop shuts the daemon down gracefully.
 func (d *Daemon) stop() error {
 	began := time.Now()
 	d.leaving.Store(true)
@@ -278,12 +285,12 @@
 	grace := d.current.Load().StopGrace
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
-	time.Sleep(time.Duration(streamsUntil * float64(grace)))
+	time.Sleep(time.Duration(streamAdmissionShare * float64(grace)))
 	d.gateway.StopStreams()
-	time.Sleep(time.Duration((answersUntil - streamsUntil) * float64(grace)))
+	time.Sleep(time.Duration((admissionShare - streamAdmissionShare) * float64(grace)))
 	d.gateway.StopAdmitting()
 	if err := d.gateway.Drain(ctx); err != nil {
-		d.log.Error().Err(err).Int("in_progress", d.gateway.InProgress()).Msg("requests cut at the end of the grace")
+		d.log.Error().Err(err).Int("in_progress", d.gateway.InProgress()).Msg("requests in progress aborted at the end of the grace period")
 	}
 	d.servers.stop()
 	d.tomb.Kill(nil)
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -13,12 +13,12 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// newTestIntroductions has a view of the given engines.
+// newTestIntroductions returns the introductions of a daemon that knows the given engines.
 func newTestIntroductions(engines ...inventory.Engine) *introductions {
 	d := &Daemon{log: zerolog.Nop()}
 	d.Settings.Introductions = canary.DefaultOptions()
 	d.introductions = newIntroductions(d)
-	d.engines = inventory.New(time.Second, func(_, now *inventory.View) { d.introductions.sawEngines(now) })
+	d.engines = inventory.New(time.Second, func(_, now *inventory.View) { d.introductions.enginesChanged(now) })
 	d.engines.Apply(inventory.Change{Registered: engines}, time.Now())
 	return d.introductions
 }
@@ -37,26 +37,27 @@
 	base, trial := []string{gateway.Group("s", false)}, []string{gateway.Group("s", true)}
 	c.Check(i.assign(old), qt.DeepEquals, base)
 	c.Check(i.assign(fresh), qt.HasLen, 0)
-	i.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
 	c.Check(i.assign(old), qt.DeepEquals, base)
 	c.Check(i.assign(fresh), qt.DeepEquals, trial)
-	i.ordered(order, canary.Done, 9)
+	i.applyOrder(order, canary.Done, 9)
 	c.Check(i.assign(old), qt.HasLen, 0)
 	c.Check(i.assign(fresh), qt.DeepEquals, base)
 }
 
-func TestVersionTakenBackGetsNothing(t *testing.T) {
+func TestRolledBackVersionReceivesNoRequests(t *testing.T) {
 	c := qt.New(t)
 	old, fresh := engineOf("a", "v1"), engineOf("b", "v2")
 	i := newTestIntroductions(old, fresh)
-	i.ordered(order, canary.RolledBack, 8)
+	i.applyOrder(order, canary.RolledBack, 8)
 	c.Check(i.assign(old), qt.DeepEquals, []string{gateway.Group("s", false)})
 	c.Check(i.assign(fresh), qt.HasLen, 0)
 	c.Check(i.Choose("s", 1, time.Now()), qt.IsFalse)
 }
 
-// TestEndedVersionsStayEndedWithTheNextOrder checks that engines which an earlier
-// order has ended, and which stop by and by, get nothing under the next one.
+// TestEndedVersionsStayEndedWithTheNextOrder guards against requests to engines of a version that
+// an earlier order has ended: they stop gradually, and must receive no requests under the next
+// order.
 func TestEndedVersionsStayEndedWithTheNextOrder(t *testing.T) {
 	next := order
 	next.ID, next.Target = order.ID+1, "v3"
@@ -66,7 +67,7 @@
 		name  string
 		state canary.State
 		next  canary.Order
-		want  map[string]bool // whether an engine of the version takes all sessions' work
+		want  map[string]bool // whether engines of the version receive requests of all sessions
 	}{
 		{"done", canary.Done, next, map[string]bool{"v1": false, "v2": true, "v3": false}},
 		{"rolled back", canary.RolledBack, next, map[string]bool{"v1": true, "v2": false, "v3": false}},
@@ -75,14 +76,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			i := newTestIntroductions(engineOf("a", "v1"), engineOf("b", "v2"), engineOf("c", "v3"))
-			i.ordered(order, canary.Running, 8)
-			i.ordered(order, test.state, 9)
-			i.ordered(test.next, canary.Pending, 10)
+			i.applyOrder(order, canary.Running, 8)
+			i.applyOrder(order, test.state, 9)
+			i.applyOrder(test.next, canary.Pending, 10)
 			for version, want := range test.want {
 				groups := i.assign(engineOf("x", version))
 				c.Check(len(groups) == 1 && groups[0] == gateway.Group("s", false), qt.Equals, want, qt.Commentf(version))
 			}
-			i.ordered(back, canary.Pending, 11)
+			i.applyOrder(back, canary.Pending, 11)
 			c.Check(i.isRetired("s", "v2"), qt.IsFalse)
 		})
 	}
@@ -95,7 +96,7 @@
 		engines = append(engines, engineOf(id, "v1"), engineOf("new-"+id, "v2"))
 	}
 	i := newTestIntroductions(engines...)
-	i.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
 	trial := 0
 	for _, e := range engines {
 		if groups := i.assign(e); len(groups) == 1 && groups[0] == gateway.Group("s", true) {
@@ -113,37 +114,37 @@
 		session++
 	}
 	i.Choose("s", session, time.Now())
-	i.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
 	c.Check(i.byService["s"].Choose(session, time.Now().Add(4*time.Second)), qt.IsFalse)
 }
 
-// TestCountsOfTheOthersLeadToAVerdict has the fleet's sums bring what this daemon has not
-// seen itself.
-func TestCountsOfTheOthersLeadToAVerdict(t *testing.T) {
+// TestCountsOfOtherDaemonsLeadToAVerdict checks that a daemon judges a version by the answers that
+// only other daemons have seen.
+func TestCountsOfOtherDaemonsLeadToAVerdict(t *testing.T) {
 	c := qt.New(t)
 	i, other := newTestIntroductions(engineOf("a", "v1")), newTestIntroductions(engineOf("a", "v1"))
-	i.ordered(order, canary.Running, 8)
-	other.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
+	other.applyOrder(order, canary.Running, 8)
 	for range 20 {
 		other.Observe("s", "r", "v2", true, 0)
 	}
 	c.Check(i.byService["s"].Review(time.Now()).State, qt.Equals, canary.Running)
-	i.othersCounted("s", other.counted()["s"])
-	i.othersCounted("unknown", other.counted()["s"])
+	i.receiveFleetReport("s", other.localReports()["s"])
+	i.receiveFleetReport("unknown", other.localReports()["s"])
 	c.Check(i.byService["s"].Review(time.Now()).State, qt.Equals, canary.RolledBack)
 }
 
-// TestAnswersOfAnEarlierTrialDoNotCondemnTheNextVersion guards against a good version that is
-// taken back for what streams of the version before did, which began in the trial of the
-// order before and outlasted it.
+// TestAnswersOfAnEarlierTrialDoNotCondemnTheNextVersion guards against the rollback of a good
+// version because of streams of the previous version, which began in the trial of the previous
+// order and outlasted it.
 func TestAnswersOfAnEarlierTrialDoNotCondemnTheNextVersion(t *testing.T) {
 	c := qt.New(t)
 	next := order
 	next.ID, next.Target = order.ID+1, "v3"
 	i := newTestIntroductions(engineOf("a", "v1"), engineOf("b", "v2"), engineOf("c", "v3"))
-	i.ordered(order, canary.Running, 8)
-	i.ordered(order, canary.Done, 9)
-	i.ordered(next, canary.Running, 10)
+	i.applyOrder(order, canary.Running, 8)
+	i.applyOrder(order, canary.Done, 9)
+	i.applyOrder(next, canary.Running, 10)
 	for range 40 {
 		i.Observe("s", "r", "v1", true, 0)
 		i.Observe("s", "r", "v2", false, 100*time.Millisecond)
@@ -155,7 +156,7 @@
 	c.Check(verdict.Trial, qt.Equals, canary.Count{})
 	c.Check(verdict.Base.Answers, qt.Equals, uint64(40))
 	c.Check(verdict.Base.Bad, qt.Equals, uint64(0))
-	// Slow streams of the version before are no sign against the next one.
+	// Slow streams of the previous version must not count against the next one.
 	for range 40 {
 		i.ObservePace("s", "r", "v2", 2*time.Second)
 	}
@@ -166,24 +167,24 @@
 	c.Check(i.byService["s"].Review(time.Now()).State, qt.Equals, canary.RolledBack)
 }
 
-func TestReportsSurviveTheirEncoding(t *testing.T) {
+func TestReportEncodingRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	i, other := newTestIntroductions(engineOf("a", "v1")), newTestIntroductions(engineOf("a", "v1"))
 	i.daemon.Settings.Name, other.daemon.Settings.Name = "one", "two"
-	i.ordered(order, canary.Running, 8)
-	other.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
+	other.applyOrder(order, canary.Running, 8)
 	for range 20 {
 		other.Observe("s", "r", "v2", true, 0)
 	}
-	report, err := proto.Marshal(reportMessage(other.byService["s"].Report(time.Now())))
+	report, err := proto.Marshal(encodeReport(other.byService["s"].Report(time.Now())))
 	c.Assert(err, qt.IsNil)
-	i.heard(canaryPrefix+"s/two", 1, report)
-	i.heard(canaryPrefix+"s/two", 2, []byte{0xff})
-	i.heard(canaryPrefix+"nothing", 3, nil)
+	i.receiveVerdict(canaryPrefix+"s/two", 1, report)
+	i.receiveVerdict(canaryPrefix+"s/two", 2, []byte{0xff})
+	i.receiveVerdict(canaryPrefix+"nothing", 3, nil)
 	c.Check(i.byService["s"].Review(time.Now()).State, qt.Equals, canary.RolledBack)
 }
 
-func TestScarceProcessorsCollectLessOften(t *testing.T) {
+func TestHeapGrowthIsRaisedOnHostsWithFewCores(t *testing.T) {
 	c := qt.New(t)
 	for cores, want := range map[float64]int{0: heapGrowth, 0.192: heapGrowthScarce, 0.4: heapGrowth, 1: heapGrowth} {
 		for _, live := range []uint64{0, 2 << 20, 5 << 20} {
@@ -192,7 +193,7 @@
 	}
 }
 
-// Guards against a GC percentage of 100 for large heaps on hosts with few cores, which
+// TestHeapGrowthIsReducedForLargeHeaps guards against a GC percentage of 100 for large heaps on hosts with few cores, which
 // doubles the heap memory with ten thousand engines.
 func TestHeapGrowthIsReducedForLargeHeaps(t *testing.T) {
 	c := qt.New(t)
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -8,15 +8,15 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// evacuated are the data centres whose engines get nothing new until operators take
-// them back. What is in progress there ends as it would. The zero value is ready to
-// use; it is safe for concurrent use.
+// evacuated is the set of data centres whose engines receive no new requests until an operator
+// ends the evacuation. Requests in progress there are completed. The zero value is ready to use.
+// It is safe for concurrent use.
 type evacuated struct{ names atomic.Pointer[[]string] }
 
-// includes tells whether a data centre is evacuated.
+// includes reports whether a data centre is evacuated.
 func (e *evacuated) includes(dataCentre string) bool { return slices.Contains(e.list(), dataCentre) }
 
-// list returns the evacuated data centres in order. It must not be changed.
+// list returns the evacuated data centres in sorted order. The caller must not modify the list.
 func (e *evacuated) list() []string {
 	names := e.names.Load()
 	if names == nil {
@@ -25,7 +25,7 @@
 	return *names
 }
 
-// evacuationsChanged puts the evacuations asked for in force, one call at a time.
+// evacuationsChanged puts the requested evacuations in force. Calls must not overlap.
 func (d *Daemon) evacuationsChanged(u follow.Update) {
 	next := d.Documents.Evacuated(u.Snapshot)
 	before := d.evacuated.list()
@@ -41,17 +41,17 @@
 		}
 	}
 	view := d.engines.View()
-	d.introductions.sawEngines(view)
+	d.introductions.enginesChanged(view)
 	d.compileEngines(view)
 }
 
-// logEvacuation writes the line of one data centre.
+// logEvacuation logs the start or the end of the evacuation of a data centre.
 func (d *Daemon) logEvacuation(u follow.Update, dataCentre, text string) {
 	d.log.Info().Str("data_centre", dataCentre).Int("engines", enginesIn(d.engines.View(), dataCentre)).
 		Uint64("revision", u.Snapshot.Revision).Bool("from_daemon", u.FromPeer).Msg(text)
 }
 
-// enginesIn counts the engines of a data centre. None may mean that the name is wrong.
+// enginesIn returns the number of engines in a data centre. Zero may indicate a misspelt name.
 func enginesIn(v *inventory.View, dataCentre string) int {
 	count := 0
 	for _, e := range v.Engines {
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// namesAsEvacuated take the names of the objects for those of data centres.
+// namesAsEvacuated decodes evacuations whose object names are the names of the data centres.
 type namesAsEvacuated struct{ testDocuments }
 
 func (namesAsEvacuated) Evacuated(s *follow.Snapshot) (names []string) {
@@ -50,7 +50,7 @@
 	return &evacuationTest{Daemon: d, c: c}
 }
 
-// evacuate has just the named data centres evacuated.
+// evacuate requests the evacuation of the named data centres and of no others.
 func (e *evacuationTest) evacuate(names ...string) {
 	e.revision++
 	var items []follow.Item
@@ -60,8 +60,9 @@
 	e.evacuationsChanged(follow.Update{Snapshot: follow.NewSnapshot(e.revision, slices.Values(items))})
 }
 
-// working returns the ids of the engines that a group may use.
-func (e *evacuationTest) working(trial bool) (ids []string) {
+// assigned returns the IDs of the engines that are assigned to the trial group or to the base
+// group.
+func (e *evacuationTest) assigned(trial bool) (ids []string) {
 	for _, engine := range e.engines.View().Engines {
 		if slices.Contains(e.assign(*engine), gateway.Group("s", trial)) {
 			ids = append(ids, engine.ID)
@@ -70,7 +71,8 @@
 	return ids
 }
 
-// enginesOf returns engines of a version in each of the data centres a, b and c.
+// enginesOf returns the given number of engines of a version in each of the data centres a, b
+// and c.
 func enginesOf(version string, each int) (list []inventory.Engine) {
 	for _, dataCentre := range []string{"a", "b", "c"} {
 		for i := range each {
@@ -82,9 +84,9 @@
 	return list
 }
 
-func TestEnginesOfAnEvacuatedDataCentreGetNothingNew(t *testing.T) {
+func TestEnginesOfAnEvacuatedDataCentreReceiveNoNewRequests(t *testing.T) {
 	e := newEvacuationTest(t, enginesOf("v1", 1)...)
-	for _, test := range []struct{ evacuated, working []string }{
+	for _, test := range []struct{ evacuated, assigned []string }{
 		{nil, []string{"a-v1-0", "b-v1-0", "c-v1-0"}},
 		{[]string{"b"}, []string{"a-v1-0", "c-v1-0"}},
 		{[]string{"a", "b"}, []string{"c-v1-0"}},
@@ -94,35 +96,35 @@
 		{nil, []string{"a-v1-0", "b-v1-0", "c-v1-0"}},
 	} {
 		e.evacuate(test.evacuated...)
-		e.c.Check(e.working(false), qt.DeepEquals, test.working, qt.Commentf("%v", test.evacuated))
-		e.c.Check(e.tables.Load().Engines.Plan.Serving(gateway.Group("s", false)), qt.Equals, len(test.working))
+		e.c.Check(e.assigned(false), qt.DeepEquals, test.assigned, qt.Commentf("%v", test.evacuated))
+		e.c.Check(e.tables.Load().Engines.Plan.Serving(gateway.Group("s", false)), qt.Equals, len(test.assigned))
 	}
 }
 
-// TestNewVersionRunsOutsideTheEvacuatedDataCentre checks each choice of one: the few
-// engines that a new version begins on are among those that get work.
+// TestNewVersionRunsOutsideTheEvacuatedDataCentre guards against a new version that is introduced
+// on engines of an evacuated data centre, and so receives no requests.
 func TestNewVersionRunsOutsideTheEvacuatedDataCentre(t *testing.T) {
 	e := newEvacuationTest(t, append(enginesOf("v1", 3), enginesOf("v2", 3)...)...)
-	e.introductions.ordered(order, canary.Running, 1)
+	e.introductions.applyOrder(order, canary.Running, 1)
 	for _, dataCentre := range []string{"a", "b", "c"} {
 		e.evacuate(dataCentre)
-		trial := e.working(true)
+		trial := e.assigned(true)
 		e.c.Check(trial, qt.HasLen, 1, qt.Commentf("%s evacuated", dataCentre))
 		e.c.Check(trial[0][:1], qt.Not(qt.Equals), dataCentre)
-		e.c.Check(e.working(false), qt.HasLen, 6)
+		e.c.Check(e.assigned(false), qt.HasLen, 6)
 	}
 	e.evacuate()
-	e.c.Check(e.working(true), qt.HasLen, 1)
-	e.c.Check(e.working(false), qt.HasLen, 9)
+	e.c.Check(e.assigned(true), qt.HasLen, 1)
+	e.c.Check(e.assigned(false), qt.HasLen, 9)
 }
 
-// TestAnOldViewOfTheEnginesDoesNotReplaceANewerOne has a change of another kind compile
-// the engines with the view that it had read before one of them went.
+// TestAnOldViewOfTheEnginesDoesNotReplaceANewerOne guards against requests to a removed engine: a
+// change of another kind compiles the engines from the view that it read before the removal.
 func TestAnOldViewOfTheEnginesDoesNotReplaceANewerOne(t *testing.T) {
 	e := newEvacuationTest(t, enginesOf("v1", 1)...)
 	old := e.engines.View()
 	e.engines.Apply(inventory.Change{Removed: []string{"a-v1-0"}}, time.Now())
 	e.compileEngines(old)
-	_, there := e.tables.Load().Engines.View.Engine("a-v1-0")
-	e.c.Check(there, qt.IsFalse)
+	_, found := e.tables.Load().Engines.View.Engine("a-v1-0")
+	e.c.Check(found, qt.IsFalse)
 }
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -23,26 +23,26 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// Keys of the flooded table that the entry daemon adds.
+// Key prefixes of entries in the gossip table.
 const (
-	// newsPrefix holds the newest revision of each kind that any daemon has.
-	newsPrefix = "news/"
-	// readyPrefix holds the caller addresses of the daemons that take requests.
+	// revisionPrefix is for the latest revision of each kind that any daemon has.
+	revisionPrefix = "news/"
+	// readyPrefix is for the caller addresses of the daemons that accept requests.
 	readyPrefix = "ready/"
 )
 
-// Bounds of these entries.
+// Limits of the entries in the gossip table.
 const (
-	maxNews         = 16
-	maxDaemons      = 2048
-	maxVerdicts     = 8192
-	smallValue      = 128
-	maxVerdictBytes = 1 << 10
-	verdictTTL      = 2 * time.Minute
-	removalTTL      = 10 * time.Minute
+	maxRevisionEntries = 16
+	maxDaemonEntries   = 2048
+	maxVerdictEntries  = 8192
+	maxSmallValueBytes = 128
+	maxVerdictBytes    = 1 << 10
+	verdictTTL         = 2 * time.Minute
+	removalTTL         = 10 * time.Minute
 )
 
-// fleet is what this daemon shares with the others.
+// fleet connects this daemon to the other daemons.
 type fleet struct {
 	daemon    *Daemon
 	directory *peer.Directory
@@ -52,22 +52,22 @@
 
 	mu     sync.Mutex
 	random *rand.Rand
-	// seeds are peer addresses from the settings and the store.
+	// seeds are the peer addresses from the settings and the store.
 	seeds []string
-	// silent are peer addresses that did not answer, or whose store does not, with
-	// the time.
-	silent map[string]time.Time
-	// ready is the version of this daemon's entry of readiness.
-	ready uint64
-	// watchers tell which daemons watch the store.
+	// failed maps the peer addresses of daemons that did not answer, or whose store does not
+	// answer, to the time of the last failure.
+	failed map[string]time.Time
+	// readyVersion is the version of this daemon's readiness entry.
+	readyVersion uint64
+	// watchers determines which daemons watch the store.
 	watchers *watchers
-	// lastTree is the tree of one view of the fleet.
+	// lastTree caches this daemon's place in the tree.
 	lastTree atomic.Pointer[treePlace]
 }
 
-// newFleet builds the overlay.
+// newFleet creates the membership and the peer server, and opens the peer listener.
 func newFleet(d *Daemon) (*fleet, error) {
-	f := &fleet{daemon: d, random: d.rand(randPeers), silent: make(map[string]time.Time), seeds: withoutSelf(d.Settings.Seeds, d.Settings.PeerListen)}
+	f := &fleet{daemon: d, random: d.rand(randPeers), failed: make(map[string]time.Time), seeds: withoutSelf(d.Settings.Seeds, d.Settings.PeerListen)}
 	f.watchers = &watchers{fleet: f, wake: make(chan struct{}, 1)}
 	traffic, err := peer.NewTraffic(d.registry)
 	if err != nil {
@@ -82,11 +82,11 @@
 		},
 		Seeds: f.seeds, Dialer: &gossip.StreamDialer{Directory: f.directory},
 		Classes: []gossip.Class{
-			{Prefix: newsPrefix, MaxEntries: maxNews, MaxValueBytes: smallValue},
-			{Prefix: readyPrefix, MaxEntries: maxDaemons, MaxValueBytes: smallValue, RemovalTTL: removalTTL},
-			{Prefix: turnedAwayPrefix, MaxEntries: maxDaemons, MaxValueBytes: smallValue, RemovalTTL: removalTTL},
+			{Prefix: revisionPrefix, MaxEntries: maxRevisionEntries, MaxValueBytes: maxSmallValueBytes},
+			{Prefix: readyPrefix, MaxEntries: maxDaemonEntries, MaxValueBytes: maxSmallValueBytes, RemovalTTL: removalTTL},
+			{Prefix: turnedAwayPrefix, MaxEntries: maxDaemonEntries, MaxValueBytes: maxSmallValueBytes, RemovalTTL: removalTTL},
 			quarantine.TableClass(),
-			{Prefix: canaryPrefix, MaxEntries: maxVerdicts, MaxValueBytes: maxVerdictBytes, TTL: verdictTTL},
+			{Prefix: canaryPrefix, MaxEntries: maxVerdictEntries, MaxValueBytes: maxVerdictBytes, TTL: verdictTTL},
 		},
 		Random: d.rand(randMembership), Log: d.log, Registerer: d.registry,
 	})
@@ -101,7 +101,7 @@
 	return f, nil
 }
 
-// withoutSelf returns the addresses but the daemon's own.
+// withoutSelf returns the addresses except the daemon's own.
 func withoutSelf(addresses []string, self string) []string {
 	var others []string
 	for _, a := range addresses {
@@ -112,7 +112,7 @@
 	return others
 }
 
-// handler serves what daemons ask each other.
+// handler serves the calls of other daemons.
 func (f *fleet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(gossip.NewHandler(f.members.Table()))
@@ -126,60 +126,61 @@
 func (f *fleet) start(d *Daemon) {
 	f.server.Start()
 	f.members.Start()
-	f.members.Table().Subscribe(newsPrefix, f.heardNews)
-	f.members.Table().Subscribe(turnedAwayPrefix, f.watchers.heard)
+	f.members.Table().Subscribe(revisionPrefix, f.receiveRevision)
+	f.members.Table().Subscribe(turnedAwayPrefix, f.watchers.turnedAwayChanged)
 	f.members.Subscribe(func(*membership.View) { f.watchers.notifyChange() })
 	f.members.Table().Subscribe(quarantine.TablePrefix, d.quarantine.ReceiveEntry)
 	registrar := bootstrap.New(bootstrap.Options{
 		Store: d.Store, Self: &bronzeturnv1.Seed{Name: d.Settings.Name, PeerAddress: d.Settings.PeerListen},
-		Found: f.found,
+		Found: f.addFoundSeeds,
 		Live: func(name string) bool {
 			member, ok := f.members.View().Member(name)
 			return ok && member.State == membership.Live
 		},
-		Spared: f.spared, Joined: func() bool { return f.members.View().Live() > 1 },
+		Spared: f.registrationSpared, Joined: func() bool { return f.members.View().Live() > 1 },
 		Random: d.rand(randBootstrap), Log: logging.Part(d.log, "bootstrap"),
 	})
 	d.goLoop("bootstrap", registrar.Run)
-	d.goLoop("readiness", f.tellReadiness)
+	d.goLoop("readiness", f.publishWhenReady)
 	d.goLoop("watchers", f.watchers.run)
 }
 
-// listedDaemons is how many daemons of a fleet register in the store, for those that
-// the settings lead nowhere: with a few of them lost some are left.
-const listedDaemons = 8
+// registeredDaemons is the number of daemons of a fleet that register in the store, for daemons
+// that find none of their configured seeds. It allows for the loss of a few of them.
+const registeredDaemons = 8
 
-// spared tells whether other daemons of the fleet register in the store. All rank
-// the daemons alike; where two parts of a fleet do not know each other, some of each
-// read the list and find the other.
-func (f *fleet) spared() bool {
+// registrationSpared reports whether other daemons of the fleet register in the store, so that
+// this one need not. All daemons compute the same ranking. If two parts of a fleet do not know
+// each other, some daemons of each part read the list in the store and find the other part.
+func (f *fleet) registrationSpared() bool {
 	view := f.members.View()
-	return view.Live() > listedDaemons && !slices.Contains(view.Top(bootstrap.Key, listedDaemons), view.Self)
+	return view.Live() > registeredDaemons && !slices.Contains(view.Top(bootstrap.Key, registeredDaemons), view.Self)
 }
 
-// found takes in addresses of other daemons that the store lists.
-func (f *fleet) found(addresses []string) {
+// addFoundSeeds adds the addresses of daemons that are registered in the store to the seeds,
+// in place of those found before.
+func (f *fleet) addFoundSeeds(addresses []string) {
 	f.mu.Lock()
 	f.seeds = append(withoutSelf(f.daemon.Settings.Seeds, f.daemon.Settings.PeerListen), withoutSelf(addresses, f.daemon.Settings.PeerListen)...)
 	f.mu.Unlock()
 	f.members.SetFoundSeeds(addresses)
 }
 
-// leave tells the others that this daemon stops.
+// leave notifies the other daemons that this one stops.
 func (f *fleet) leave() {
 	f.publishReady()
 	f.members.Leave()
 }
 
-// fleetStop bounds the wait for pending entries at a stop.
-const fleetStop = 200 * time.Millisecond
+// fleetStopTimeout limits how long a stop waits for pending table entries to be sent.
+const fleetStopTimeout = 200 * time.Millisecond
 
-// stop leaves the fleet.
+// stop ends the membership and closes the peer listener.
 func (f *fleet) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), fleetStop)
+	ctx, cancel := context.WithTimeout(context.Background(), fleetStopTimeout)
 	defer cancel()
 	if err := f.members.Stop(ctx); err != nil {
-		f.daemon.log.Warn().Err(err).Msg("membership not stopped in order")
+		f.daemon.log.Warn().Err(err).Msg("membership did not stop cleanly")
 	}
 	if err := f.server.Stop(ctx); err != nil {
 		f.daemon.log.Debug().Err(err).Msg("peer listener closed with calls in progress")
@@ -187,33 +188,33 @@
 	f.directory.Close()
 }
 
-// publish puts an entry into the flooded table.
+// publish adds an entry to the gossip table or replaces it.
 func (f *fleet) publish(key string, version uint64, value []byte) {
 	if err := f.members.Table().Publish(key, version, value); err != nil {
 		f.daemon.log.Warn().Err(err).Str("key", key).Msg("entry not published")
 	}
 }
 
-// announce tells the others of the newest revision that the store gave.
+// announce publishes the latest revision of a kind that the store has returned.
 func (f *fleet) announce(kind string, revision uint64) {
 	if revision > 0 {
-		f.publish(newsPrefix+kind, revision, []byte{1})
+		f.publish(revisionPrefix+kind, revision, []byte{1})
 	}
 }
 
-// heardNews takes in the newest revision that any daemon has.
-func (f *fleet) heardNews(key string, revision uint64, _ []byte) {
-	if follower, ok := f.daemon.copies.of(strings.TrimPrefix(key, newsPrefix)); ok {
+// receiveRevision passes the latest revision that any daemon has to the follower of its kind.
+func (f *fleet) receiveRevision(key string, revision uint64, _ []byte) {
+	if follower, ok := f.daemon.copies.of(strings.TrimPrefix(key, revisionPrefix)); ok {
 		follower.Heard(revision)
 	}
 }
 
-// readyPoll is the time between two looks at the own readiness.
-const readyPoll = 100 * time.Millisecond
+// readyPollInterval is the interval between checks of this daemon's readiness.
+const readyPollInterval = 100 * time.Millisecond
 
-// tellReadiness tells the others when this daemon begins to take requests.
-func (f *fleet) tellReadiness(ctx context.Context) error {
-	for backoff.Sleep(ctx, readyPoll) == nil {
+// publishWhenReady waits until this daemon accepts requests, and publishes its readiness.
+func (f *fleet) publishWhenReady(ctx context.Context) error {
+	for backoff.Sleep(ctx, readyPollInterval) == nil {
 		if f.daemon.Ready() != nil {
 			continue
 		}
@@ -224,19 +225,20 @@
 	return nil
 }
 
-// publishReady publishes the own readiness.
+// publishReady publishes whether this daemon accepts requests. The version of the entry exceeds
+// that of an entry left by an earlier process of the same name.
 func (f *fleet) publishReady() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ready = max(f.ready+1, uint64(time.Now().UnixMilli()))
+	f.readyVersion = max(f.readyVersion+1, uint64(time.Now().UnixMilli()))
 	if held, _, ok := f.members.Table().Get(readyPrefix + f.daemon.Settings.Name); ok {
-		f.ready = max(f.ready, held+1)
+		f.readyVersion = max(f.readyVersion, held+1)
 	}
 	var value []byte
 	if f.daemon.Ready() == nil {
 		value = []byte(f.daemon.Settings.CallerListen)
 	}
-	f.publish(readyPrefix+f.daemon.Settings.Name, f.ready, value)
+	f.publish(readyPrefix+f.daemon.Settings.Name, f.readyVersion, value)
 }
 
 // Live implements follow.Peers.
@@ -250,8 +252,9 @@
 // SelectedToWatch implements follow.Peers.
 func (f *fleet) SelectedToWatch() bool { return f.watchers.includes(f.daemon.Settings.Name) }
 
-// joinTime is how long a daemon that starts takes to learn of the others: half of 295
-// daemons that started together knew the rest after 1.1 s. Until then it does not watch
-// the store: with a few of them in sight, each of a large fleet would take it for its
-// turn and make ten calls. It serves with the list that it reads first.
+// joinTime is the time after the start in which a daemon does not watch the store. It is about
+// the time to learn of the other daemons: when 295 daemons started together, half of them knew
+// all others after 1.1 s. A daemon of a large fleet that knows only a few others would consider
+// itself selected to watch, and make ten calls to the store. In the meantime, the daemon serves
+// requests with the objects that it listed first.
 const joinTime = time.Second
--- a/entry/introductions.go
+++ b/entry/introductions.go
@@ -13,45 +13,46 @@
 	"github.com/bronzeturn/bronzeturn/tally"
 )
 
-// orderWait is how long engines of a version that was never seen wait for an order
-// that explains them.
+// orderWait is how long engines of a version that was not seen before wait for an order to
+// introduce the version. Without an order they receive requests after that time.
 const orderWait = 5 * time.Second
 
-// introductions keep the version that each service's sessions run on.
+// introductions decides on which version of its service each session runs.
 type introductions struct {
 	daemon *Daemon
-	// tally adds up what all daemons count.
+	// tally sums the counts of all daemons.
 	tally *tally.Tally
 
 	mu        sync.Mutex
 	byService map[string]*introduction
-	// versions are those seen of each service, with the time of the first sight.
+	// versions maps the versions of each service to the time at which they were first seen.
 	versions map[string]map[string]time.Time
-	// retired are the versions that earlier orders have ended: their engines stop by
-	// and by, and must not count as the version before of the next order.
+	// retired holds the versions of each service that earlier orders have ended. Their engines
+	// stop gradually, and must not count as the base version of the next order.
 	retired map[string]map[string]struct{}
-	// recent are the sessions of late that a trial would move.
+	// recent holds the recent sessions of each service that a trial would move to the new
+	// version, with the time of their last request.
 	recent map[string]map[uint64]time.Time
-	// sessions remember the version that the sessions of each service last ran on.
+	// sessions records the version that the sessions of each service last ran on.
 	sessions map[string]*canary.Sessions
-	// waiting tells that some engine waits for an order.
+	// waiting is set if an engine waits for an order.
 	waiting bool
-	// ranks order the engines of the versions being introduced, for introductions limited to
-	// some of them.
+	// ranks holds the rank of each engine of the versions being introduced, by engine key. An
+	// introduction that is limited to some engines uses those with the lowest ranks.
 	ranks map[string]int
 }
 
-// introduction is one order with what this daemon has done about it.
+// introduction is the state of one order on this daemon.
 type introduction struct {
 	*canary.Introduction
 	revision uint64
 	driver   canary.Driver
-	// told tells that the verdict against the version was flooded; the reviews alone
-	// use it.
-	told bool
-	// engines is on how many engines the new version runs.
+	// verdictPublished is set once the verdict against the version has been published. Only
+	// the goroutine of run uses it.
+	verdictPublished bool
+	// engines is the number of engines on which the new version runs.
 	engines int
-	// ended is when this daemon learnt that the order had come to its end.
+	// ended is when this daemon learnt that the order had reached a final state.
 	ended time.Time
 }
 
@@ -64,74 +65,75 @@
 		ranks:    make(map[string]int),
 	}
 	i.tally = tally.New(tally.Options{
-		Self: d.Settings.Name, Place: d.fleet.tallyPlace, Client: d.fleet.tallyOf,
-		Own: i.counted, Others: i.othersCounted, Log: d.part("tally"),
+		Self: d.Settings.Name, Place: d.fleet.tallyPlace, Client: d.fleet.tallyClient,
+		Own: i.localReports, Others: i.receiveFleetReport, Log: d.logger("tally"),
 	})
 	return i
 }
 
-// ordersChanged takes in the orders of the store.
+// ordersChanged applies the orders in the store. An order that cannot be decoded is logged and
+// ignored.
 func (d *Daemon) ordersChanged(u follow.Update) {
 	i := d.introductions
 	for item := range u.Snapshot.All() {
 		order, state, err := d.Documents.Order(item)
 		if err != nil {
-			d.log.Error().Err(err).Msg("order refused")
+			d.log.Error().Err(err).Msg("order cannot be decoded and is ignored")
 			continue
 		}
-		i.ordered(order, state, item.Revision)
+		i.applyOrder(order, state, item.Revision)
 	}
-	i.cancelled(u.Snapshot)
+	i.dropCancelled(u.Snapshot)
 	if d.copies.engines.Snapshot() != nil {
 		d.compileEngines(d.engines.View())
 	}
 }
 
-// ordered takes in one order and its state.
-func (i *introductions) ordered(order canary.Order, state canary.State, revision uint64) {
+// applyOrder applies one order and its state.
+func (i *introductions) applyOrder(order canary.Order, state canary.State, revision uint64) {
 	view := i.daemon.engines.View() // Lock order: the inventory's lock before mu.
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := time.Now()
-	known := i.byService[order.Service]
-	if known == nil || known.Order().ID != order.ID || known.Order().Target != order.Target {
-		i.retire(known, order)
-		known = &introduction{
+	intro := i.byService[order.Service]
+	if intro == nil || intro.Order().ID != order.ID || intro.Order().Target != order.Target {
+		i.retire(intro, order)
+		intro = &introduction{
 			Introduction: canary.New(i.daemon.Settings.Introductions, order, state, now),
 			engines:      1,
 		}
-		i.byService[order.Service] = known
-		i.rank(view)
+		i.byService[order.Service] = intro
+		i.rankEngines(view)
 		for session, at := range i.recent[order.Service] {
 			if now.Sub(at) < i.daemon.Settings.Introductions.SessionGap {
-				known.Hold(session)
+				intro.Hold(session)
 			}
 		}
 		i.daemon.log.Info().Str("service", order.Service).Str("target", order.Target).Uint64("order", order.ID).
 			Dur("duration_ms", order.Duration).Stringer("state", state).Msg("introduction ordered")
 	}
-	if before := known.State(); before != state {
-		known.SetState(state)
-		if known.State() >= canary.Done {
-			known.ended = now
+	if before := intro.State(); before != state {
+		intro.SetState(state)
+		if intro.State() >= canary.Done {
+			intro.ended = now
 		}
 		i.daemon.log.Info().Str("service", order.Service).Str("target", order.Target).
-			Stringer("before", before).Stringer("state", known.State()).Uint64("revision", revision).Msg("introduction changed its state")
+			Stringer("before", before).Stringer("state", intro.State()).Uint64("revision", revision).Msg("introduction changed its state")
 	}
-	known.revision = revision
+	intro.revision = revision
 }
 
-// retire notes the versions that the order before has ended, when the next one
-// comes. The caller holds mu.
-func (i *introductions) retire(before *introduction, next canary.Order) {
+// retire records the versions that the previous order has ended, when the next order arrives.
+// The caller must hold mu.
+func (i *introductions) retire(previous *introduction, next canary.Order) {
 	retired := i.retired[next.Service]
 	if retired == nil {
 		retired = make(map[string]struct{})
 		i.retired[next.Service] = retired
 	}
-	if before != nil {
+	if previous != nil {
 		for version := range i.versions[next.Service] {
-			if before.ends(version) {
+			if previous.hasEnded(version) {
 				retired[version] = struct{}{}
 			}
 		}
@@ -139,8 +141,8 @@
 	delete(retired, next.Target)
 }
 
-// cancelled drops the orders that are gone from the store.
-func (i *introductions) cancelled(s *follow.Snapshot) {
+// dropCancelled removes the introductions whose orders were deleted from the store.
+func (i *introductions) dropCancelled(s *follow.Snapshot) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for service := range i.byService {
@@ -150,8 +152,9 @@
 	}
 }
 
-// sawEngines notes the versions that are about.
-func (i *introductions) sawEngines(v *inventory.View) {
+// enginesChanged records the versions in a view of the engines, and ranks the engines. Versions
+// of a service that is seen for the first time do not wait for an order.
+func (i *introductions) enginesChanged(v *inventory.View) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := time.Now()
@@ -159,7 +162,7 @@
 	var service, version string
 	for _, e := range v.Engines {
 		if e.Service == service && e.Version == version {
-			continue // Skips the lookups for runs of the same version.
+			continue // The same version as the engine before: skip the lookups.
 		}
 		service, version = e.Service, e.Version
 		if i.versions[service] == nil {
@@ -174,25 +177,25 @@
 			i.versions[service][version] = at
 		}
 	}
-	i.rank(v)
+	i.rankEngines(v)
 }
 
-// rank orders the engines of each version being introduced by a hash that is the same on
-// every daemon. The caller holds mu.
-func (i *introductions) rank(v *inventory.View) {
+// rankEngines ranks the engines of each version being introduced by a hash that is the same on
+// every daemon. The caller must hold mu.
+func (i *introductions) rankEngines(v *inventory.View) {
 	clear(i.ranks)
-	for service, known := range i.byService {
-		if known.State() < canary.Done {
-			i.rankVersion(v, service, known.Order().Target)
+	for service, intro := range i.byService {
+		if intro.State() < canary.Done {
+			i.rankVersion(v, service, intro.Order().Target)
 		}
 	}
 }
 
-// rankVersion orders the engines of one version. The caller holds mu.
+// rankVersion ranks the engines of one version. The caller must hold mu.
 func (i *introductions) rankVersion(v *inventory.View, service, version string) {
 	var keys []string
 	for _, e := range v.Engines {
-		// Engines of evacuated data centres get no work and must not take up ranks.
+		// Engines of evacuated data centres receive no requests and must not take up ranks.
 		if e.Service == service && e.Version == version && !i.daemon.evacuated.includes(e.DataCentre) {
 			keys = append(keys, e.Key())
 		}
@@ -202,20 +205,20 @@
 	}
 }
 
-// width returns on how many engines the new version should run now. The caller must
-// not hold mu, which is taken after the lock of the engines.
-func (i *introductions) width(known *introduction, now time.Time) int {
-	order := known.Order()
-	var before []string
+// wantedEngines returns the number of engines on which the new version should run now. The
+// caller must not hold mu, because the lock of the set of engines is acquired before mu.
+func (i *introductions) wantedEngines(intro *introduction, now time.Time) int {
+	order := intro.Order()
+	var base []string
 	slots := 0
 	for _, e := range i.daemon.engines.View().Engines {
 		if e.Service != order.Service || e.Version == order.Target || i.daemon.evacuated.includes(e.DataCentre) {
 			continue
 		}
-		before = append(before, e.Key())
+		base = append(base, e.Key())
 		slots += max(e.Slots, 1)
 	}
-	return known.Width(len(before), i.daemon.busyShare(before, float64(slots)), now)
+	return intro.Width(len(base), i.daemon.busyShare(base, float64(slots)), now)
 }
 
 // assign implements gateway.Assign.
@@ -225,9 +228,9 @@
 	return i.assignment(e.Service, e.Version).groupsOf(e.Key(), i.ranks)
 }
 
-// assignment holds the groups that the engines of one version serve.
+// assignment is the assignment of the engines of one version to groups.
 type assignment struct {
-	// groups is empty for a version that gets no work.
+	// groups is empty for a version that receives no requests.
 	groups []string
 	// limited restricts the groups to the engines with a rank below width.
 	limited bool
@@ -242,19 +245,19 @@
 	return a.groups
 }
 
-// assignment returns the assignment of a version. The caller holds mu.
+// assignment returns the assignment of a version. The caller must hold mu.
 func (i *introductions) assignment(service, version string) assignment {
 	base := assignment{groups: []string{gateway.Group(service, false)}}
-	known := i.byService[service]
-	if known == nil {
+	intro := i.byService[service]
+	if intro == nil {
 		if since := i.versions[service][version]; time.Since(since) < orderWait {
 			i.waiting = true
 			return assignment{}
 		}
 		return base
 	}
-	isTarget := version == known.Order().Target
-	switch known.State() {
+	isTarget := version == intro.Order().Target
+	switch intro.State() {
 	case canary.Done:
 		if isTarget {
 			return base
@@ -270,7 +273,7 @@
 	case !isTarget && !i.isRetired(service, version):
 		return base
 	case isTarget:
-		return assignment{groups: []string{gateway.Group(service, true)}, limited: true, width: known.engines}
+		return assignment{groups: []string{gateway.Group(service, true)}, limited: true, width: intro.engines}
 	}
 	return assignment{}
 }
@@ -307,14 +310,15 @@
 	}
 }
 
-// isRetired reports whether an earlier order has ended a version. The caller holds mu.
+// isRetired reports whether an earlier order has ended a version. The caller must hold mu.
 func (i *introductions) isRetired(service, version string) bool {
 	_, ok := i.retired[service][version]
 	return ok
 }
 
-// release compiles the tables anew while engines wait for an order.
-func (i *introductions) release() {
+// recompileWaiting recompiles the tables if engines waited for an order at the last compilation,
+// so that they receive requests once orderWait has passed.
+func (i *introductions) recompileWaiting() {
 	i.mu.Lock()
 	waiting := i.waiting
 	i.waiting = false
@@ -327,68 +331,68 @@
 // Choose implements gateway.Introductions.
 func (i *introductions) Choose(service string, session uint64, now time.Time) (trial bool) {
 	i.mu.Lock()
-	known := i.byService[service]
-	running := known != nil && known.State() < canary.Done
+	intro := i.byService[service]
+	running := intro != nil && intro.State() < canary.Done
 	if !running && i.daemon.Settings.Introductions.Trialled(session) {
-		i.remember(service, session, now)
+		i.recordSession(service, session, now)
 	}
 	i.mu.Unlock()
 	if !running {
 		return false
 	}
-	return known.Choose(session, now)
+	return intro.Choose(session, now)
 }
 
-// maxRecent bounds the sessions remembered for each service.
-const maxRecent = 4096
+// maxRecentSessions is the maximum number of recent sessions that are recorded for each service.
+const maxRecentSessions = 4096
 
-// remember notes a session. The caller holds mu.
-func (i *introductions) remember(service string, session uint64, now time.Time) {
+// recordSession records a request of a session. The caller must hold mu.
+func (i *introductions) recordSession(service string, session uint64, now time.Time) {
 	sessions := i.recent[service]
 	if sessions == nil {
 		sessions = make(map[uint64]time.Time)
 		i.recent[service] = sessions
 	}
-	if len(sessions) >= maxRecent {
+	if len(sessions) >= maxRecentSessions {
 		for s, at := range sessions {
 			if now.Sub(at) > i.daemon.Settings.Introductions.SessionGap {
 				delete(sessions, s)
 			}
 		}
 	}
-	if len(sessions) < maxRecent {
+	if len(sessions) < maxRecentSessions {
 		sessions[session] = now
 	}
 }
 
 // Observe implements gateway.Introductions.
 func (i *introductions) Observe(service, route, version string, bad bool, latency time.Duration) {
-	if known, trial := i.judged(service, version); known != nil {
-		known.Observe(route, trial, bad, latency)
+	if intro, trial := i.observedBy(service, version); intro != nil {
+		intro.Observe(route, trial, bad, latency)
 	}
 }
 
 // ObservePace implements gateway.Introductions.
 func (i *introductions) ObservePace(service, route, version string, pace time.Duration) {
-	if known, trial := i.judged(service, version); known != nil {
-		known.ObservePace(route, trial, pace)
+	if intro, trial := i.observedBy(service, version); intro != nil {
+		intro.ObservePace(route, trial, pace)
 	}
 }
 
-// judged returns the introduction in progress that answers of a version count for, nil for
-// none, and whether it is the version being introduced. Streams outlast orders: those of
-// versions that an earlier order has ended do not count, and those that began in the trial of
-// an earlier order count for the version before.
-func (i *introductions) judged(service, version string) (known *introduction, trial bool) {
-	known = i.known(service)
-	if known == nil || known.State() >= canary.Done {
+// observedBy returns the introduction in progress to which answers of a version count, or nil if
+// there is none, and whether the version is the one being introduced. Streams may outlast the
+// order under which they began: streams of versions that an earlier order has ended do not
+// count, and streams that began in the trial of an earlier order count to the base version.
+func (i *introductions) observedBy(service, version string) (intro *introduction, trial bool) {
+	intro = i.get(service)
+	if intro == nil || intro.State() >= canary.Done {
 		return nil, false
 	}
-	if version == known.Order().Target {
-		return known, true
+	if version == intro.Order().Target {
+		return intro, true
 	}
 	if i.stoppedVersions(service)(version) {
 		return nil, false
 	}
-	return known, false
+	return intro, false
 }
--- a/entry/load.go
+++ b/entry/load.go
@@ -15,38 +15,40 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// maxAsked is how many engines a daemon asks about before it sends a request. The
-// best of four with fresh counts is close to the best of all; more would cost calls.
-const maxAsked = 4
+// maxQueriedEngines is the maximum number of engines whose load is queried before a request is
+// sent. The best of four engines with fresh counts is nearly as good as the best of all; more
+// engines would cost more calls.
+const maxQueriedEngines = 4
 
-// sharedBalancer chooses engines by what all daemons have in progress there.
+// sharedBalancer chooses engines by the requests that all daemons have in progress there.
 type sharedBalancer struct {
 	*balance.State
 	sharer *occupancy.Sharer
 	daemon *Daemon
 }
 
-// newSharedBalancer returns the balancer of a daemon, and shares its work.
+// newSharedBalancer returns a balancer that shares the work in progress of this daemon with the
+// others.
 func newSharedBalancer(d *Daemon) *sharedBalancer {
 	keepers := &keepers{view: d.fleet.members.View}
 	return &sharedBalancer{daemon: d, State: d.balancer, sharer: occupancy.New(occupancy.Options{
-		Self: d.Settings.Name, Keeper: keepers.of, Client: d.fleet.occupancyOf,
+		Self: d.Settings.Name, Keeper: keepers.of, Client: d.fleet.occupancyClient,
 		InFlight: d.balancer.OwnLoad, EachInFlight: d.balancer.InFlight,
-		Book: d.book, Log: d.part("occupancy"), Registerer: d.registry,
+		Book: d.book, Log: d.logger("occupancy"), Registerer: d.registry,
 	})}
 }
 
-// Choose implements gateway.Balancer. Engines for prompts are compared by their
-// estimates first, and once more after their keepers told how much the other daemons
-// have in progress there. Estimates alone are old by what other daemons have sent
-// since, and send all of them to the same few engines. Requests without a prompt are
-// short, and asking would take as long as they do.
+// Choose implements gateway.Balancer. For a request with a prompt, engines are first compared by
+// the local estimates, then the best of them again with the work in progress of the other
+// daemons, which is queried from the engines' keepers. The local estimates alone lack what other
+// daemons have sent recently, so all daemons would choose the same few engines. Requests without
+// a prompt are so short that a query would take as long as the request.
 func (b *sharedBalancer) Choose(p *balance.Plan, r *balance.Request, now time.Time, rng *rand.Rand) (balance.Decision, bool) {
 	decision, ok := b.State.Choose(p, r, now, rng)
-	if !ok || r.Work.PromptTokens == 0 || !comparing(decision.Reason) {
+	if !ok || r.Work.PromptTokens == 0 || !comparesLoad(decision.Reason) {
 		return decision, ok
 	}
-	engines := decision.Compared(maxAsked)
+	engines := decision.Compared(maxQueriedEngines)
 	answers := b.sharer.Ask(context.Background(), engines)
 	if len(answers) == 0 {
 		return decision, ok
@@ -63,8 +65,8 @@
 	return b.State.Choose(p, &again, now, rng)
 }
 
-// comparing tells whether a choice compared the load of engines.
-func comparing(r balance.Reason) bool {
+// comparesLoad reports whether a choice with the given reason compared the load of engines.
+func comparesLoad(r balance.Reason) bool {
 	return r == balance.ReasonLeastWait || r == balance.ReasonAffinity || r == balance.ReasonRemote
 }
 
@@ -79,67 +81,69 @@
 // FirstToken implements gateway.Balancer.
 func (b *sharedBalancer) FirstToken(ev balance.FirstToken) {
 	b.State.FirstToken(ev)
-	b.changed(ev.Engine, ev.Work)
+	b.workChanged(ev.Engine, ev.Work)
 }
 
 // Finished implements gateway.Balancer.
 func (b *sharedBalancer) Finished(ev balance.Finished) {
 	b.State.Finished(ev)
-	b.changed(ev.Engine, ev.Work)
+	b.workChanged(ev.Engine, ev.Work)
 }
 
 // Failed implements gateway.Balancer.
 func (b *sharedBalancer) Failed(ev balance.Failed) {
 	b.State.Failed(ev)
-	b.changed(ev.Engine, ev.Work)
+	b.workChanged(ev.Engine, ev.Work)
 	if ev.Kind == balance.FailureUnreachable {
-		b.unreachable(&ev)
+		b.engineUnreachable(&ev)
 	}
 }
 
-func (b *sharedBalancer) changed(engine string, w balance.Work) {
+// workChanged has the work in progress at an engine reported to its keeper. Requests without a
+// prompt are not counted there.
+func (b *sharedBalancer) workChanged(engine string, w balance.Work) {
 	if w.PromptTokens > 0 {
 		b.sharer.Changed(engine)
 	}
 }
 
 const (
-	// leastKeepers and keepersPart are how many daemons keep count of engines: a part
-	// of the fleet, so that each daemon has connections to that many only. Beyond
-	// keepersPart times mostKeepers daemons their number stays: each costs every other
-	// daemon a connection with its pings, and hosts are asked in proportion to what they
-	// can carry.
-	leastKeepers = 3
-	keepersPart  = 4
-	mostKeepers  = 24
-	// keepersKey ranks the daemons for it.
-	keepersKey = "occupancy"
+	// Keepers are the daemons that count the work in progress of all daemons at some engines.
+	// There is one keeper per daemonsPerKeeper daemons, which limits the connections of each
+	// daemon. The number of keepers does not exceed maxKeepers, because each keeper costs every
+	// other daemon a connection and its keep-alive pings. Engines are assigned to keepers in
+	// proportion to the capacity of their hosts.
+	minKeepers       = 3
+	daemonsPerKeeper = 4
+	maxKeepers       = 24
+	// keeperRankKey is the key by which daemons are ranked to select the keepers.
+	keeperRankKey = "occupancy"
 )
 
-// keepers tell which daemon an engine is in the care of.
+// keepers maps engines to their keepers.
 type keepers struct {
 	view func() *membership.View
 	last atomic.Pointer[keeperSet]
 }
 
-// keeperSet are the keepers of one view of the fleet.
+// keeperSet is the set of keepers for one view of the fleet.
 type keeperSet struct {
 	view *membership.View
 	set  *rendezvous.Set
 }
 
-// of returns the keeper of an engine, "" while the fleet is unknown.
+// of returns the name of the keeper of an engine, or "" while no daemon is known.
 func (k *keepers) of(engine string) string {
 	view := k.view()
 	last := k.last.Load()
 	if last == nil || last.view != view {
-		n := min(max(leastKeepers, view.Live()/keepersPart), mostKeepers)
+		n := min(max(minKeepers, view.Live()/daemonsPerKeeper), maxKeepers)
 		var members []membership.Member
-		for _, name := range view.Top(keepersKey, min(n, view.Live())) {
+		for _, name := range view.Top(keeperRankKey, min(n, view.Live())) {
 			m, _ := view.Member(name)
 			members = append(members, m)
 		}
-		last = &keeperSet{view: view, set: weighted(members)}
+		last = &keeperSet{view: view, set: weightedSet(members)}
 		k.last.Store(last)
 	}
 	if last.set.Len() == 0 {
@@ -148,8 +152,8 @@
 	return last.set.Owner(engine)
 }
 
-// weighted returns the set of some daemons with what their hosts can carry.
-func weighted(members []membership.Member) *rendezvous.Set {
+// weightedSet returns a rendezvous set of daemons that is weighted by the capacity of their hosts.
+func weightedSet(members []membership.Member) *rendezvous.Set {
 	capacities := make(map[string]float64, len(members))
 	for _, m := range members {
 		capacities[m.Name] = m.Capacity
@@ -157,8 +161,8 @@
 	return rendezvous.NewWeighted(capacities)
 }
 
-// occupancyOf opens calls to the keeper of engines.
-func (f *fleet) occupancyOf(daemon string) bronzeturnv1connect.OccupancyServiceClient {
+// occupancyClient returns a client for a keeper, or nil if the daemon is unknown.
+func (f *fleet) occupancyClient(daemon string) bronzeturnv1connect.OccupancyServiceClient {
 	client, base, ok := f.directory.Dial(daemon)
 	if !ok {
 		return nil
@@ -166,8 +170,8 @@
 	return bronzeturnv1connect.NewOccupancyServiceClient(client, base, peer.ClientOptions()...)
 }
 
-// busyShare estimates the part of the slots that are taken at some engines, from
-// this daemon's own work there and the number of daemons.
+// busyShare estimates the fraction of the slots of some engines that are in use, from this
+// daemon's own requests in progress there and the number of daemons.
 func (d *Daemon) busyShare(engines []string, slots float64) float64 {
 	if slots <= 0 {
 		return 0
--- a/entry/memory_test.go
+++ b/entry/memory_test.go
@@ -27,7 +27,7 @@
 	const engines, maxBytes = 10_000, 800
 	c := qt.New(t)
 	d := newChangingDaemon(t)
-	follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
+	follower := follow.New(follow.Options{Kind: "engines", Apply: d.registrationsChanged, Announce: func(uint64) {}, Log: zerolog.Nop()})
 	before := heapBytes()
 	follower.Take(follow.NewSnapshot(1, slices.Values(engineEntries(engines))))
 	perEngine := (heapBytes() - before) / engines
@@ -43,7 +43,7 @@
 	const maxAllocations = 400
 	for _, engines := range []int{1_000, 10_000} {
 		d := newChangingDaemon(t)
-		follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
+		follower := follow.New(follow.Options{Kind: "engines", Apply: d.registrationsChanged, Announce: func(uint64) {}, Log: zerolog.Nop()})
 		all := engineEntries(engines)
 		follower.Take(follow.NewSnapshot(1, slices.Values(all)))
 		revision := uint64(1)
@@ -67,7 +67,7 @@
 	const engines, batch, maxBytes = 10_000, 250, 800
 	c := qt.New(t)
 	d := newChangingDaemon(t)
-	follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
+	follower := follow.New(follow.Options{Kind: "engines", Apply: d.registrationsChanged, Announce: func(uint64) {}, Log: zerolog.Nop()})
 	follower.Take(follow.NewSnapshot(1, slices.Values([]follow.Item(nil))))
 	before := heapBytes()
 	for chunk := range slices.Chunk(engineEntries(engines), batch) {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -13,7 +13,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// registerGauges adds what the daemon believes now.
+// registerGauges registers the gauges of the daemon's current state.
 func (d *Daemon) registerGauges() {
 	f := promauto.With(d.registry)
 	gauge := func(name, help string, value func() float64) {
@@ -28,10 +28,10 @@
 	gauge("bronzeturn_entry_config_unconfirmed_seconds", "Time since the store or another daemon confirmed the configuration.", func() float64 {
 		return d.copies.config.Unconfirmed(time.Now()).Seconds()
 	})
-	gauge("bronzeturn_entry_engines", "Engines that take work.", func() float64 { return float64(len(d.engines.View().Engines)) })
-	gauge("bronzeturn_entry_evacuated_data_centres", "Data centres whose engines get nothing new.", func() float64 { return float64(len(d.evacuated.list())) })
+	gauge("bronzeturn_entry_engines", "Engines that receive requests.", func() float64 { return float64(len(d.engines.View().Engines)) })
+	gauge("bronzeturn_entry_evacuated_data_centres", "Data centres whose engines receive no new requests.", func() float64 { return float64(len(d.evacuated.list())) })
 	gauge("bronzeturn_entry_daemons_live", "Daemons of the fleet that are live, this one included.", func() float64 { return float64(d.fleet.Live()) })
-	gauge("bronzeturn_entry_ready", "1 while the daemon takes requests.", func() float64 {
+	gauge("bronzeturn_entry_ready", "1 while the daemon accepts requests.", func() float64 {
 		if d.Ready() != nil {
 			return 0
 		}
@@ -39,7 +39,7 @@
 	})
 }
 
-// countedStore counts and times the calls of the platform's store.
+// countedStore counts and times the calls to the platform's store.
 type countedStore struct {
 	store   Store
 	calls   *prometheus.CounterVec
@@ -51,22 +51,22 @@
 	return &countedStore{
 		store: store,
 		calls: f.NewCounterVec(prometheus.CounterOpts{
-			Name: "bronzeturn_entry_store_calls_total", Help: "Calls of the platform's store by operation, cause of lists and outcome.",
+			Name: "bronzeturn_entry_store_calls_total", Help: "Calls to the platform's store by operation, cause of lists and outcome.",
 		}, []string{"operation", "cause", "outcome"}),
 		seconds: f.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "bronzeturn_entry_store_call_seconds", Help: "Time of calls of the platform's store; watches wait for changes.",
+			Name: "bronzeturn_entry_store_call_seconds", Help: "Duration of calls to the platform's store; watches wait for changes.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 3, 9),
 		}, []string{"operation"}),
 	}
 }
 
-// done counts one call. Only lists have a cause.
+// done records a completed call. Only lists have a cause.
 func (s *countedStore) done(operation string, cause follow.Cause, began time.Time, err error) {
 	s.calls.WithLabelValues(operation, cause.String(), storeOutcome(err)).Inc()
 	s.seconds.WithLabelValues(operation).Observe(time.Since(began).Seconds())
 }
 
-// storeOutcome names the outcome of a call.
+// storeOutcome returns the label value for the outcome of a call.
 func storeOutcome(err error) string {
 	var conflict *objectstore.ConflictError
 	var limited *objectstore.RateLimitError
--- a/entry/metrics_test.go
+++ b/entry/metrics_test.go
@@ -15,7 +15,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// failingStore answers every call with one error.
+// failingStore returns the same error, which may be nil, from every call.
 type failingStore struct{ err error }
 
 func (s failingStore) List(context.Context, string, follow.ListOptions) (*follow.Page, error) {
@@ -44,7 +44,7 @@
 	return s.err
 }
 
-func TestCallsOfTheStoreAreCountedByOutcome(t *testing.T) {
+func TestStoreCallsAreCountedByOutcome(t *testing.T) {
 	for outcome, err := range map[string]error{
 		"ok": nil, "not_found": objectstore.ErrNotFound, "history_gone": follow.ErrHistoryGone,
 		"conflict": &objectstore.ConflictError{}, "rate_limited": &objectstore.RateLimitError{},
--- a/entry/passing_test.go
+++ b/entry/passing_test.go
@@ -20,17 +20,17 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// Pattern: hundreds of engines of a new version register within seconds, before hundreds
-// of small hosts. Grounds: an entry is 300 bytes, a small host's link carries 20 Mbit/s,
-// data centres are 1.4 ms apart; the users' large deployment is of this size.
+// The simulated fleet has the size of a large deployment: hundreds of engines of a new version
+// register within seconds, in a fleet of hundreds of small hosts. An entry has 300 bytes, the link
+// of a small host has a bandwidth of 20 Mbit/s, and the latency between data centres is 1.4 ms.
 const (
 	entryBytes   = 300
 	linkBytes    = 20_000_000 / 8
-	way          = 1400 * time.Microsecond
-	questionSize = 200
+	linkLatency  = 1400 * time.Microsecond
+	requestBytes = 200
 )
 
-// memoryStore is a store of one kind in memory.
+// memoryStore is an in-memory store of objects of one kind.
 type memoryStore struct {
 	mu       sync.Mutex
 	revision uint64
@@ -103,7 +103,7 @@
 	}
 }
 
-// host is one daemon's follower and its link.
+// host is a daemon, reduced to its follower and its network link.
 type host struct {
 	link
 	follower *follow.Follower
@@ -122,7 +122,7 @@
 	sent int
 }
 
-// testFleet are hosts that pass changes on to each other.
+// testFleet is a fleet of hosts that distribute changes among themselves.
 type testFleet struct {
 	hosts    map[string]*host
 	watching []string
@@ -144,7 +144,7 @@
 	}
 	l.free = l.free.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
 	l.sent += bytes
-	done := l.free.Add(way)
+	done := l.free.Add(linkLatency)
 	l.mu.Unlock()
 	select {
 	case <-time.After(time.Until(done)):
@@ -154,7 +154,7 @@
 	}
 }
 
-// sentSoFar returns the bytes sent, and begins anew when asked to.
+// sentSoFar returns the number of bytes sent, and resets it if reset is set.
 func (l *link) sentSoFar(reset bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,11 +170,11 @@
 	from := h.place.parents[0]
 	if wait == 0 {
 		h.fleet.mu.Lock()
-		from = h.place.above[h.fleet.random.IntN(len(h.place.above))]
+		from = h.place.upstream[h.fleet.random.IntN(len(h.place.upstream))]
 		h.fleet.mu.Unlock()
 	}
 	other := h.fleet.hosts[from]
-	if err := h.send(ctx, questionSize); err != nil {
+	if err := h.send(ctx, requestBytes); err != nil {
 		return nil, err
 	}
 	p := other.follower.Await(ctx, after, wait)
@@ -191,7 +191,7 @@
 		return
 	}
 	p.FetchNext = func(ctx context.Context) (*follow.Pulled, error) {
-		if err := h.send(ctx, questionSize); err != nil {
+		if err := h.send(ctx, requestBytes); err != nil {
 			return nil, err
 		}
 		part := other.follower.Part(p.NextPart)
@@ -209,7 +209,7 @@
 	if p.Full {
 		size /= compressionRatio
 	}
-	return questionSize + size
+	return requestBytes + size
 }
 
 // Watching implements follow.Peers.
@@ -224,7 +224,7 @@
 // Live implements follow.Peers.
 func (h *host) Live() int { return len(h.fleet.hosts) }
 
-// newTestFleet starts a fleet whose places a function gives.
+// newTestFleet starts a fleet in which placeOf determines the place of each daemon.
 func newTestFleet(ctx context.Context, s *memoryStore, size, count int, placeOf func(name string, branch []membership.Member, watching []string) *treePlace) *testFleet {
 	branches, watching := centres(size, count)
 	f := &testFleet{hosts: make(map[string]*host), watching: watching, random: rand.New(rand.NewPCG(1, 2))}
@@ -249,7 +249,7 @@
 	return f
 }
 
-// announce tells all hosts of a revision, as the flooded table does.
+// announce notifies all hosts of a revision after a delay, as the gossip table does.
 func (f *testFleet) announce(revision uint64) {
 	time.AfterFunc(50*time.Millisecond, func() {
 		for _, h := range f.hosts {
@@ -258,20 +258,23 @@
 	})
 }
 
-// starPlace has every daemon take changes from those that watch.
+// starPlace places every daemon directly below the daemons that watch the store.
 func starPlace(name string, _ []membership.Member, watching []string) *treePlace {
-	return &treePlace{parents: rendezvous.Top(name, watching, len(watching)), above: watching, depth: 1}
+	return &treePlace{parents: rendezvous.Top(name, watching, len(watching)), upstream: watching, depth: 1}
 }
 
-// result is how a storm of registrations went.
+// result is the outcome of registerEngines.
 type result struct {
-	last    time.Duration
+	// last is the time from the last registration until all hosts know all engines.
+	last time.Duration
+	// busiest is the largest number of bytes sent by one host.
 	busiest int
-	calls   int
+	// calls is the number of calls to the store.
+	calls int
 }
 
-// storm has 200 engines register over a second, and waits until all hosts know them.
-func storm(c *qt.C, ctx context.Context, size, count int, placeOf func(name string, branch []membership.Member, watching []string) *treePlace) result {
+// registerEngines registers 200 engines within one second, and waits until all hosts know them.
+func registerEngines(c *qt.C, ctx context.Context, size, count int, placeOf func(name string, branch []membership.Member, watching []string) *treePlace) result {
 	s := &memoryStore{revision: 1, items: map[string]follow.Item{}, changed: make(chan struct{})}
 	for i := range 200 {
 		s.put(fmt.Sprint("old-", i))
@@ -304,19 +307,21 @@
 	return r
 }
 
-// TestManyEnginesThatRegisterAreKnownToALargeFleetSoon: the last of 295 hosts knows the
-// last of 200 engines well within the time in which an engine that leaves must get no
-// more work (2 s where that is shortest), nobody sends more than half of a small host's
-// link in the second that it takes, and the store has as many calls as in a fleet of 30.
-func TestManyEnginesThatRegisterAreKnownToALargeFleetSoon(t *testing.T) {
+// TestRegistrationsReachALargeFleetInTime guards against a slow distribution of changes in a large
+// fleet, and against overloaded links or stores. When 200 engines register, all hosts must know
+// the last of them within 1 s, well within the shortest time after which an engine that leaves
+// must receive no more requests (2 s). In that second, no host may use more than half of the
+// bandwidth of a small host, and a larger fleet may make at most six more calls to the store than
+// one of 30 hosts.
+func TestRegistrationsReachALargeFleetInTime(t *testing.T) {
 	var calls []int
 	for _, test := range []struct{ size, centres int }{{30, 3}, {295, 5}, {410, 4}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			r := storm(c, ctx, test.size, test.centres, placeInTree)
-			t.Logf("%d hosts: last after %v, busiest sent %d KB, %d calls of the store", test.size, r.last, r.busiest/1000, r.calls)
+			r := registerEngines(c, ctx, test.size, test.centres, placeInTree)
+			t.Logf("%d hosts: last after %v, busiest sent %d KB, %d calls to the store", test.size, r.last, r.busiest/1000, r.calls)
 			c.Check(r.last < time.Second, qt.IsTrue)
 			c.Check(r.busiest < linkBytes/2, qt.IsTrue)
 			calls = append(calls, r.calls)
@@ -325,15 +330,16 @@
 	qt.Check(t, calls[1] <= calls[0]+6 && calls[2] <= calls[0]+6, qt.IsTrue, qt.Commentf("%v", calls))
 }
 
-// TestStarOfALargeFleetIsSlower shows what the tree is for: with everybody asking the
-// three daemons that watch, these send many times as much.
-func TestStarOfALargeFleetIsSlower(t *testing.T) {
+// TestStarTopologyOverloadsTheWatchers shows the purpose of the tree: if all daemons pull from the
+// three daemons that watch the store, the busiest of these sends more than a small host's link
+// can carry in a second.
+func TestStarTopologyOverloadsTheWatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		star := storm(c, ctx, 295, 5, starPlace)
-		t.Logf("star: last after %v, busiest sent %d KB, %d calls of the store", star.last, star.busiest/1000, star.calls)
+		star := registerEngines(c, ctx, 295, 5, starPlace)
+		t.Logf("star: last after %v, busiest sent %d KB, %d calls to the store", star.last, star.busiest/1000, star.calls)
 		c.Check(star.busiest > linkBytes, qt.IsTrue)
 	})
 }
--- a/entry/pull.go
+++ b/entry/pull.go
@@ -17,17 +17,17 @@
 	"github.com/bronzeturn/bronzeturn/peer"
 )
 
-// errNobody reports that no other daemon is known.
-var errNobody = errors.New("no other daemon is known")
+// errNoPeer reports that there is no other daemon to pull from.
+var errNoPeer = errors.New("no other daemon is known")
 
 // Depth implements follow.Peers.
 func (f *fleet) Depth() int { return f.tree().depth }
 
 // Pull implements follow.Peers.
 func (f *fleet) Pull(ctx context.Context, kind string, after uint64, wait time.Duration) (*follow.Pulled, error) {
-	address, ok := f.source(wait > 0)
+	address, ok := f.pullSource(wait > 0)
 	if !ok {
-		return nil, errNobody
+		return nil, errNoPeer
 	}
 	return f.pullFrom(ctx, address, &bronzeturnv1.PullRequest{
 		Kind: kind, AfterRevision: after, WaitMs: uint32(wait.Milliseconds()), Parts: true, Names: true, Compressed: true,
@@ -84,54 +84,56 @@
 	return p
 }
 
-// source returns the peer address of the daemon to ask: for changes to wait for, the one
-// that passes them on to this daemon; otherwise one that may have got them another way.
-func (f *fleet) source(usual bool) (string, bool) {
+// pullSource returns the peer address of the daemon to pull from. To wait for changes, that is
+// usually this daemon's parent in the tree; otherwise it is a random daemon, which may have
+// received the changes by another path.
+func (f *fleet) pullSource(fromParent bool) (string, bool) {
 	t := f.tree()
-	if usual {
-		if address, ok := f.firstAnswering(t.parents); ok {
+	if fromParent {
+		if address, ok := f.firstNotAvoided(t.parents); ok {
 			return address, true
 		}
 	}
-	if f.chance(askAbove) {
-		if address, ok := f.someOf(t.above); ok {
+	if f.chance(upstreamPullShare) {
+		if address, ok := f.randomPeer(t.upstream); ok {
 			return address, true
 		}
 	}
-	if address, ok := f.someOf(f.others()); ok || usual {
+	if address, ok := f.randomPeer(f.unsuspectedPeers()); ok || fromParent {
 		return address, ok
 	}
-	return f.someSeed()
+	return f.randomSeed()
 }
 
-// chance is true for a share of the calls.
-func (f *fleet) chance(share float64) bool {
+// chance returns true with the given probability.
+func (f *fleet) chance(probability float64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.random.Float64() < share
+	return f.random.Float64() < probability
 }
 
-// someSeed returns the address of a seed for a daemon that knows no other. Only one that
-// the store fails asks seeds: in a start of all they would have to answer everybody.
-func (f *fleet) someSeed() (string, bool) {
+// randomSeed returns the address of a seed if this daemon knows no other. Only a daemon that gets
+// no answer from the store pulls from seeds: when all daemons start at once, the seeds would
+// otherwise have to answer all of them.
+func (f *fleet) randomSeed() (string, bool) {
 	if len(f.members.View().Members) > 1 {
 		return "", false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return pick(f.random, f.seeds)
+	return pickRandom(f.random, f.seeds)
 }
 
-// pick returns a random one of the list, if there is any.
-func pick(random *rand.Rand, list []string) (string, bool) {
+// pickRandom returns a random element of the list, or false if the list is empty.
+func pickRandom(random *rand.Rand, list []string) (string, bool) {
 	if len(list) == 0 {
 		return "", false
 	}
 	return list[random.IntN(len(list))], true
 }
 
-// firstAnswering returns the address of the first of the daemons that is not avoided.
-func (f *fleet) firstAnswering(names []string) (string, bool) {
+// firstNotAvoided returns the address of the first of the daemons that is not avoided.
+func (f *fleet) firstNotAvoided(names []string) (string, bool) {
 	view := f.members.View()
 	for _, name := range names {
 		if m, ok := view.Member(name); ok && !f.avoided(m.PeerAddress) {
@@ -141,8 +143,8 @@
 	return "", false
 }
 
-// others returns the names of the daemons that are not known to be down.
-func (f *fleet) others() []string {
+// unsuspectedPeers returns the names of the other daemons that are not suspected to be down.
+func (f *fleet) unsuspectedPeers() []string {
 	view := f.members.View()
 	var names []string
 	for _, m := range view.Members {
@@ -153,8 +155,8 @@
 	return names
 }
 
-// someOf returns the address of a random one of the daemons that is not avoided.
-func (f *fleet) someOf(names []string) (string, bool) {
+// randomPeer returns the address of a random daemon among those named that are not avoided.
+func (f *fleet) randomPeer(names []string) (string, bool) {
 	view := f.members.View()
 	var from []string
 	for _, name := range names {
@@ -164,40 +166,40 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return pick(f.random, from)
+	return pickRandom(f.random, from)
 }
 
-// askAbove is the share of the questions out of turn that go to daemons that get changes
-// before this one; the others go to any daemon. A change that did not come by the usual
-// way has missed most of the former too when it was lost near the root.
-const askAbove = 0.5
+// upstreamPullShare is the fraction of the pulls from daemons other than the parent that go to
+// daemons upstream in the tree; the rest go to any daemon. If a change was lost near the root of
+// the tree, most of the upstream daemons do not have it either.
+const upstreamPullShare = 0.5
 
-// avoidFor is how long a daemon that gave no good answer is not asked again.
-const avoidFor = 2 * time.Second
+// avoidDuration is how long nothing is pulled from a daemon after a failed pull.
+const avoidDuration = 2 * time.Second
 
-// avoid keeps questions away from a daemon for a while.
+// avoid records a failed pull from a daemon.
 func (f *fleet) avoid(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent[address] = time.Now()
+	f.failed[address] = time.Now()
 }
 
-// avoided tells whether a daemon did not answer lately.
+// avoided reports whether a pull from a daemon has failed within avoidDuration.
 func (f *fleet) avoided(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, ok := f.silent[address]
-	if ok && time.Since(at) > avoidFor {
-		delete(f.silent, address)
+	at, ok := f.failed[address]
+	if ok && time.Since(at) > avoidDuration {
+		delete(f.failed, address)
 		return false
 	}
 	return ok
 }
 
-// mostPullWait bounds how long another daemon's question may wait here.
-const mostPullWait = 5 * time.Second
+// maxPullWait limits how long a pull request of another daemon may wait for changes.
+const maxPullWait = 5 * time.Second
 
-// pullServer hands out this daemon's copies.
+// pullServer serves this daemon's copies to other daemons.
 type pullServer struct{ daemon *Daemon }
 
 // Pull implements bronzeturnv1connect.FollowServiceHandler.
@@ -235,7 +237,7 @@
 	if r.GetPart() > 0 {
 		return follower.Part(int(r.GetPart()))
 	}
-	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, mostPullWait)
+	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxPullWait)
 	p := follower.Await(ctx, r.GetAfterRevision(), wait)
 	if p != nil && (p.NextPart > 0 && !r.GetParts() || p.Names != nil && !r.GetNames()) {
 		p = follower.SinceInOnePart(r.GetAfterRevision()) // The client does not support such a response.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -7,7 +7,7 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// newQuarantine returns what keeps requests that crash engines away from them.
+// newQuarantine returns the quarantine, which withholds requests that crash engines.
 func newQuarantine(d *Daemon) *quarantine.Quarantine {
 	return quarantine.New(quarantine.Options{
 		Self:    d.Settings.Name,
@@ -16,12 +16,12 @@
 		Store:   d.Store,
 		Place:   func(h quarantine.Hash) int { return d.fleet.members.View().Place(quarantine.RankKey(h)) },
 		Serving: d.versionsServing,
-		Log:     d.part("quarantine"), Registerer: d.registry,
+		Log:     d.logger("quarantine"), Registerer: d.registry,
 	})
 }
 
-// quarantineChanged takes in the records of the store. One that cannot be read holds no
-// request; the others hold.
+// quarantineChanged applies the quarantine records in the store. A record that cannot be decoded
+// is logged and ignored; the others are applied.
 func (d *Daemon) quarantineChanged(u follow.Update) {
 	var records []quarantine.Record
 	for item := range u.Snapshot.All() {
@@ -39,7 +39,7 @@
 	d.quarantine.Listed(records, u.Snapshot.Revision)
 }
 
-// versionsServing returns the versions of a service whose engines take work.
+// versionsServing returns the versions of a service whose engines receive requests.
 func (d *Daemon) versionsServing(service string) (versions []string) {
 	t := d.tables.Load()
 	if t == nil || t.Engines == nil {
--- a/entry/reload.go
+++ b/entry/reload.go
@@ -8,33 +8,32 @@
 	"github.com/bronzeturn/bronzeturn/backoff"
 )
 
-// reloadPoll is the time between two looks at the settings file, which may
-// change without a signal.
-const reloadPoll = time.Second
+// reloadPollInterval is the interval between checks of the settings file for changes that are not
+// announced by a signal.
+const reloadPollInterval = time.Second
 
-// stamp tells two states of a file apart without reading it.
-type stamp struct {
+// fileStamp identifies a state of a file without reading it.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-func stampOf(path string) (stamp, error) {
+func stampOf(path string) (fileStamp, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{}, err
+		return fileStamp{}, err
 	}
-	return stamp{modified: info.ModTime(), size: info.Size()}, nil
+	return fileStamp{modified: info.ModTime(), size: info.Size()}, nil
 }
 
-// WatchSettings loads the settings again after a signal, and when the file has
-// changed without one, until ctx ends. A wrong file is refused; the settings
-// before stay in force.
+// WatchSettings reloads the settings after each signal and each change of the file, until ctx is
+// done. If the file is invalid, the previous settings stay in force.
 func (d *Daemon) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal, load func(path string) (Settings, error)) {
 	last, err := stampOf(path)
 	if err != nil {
-		d.log.Warn().Err(err).Msg("settings file cannot be looked at")
+		d.log.Warn().Err(err).Msg("cannot stat settings file")
 	}
-	timer := time.NewTimer(backoff.UntilTick(reloadPoll))
+	timer := time.NewTimer(backoff.UntilTick(reloadPollInterval))
 	defer timer.Stop()
 	for {
 		signalled := false
@@ -44,22 +43,22 @@
 		case <-signals:
 			signalled = true
 		case <-timer.C:
-			timer.Reset(backoff.UntilTick(reloadPoll))
+			timer.Reset(backoff.UntilTick(reloadPollInterval))
 		}
 		now, err := stampOf(path)
 		if err != nil || now == last && !signalled {
-			continue // A file that is being replaced is there at the next look.
+			continue // A file that is just being replaced will exist at the next check.
 		}
 		last = now
 		d.reload(path, load)
 	}
 }
 
-// reload takes in the settings that can change while the daemon runs.
+// reload applies the settings that can change while the daemon runs.
 func (d *Daemon) reload(path string, load func(path string) (Settings, error)) {
 	next, err := load(path)
 	if err != nil {
-		d.log.Error().Err(err).Msg("settings refused, the ones before stay in force")
+		d.log.Error().Err(err).Msg("settings refused, the previous ones stay in force")
 		return
 	}
 	d.current.Store(&next)
--- a/entry/review.go
+++ b/entry/review.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// reviewInterval is the time between two verdicts on an introduction.
+	// reviewInterval is the interval between reviews of an introduction.
 	reviewInterval = 200 * time.Millisecond
-	// writeTimeout bounds the write of a state.
+	// writeTimeout limits the write of a state to the store.
 	writeTimeout = time.Second
 )
 
-// start begins to drive introductions and to hear of the other daemons' counts.
+// start runs the reviews of introductions and the exchange of counts and verdicts with the other
+// daemons.
 func (i *introductions) start(d *Daemon) {
-	d.fleet.members.Table().Subscribe(canaryPrefix, i.heard)
+	d.fleet.members.Table().Subscribe(canaryPrefix, i.receiveVerdict)
 	d.goLoop("introductions", i.run)
 	d.goLoop("tally", i.tally.Run)
 }
 
-// run reviews the introductions until ctx ends.
+// run reviews the introductions until ctx is done.
 func (i *introductions) run(ctx context.Context) error {
 	err := backoff.Tick(ctx, reviewInterval)
 	for err == nil {
@@ -32,12 +33,12 @@
 			continue
 		}
 		pause := reviewInterval
-		for service, known := range active {
-			i.review(ctx, service, known)
-			pause = min(pause, known.NextReview(time.Now(), reviewInterval))
+		for service, intro := range active {
+			i.review(ctx, service, intro)
+			pause = min(pause, intro.NextReview(time.Now(), reviewInterval))
 		}
 		if pause < reviewInterval {
-			err = backoff.Sleep(ctx, pause) // A deadline, not an interval.
+			err = backoff.Sleep(ctx, pause) // The next review is due at a fixed time, not at a tick.
 			continue
 		}
 		err = backoff.Tick(ctx, reviewInterval)
@@ -45,65 +46,66 @@
 	return nil
 }
 
-// active returns the introductions without a final state.
+// active returns the introductions that are not in a final state, by service.
 func (i *introductions) active() map[string]*introduction {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	found := make(map[string]*introduction)
-	for service, known := range i.byService {
-		if known.State() < canary.Done {
-			found[service] = known
+	for service, intro := range i.byService {
+		if intro.State() < canary.Done {
+			found[service] = intro
 		}
 	}
 	return found
 }
 
-// review judges one introduction, tells the others, and writes the state when it
-// is this daemon's turn.
-func (i *introductions) review(ctx context.Context, service string, known *introduction) {
+// review evaluates one introduction, publishes a verdict against the version, and writes the new
+// state to the store when it is this daemon's turn.
+func (i *introductions) review(ctx context.Context, service string, intro *introduction) {
 	now := time.Now()
-	verdict := known.Review(now)
-	i.tellVerdict(service, known, now)
-	i.widen(service, known, now)
-	due, isNew := known.driver.Due(known.State(), verdict.State, i.place(service), now)
+	verdict := intro.Review(now)
+	i.publishVerdict(service, intro, now)
+	i.updateEngineCount(service, intro, now)
+	due, isNew := intro.driver.Due(intro.State(), verdict.State, i.writeRank(service), now)
 	if isNew {
-		i.daemon.log.Info().Str("service", service).Str("target", known.Order().Target).Stringer("verdict", verdict.State).
+		i.daemon.log.Info().Str("service", service).Str("target", intro.Order().Target).Stringer("verdict", verdict.State).
 			Str("reason", verdict.Reason).Uint64("trial_answers", verdict.Trial.Answers).Uint64("trial_bad", verdict.Trial.Bad).Uint64("trial_slow", verdict.Trial.Slow).
 			Uint64("base_answers", verdict.Base.Answers).Uint64("base_bad", verdict.Base.Bad).Uint64("base_slow", verdict.Base.Slow).
 			Float64("slowdown", verdict.Slowdown).Float64("pace_slowdown", verdict.PaceSlowdown).Dur("age_ms", verdict.Age).Dur("whole_ms", verdict.Whole).Msg("verdict on an introduction")
 	}
 	if due {
-		i.write(ctx, service, known, verdict.State)
+		i.write(ctx, service, intro, verdict.State)
 	}
 }
 
-// widen lets the new version run on more engines as its share grows.
-func (i *introductions) widen(service string, known *introduction, now time.Time) {
-	wanted := i.width(known, now)
+// updateEngineCount adjusts the number of engines on which the new version runs to its share.
+func (i *introductions) updateEngineCount(service string, intro *introduction, now time.Time) {
+	wanted := i.wantedEngines(intro, now)
 	i.mu.Lock()
-	changed := wanted != known.engines
-	known.engines = wanted
+	changed := wanted != intro.engines
+	intro.engines = wanted
 	i.mu.Unlock()
 	if changed {
-		i.daemon.log.Info().Str("service", service).Str("target", known.Order().Target).Int("engines", wanted).Msg("introduction runs on so many engines")
+		i.daemon.log.Info().Str("service", service).Str("target", intro.Order().Target).Int("engines", wanted).Msg("number of engines of an introduction changed")
 		i.daemon.compileEngines(i.daemon.engines.View())
 	}
 }
 
-// place returns this daemon's place in the order in which daemons write the state.
-func (i *introductions) place(service string) int {
+// writeRank returns this daemon's position in the order in which the daemons try to write the
+// state of a service's introduction.
+func (i *introductions) writeRank(service string) int {
 	return i.daemon.fleet.members.View().Place(canaryPrefix + service)
 }
 
-// write puts a state into the store.
-func (i *introductions) write(ctx context.Context, service string, known *introduction, state canary.State) {
+// write writes the state of an introduction to the store.
+func (i *introductions) write(ctx context.Context, service string, intro *introduction, state canary.State) {
 	i.mu.Lock()
-	revision := known.revision
+	revision := intro.revision
 	i.mu.Unlock()
 	d := i.daemon
-	status, err := d.Documents.OrderStatus(known.Order().Target, state)
+	status, err := d.Documents.OrderStatus(intro.Order().Target, state)
 	if err != nil {
-		d.log.Error().Err(err).Msg("state of an introduction not encoded")
+		d.log.Error().Err(err).Msg("failed to encode state of an introduction")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
--- a/entry/servers.go
+++ b/entry/servers.go
@@ -16,26 +16,25 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's header, idleTimeout the
-	// life of an idle connection. Both are above what the platform's
-	// configurations ask for.
+	// headerTimeout limits the time to read a request's header, idleTimeout the time for which a
+	// connection may be idle. Both exceed the values in the platform's configurations.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeaderBytes bounds a header before a configuration tells more.
+	// maxHeaderBytes limits the size of a header while no configuration is in force.
 	maxHeaderBytes = 64 << 10
-	// closeTimeout bounds the closing of the listeners.
+	// closeTimeout limits the time to shut down the HTTP servers.
 	closeTimeout = 100 * time.Millisecond
 )
 
-// engineDial says when a connection to an engine is given up. A dark host
-// answers no connection attempt; a packet that was lost is sent again by the
-// kernel after a second.
+// engineDial holds the time-outs of connections to engines. A host that is down does not answer
+// connection attempts; the kernel retransmits a lost packet of an attempt after one second, which
+// is later than Connect.
 var engineDial = attempt.DialOptions{
 	Connect: 350 * time.Millisecond, Unacked: 1500 * time.Millisecond,
 	ProbeAfter: time.Second, ProbeEvery: 500 * time.Millisecond, ProbeCount: 2,
 }
 
-// StoreDial says when a connection to the store is given up.
+// StoreDial holds the time-outs of connections to the store.
 var StoreDial = attempt.DialOptions{
 	Connect: time.Second, Unacked: 1500 * time.Millisecond,
 	ProbeAfter: time.Second, ProbeEvery: 500 * time.Millisecond, ProbeCount: 2,
@@ -55,7 +54,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// newGateway builds the way of requests.
+// newGateway creates the gateway, which forwards requests to engines.
 func newGateway(d *Daemon) *gateway.Gateway {
 	return gateway.New(gateway.Options{
 		DataCentre: d.Settings.DataCentre, Regions: d.Settings.Regions, Codec: d.Codec, Tables: d.readyTables,
@@ -65,7 +64,7 @@
 		Daemons:     d.fleet.Live, Misdirected: d.engines.Forget, Delayed: d.shared.sharer.Late,
 		Engines: d.shared, SlowStarts: d.slowStarts, Introductions: d.introductions, Quarantine: d.quarantine, Models: gateway.NewModelChoice(d.Models),
 		Transport: attempt.FreshTransport(engineDial), Budget: d.Settings.Budget,
-		Seed: d.seed, Log: d.part("gateway"), Registerer: d.registry,
+		Seed: d.seed, Log: d.logger("gateway"), Registerer: d.registry,
 	})
 }
 
@@ -80,7 +79,8 @@
 	return max(time.Duration(depth)*readyTimePerLevel-uptime, readyTimePerLevel)
 }
 
-// readyTables returns the tables once there is a copy of everything.
+// readyTables returns the tables, or nil until a configuration is in force and there is a copy of
+// every kind of object.
 func (d *Daemon) readyTables() *gateway.Tables {
 	t := d.tables.Load()
 	if t == nil || t.Routes == nil || !d.copies.complete() {
@@ -89,7 +89,7 @@
 	return t
 }
 
-// Reasons why a daemon takes no requests.
+// Reasons why a daemon does not accept requests.
 var (
 	errLeaving  = errors.New("daemon is leaving")
 	errNoTables = errors.New("no configuration in force")
@@ -106,44 +106,45 @@
 	return nil
 }
 
-// server is one listener with its handler.
+// server is a listener with its HTTP server.
 type server struct {
 	name     string
 	listener net.Listener
 	http     *http.Server
 }
 
-// servers answer callers, the platform's checks and monitoring.
+// servers holds the servers for callers, the platform's readiness checks and monitoring.
 type servers struct {
 	all []*server
 }
 
-// newServers opens the listeners, or none.
+// newServers opens the listeners. If one cannot be opened, it closes the others and returns an
+// error, except for the metrics listener.
 func newServers(d *Daemon) (*servers, error) {
 	s := &servers{}
-	watch := http.NewServeMux()
-	watch.Handle("/", admin.NewHandler(admin.Options{Metrics: d.registry, Readiness: d}))
-	watch.Handle(quarantine.Path, d.quarantine.Handler())
-	watch.Handle(quarantine.Path+"/", d.quarantine.Handler())
-	wanted := []struct {
+	monitoring := http.NewServeMux()
+	monitoring.Handle("/", admin.NewHandler(admin.Options{Metrics: d.registry, Readiness: d}))
+	monitoring.Handle(quarantine.Path, d.quarantine.Handler())
+	monitoring.Handle(quarantine.Path+"/", d.quarantine.Handler())
+	listeners := []struct {
 		name, address string
 		handler       http.Handler
 	}{
 		{"callers", d.Settings.CallerListen, d.gateway},
-		{"readiness", d.Settings.ReadyListen, watch},
+		{"readiness", d.Settings.ReadyListen, monitoring},
 		{"directory", d.Settings.DirectoryListen, d.directoryHandler()},
 	}
-	for _, w := range wanted {
-		if err := s.open(d, w.name, w.address, w.handler); err != nil {
+	for _, l := range listeners {
+		if err := s.open(d, l.name, l.address, l.handler); err != nil {
 			s.stop()
 			return nil, err
 		}
 	}
-	s.openMetrics(d, watch)
+	s.openMetrics(d, monitoring)
 	return s, nil
 }
 
-// open opens one listener, unless the address is empty.
+// open opens a listener, unless the address is empty.
 func (s *servers) open(d *Daemon, name, address string, handler http.Handler) error {
 	if address == "" {
 		return nil
@@ -156,16 +157,16 @@
 	return nil
 }
 
-// openMetrics opens the listener that serves nothing but metrics. Its port is the same on
-// every host, while the platform draws the others: a host where it is taken serves callers
-// all the same, and its metrics on the readiness address.
+// openMetrics opens the additional listener for metrics. Its port is the same on every host, while
+// the platform assigns the other ports, so it may be in use already. The daemon then serves
+// callers all the same, and metrics on the readiness address only.
 func (s *servers) openMetrics(d *Daemon, handler http.Handler) {
 	if err := s.open(d, "metrics", d.Settings.MetricsListen, handler); err != nil {
-		d.log.Error().Err(err).Msg("metrics have no address of their own")
+		d.log.Error().Err(err).Msg("failed to open the metrics listener; metrics are served on the readiness address only")
 	}
 }
 
-// httpServer returns a server of plain HTTP/1.1.
+// httpServer returns a server for HTTP/1.1 without TLS.
 func (d *Daemon) httpServer(name string, handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
@@ -173,31 +174,31 @@
 	}
 }
 
-// errorLog takes what a listener's server says about connections that failed.
+// errorLog returns the logger for the errors of a listener's HTTP server.
 func (d *Daemon) errorLog(listener string) *log.Logger {
-	return log.New(d.part("http").With().Str("listener", listener).Logger(), "", 0)
+	return log.New(d.logger("http").With().Str("listener", listener).Logger(), "", 0)
 }
 
-// start begins to serve.
+// start starts the servers.
 func (s *servers) start(d *Daemon) {
-	for _, one := range s.all {
+	for _, srv := range s.all {
 		d.tomb.Go(func() error {
-			if err := one.http.Serve(one.listener); !errors.Is(err, http.ErrServerClosed) {
-				return fmt.Errorf("serve %s: %w", one.name, err)
+			if err := srv.http.Serve(srv.listener); !errors.Is(err, http.ErrServerClosed) {
+				return fmt.Errorf("serve %s: %w", srv.name, err)
 			}
 			return nil
 		})
 	}
 }
 
-// stop closes the listeners. Requests in progress have ended by then.
+// stop closes the listeners. It is called when no requests are in progress.
 func (s *servers) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	for _, one := range s.all {
-		if one.http.Shutdown(ctx) != nil {
-			_ = one.http.Close() // Connections that outlast the grace are cut.
+	for _, srv := range s.all {
+		if srv.http.Shutdown(ctx) != nil {
+			_ = srv.http.Close() // Close connections that are still open after closeTimeout.
 		}
-		_ = one.listener.Close() // Closed already when it was served.
+		_ = srv.listener.Close() // Already closed if the server was started.
 	}
 }
--- a/entry/servers_test.go
+++ b/entry/servers_test.go
@@ -9,26 +9,26 @@
 	"github.com/rs/zerolog"
 )
 
-// TestTakenMetricsPortStopsNoDaemon has the port of the metrics taken, then that of the
-// readiness.
-func TestTakenMetricsPortStopsNoDaemon(t *testing.T) {
+// TestMetricsPortInUseDoesNotStopTheDaemon guards against a daemon that does not start because the
+// port of the metrics is in use. A readiness port in use must still be an error.
+func TestMetricsPortInUseDoesNotStopTheDaemon(t *testing.T) {
 	c := qt.New(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	used, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer taken.Close()
+	defer used.Close()
 	d := &Daemon{log: zerolog.Nop(), registry: prometheus.NewRegistry()}
 	d.Documents = pathDocuments{}
-	d.Settings.ReadyListen, d.Settings.MetricsListen = "127.0.0.1:0", taken.Addr().String()
+	d.Settings.ReadyListen, d.Settings.MetricsListen = "127.0.0.1:0", used.Addr().String()
 	s, err := newServers(d)
 	c.Assert(err, qt.IsNil)
 	c.Check(s.all, qt.HasLen, 1)
 	s.stop()
-	d.Settings.ReadyListen = taken.Addr().String()
+	d.Settings.ReadyListen = used.Addr().String()
 	_, err = newServers(d)
 	c.Check(err, qt.ErrorMatches, "listener for readiness on .*")
 }
 
-// pathDocuments have the path of the question for addresses alone.
+// pathDocuments implements AddressesPath only.
 type pathDocuments struct{ Documents }
 
 func (pathDocuments) AddressesPath() string { return "/addresses" }
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -6,7 +6,7 @@
 	"github.com/bronzeturn/bronzeturn/canary"
 )
 
-// sessionsOf returns the memory of a service's sessions.
+// sessionsOf returns the record of a service's sessions.
 func (i *introductions) sessionsOf(service string) *canary.Sessions {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -25,27 +25,27 @@
 
 // Lapses implements gateway.Introductions.
 func (i *introductions) Lapses(service string, session uint64, now time.Time) time.Time {
-	if known := i.known(service); known == nil || known.State() >= canary.Done {
+	if intro := i.get(service); intro == nil || intro.State() >= canary.Done {
 		return time.Time{}
 	}
 	return i.sessionsOf(service).Lapses(session, i.stoppedVersions(service), now)
 }
 
-// stoppedVersions returns a function that tells whether a version of the service has been
-// ended by an order.
+// stoppedVersions returns a function that reports whether an order has ended a version of the
+// service.
 func (i *introductions) stoppedVersions(service string) func(version string) bool {
 	return func(version string) bool {
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		if known := i.byService[service]; known != nil && known.ends(version) {
+		if intro := i.byService[service]; intro != nil && intro.hasEnded(version) {
 			return true
 		}
 		return i.isRetired(service, version)
 	}
 }
 
-// ends tells whether the outcome of the order has ended a version.
-func (k *introduction) ends(version string) bool {
+// hasEnded reports whether the outcome of the order has ended a version.
+func (k *introduction) hasEnded(version string) bool {
 	switch k.State() {
 	case canary.Done:
 		return version != k.Order().Target
@@ -55,29 +55,30 @@
 	return false
 }
 
-// settling returns the introductions that have ended so recently that sessions of the
-// versions they ended may come back.
-func (i *introductions) settling(now time.Time) map[string]*introduction {
+// recentlyEnded returns the introductions, by service, that have ended so recently that sessions
+// of the versions that they ended may send further requests.
+func (i *introductions) recentlyEnded(now time.Time) map[string]*introduction {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	found := make(map[string]*introduction)
-	for service, known := range i.byService {
-		if now.Sub(known.ended) < i.daemon.Settings.Introductions.SessionLapse {
-			found[service] = known
+	for service, intro := range i.byService {
+		if now.Sub(intro.ended) < i.daemon.Settings.Introductions.SessionLapse {
+			found[service] = intro
 		}
 	}
 	return found
 }
 
-// withStopped adds the sessions that last ran here on versions that have stopped.
+// withStopped adds to a report the sessions whose last request ran on this daemon, on a version that
+// has stopped.
 func (i *introductions) withStopped(service string, r canary.Report, now time.Time) canary.Report {
 	r.Stopped = i.sessionsOf(service).Stopped(i.stoppedVersions(service), now.Add(-r.Age), now)
 	return r
 }
 
-// heardStopped takes in the sessions that last ran on other daemons, on versions that have
-// stopped.
-func (i *introductions) heardStopped(service string, r canary.Report, now time.Time) {
+// receiveStoppedSessions records the sessions whose last request ran on another daemon, on a version
+// that has stopped.
+func (i *introductions) receiveStoppedSessions(service string, r canary.Report, now time.Time) {
 	sessions, ordered := i.sessionsOf(service), now.Add(-r.Age)
 	for _, s := range r.Stopped {
 		sessions.Heard(s.Session, ordered.Add(s.Ended))
--- a/entry/sessions_test.go
+++ b/entry/sessions_test.go
@@ -9,9 +9,9 @@
 	"github.com/bronzeturn/bronzeturn/canary"
 )
 
-// TestSessionsOfEndedVersionsWaitUnderTheNextOrder guards against sessions that hop to another
-// version when an order follows another one: their version has stopped, and all daemons have
-// to know of them, also those that served none of their requests.
+// TestSessionsOfEndedVersionsWaitUnderTheNextOrder guards against sessions that change their version
+// when an order follows another one: their version has stopped, and all daemons have to know
+// these sessions, including the daemons that served none of their requests.
 func TestSessionsOfEndedVersionsWaitUnderTheNextOrder(t *testing.T) {
 	next := order
 	next.ID, next.Target = order.ID+1, "v3"
@@ -33,23 +33,23 @@
 			sessions := map[string]uint64{"v1": 1, "v2": 2}
 			ended := time.Now()
 			for _, d := range []*introductions{i, other} {
-				d.ordered(order, canary.Running, 8)
+				d.applyOrder(order, canary.Running, 8)
 			}
 			for version, session := range sessions {
 				i.Ran("s", session, version, ended)
 			}
 			for _, d := range []*introductions{i, other} {
-				d.ordered(order, test.state, 9)
+				d.applyOrder(order, test.state, 9)
 			}
-			// The others learn of the sessions before any further order.
-			if counted := i.counted()["s"]; counted != nil {
-				other.othersCounted("s", counted)
+			// The other daemons learn of the sessions before the next order.
+			if report := i.localReports()["s"]; report != nil {
+				other.receiveFleetReport("s", report)
 			}
 			for _, d := range []*introductions{i, other} {
 				for _, session := range sessions {
 					c.Check(test.state != canary.Running && !d.Lapses("s", session, ended).IsZero(), qt.IsFalse, qt.Commentf("without a further order"))
 				}
-				d.ordered(next, canary.Pending, 10)
+				d.applyOrder(next, canary.Pending, 10)
 				for version, session := range sessions {
 					c.Check(d.Lapses("s", session, ended).After(ended), qt.Equals, test.waits[version], qt.Commentf(version))
 				}
@@ -58,16 +58,16 @@
 	}
 }
 
-// TestDaemonsTellOfStoppedSessionsUntilTheyLapse guards against reports that go on after an
-// order has ended and its sessions have lapsed.
-func TestDaemonsTellOfStoppedSessionsUntilTheyLapse(t *testing.T) {
+// TestStoppedSessionsAreReportedUntilTheyLapse guards against reports that continue after an order
+// has ended and the sessions of the stopped version have lapsed.
+func TestStoppedSessionsAreReportedUntilTheyLapse(t *testing.T) {
 	c := qt.New(t)
 	i := newTestIntroductions(engineOf("a", "v1"), engineOf("b", "v2"))
-	i.ordered(order, canary.Running, 8)
+	i.applyOrder(order, canary.Running, 8)
 	i.Ran("s", 1, "v1", time.Now())
-	c.Check(i.counted()["s"].GetStoppedSessions(), qt.HasLen, 0)
-	i.ordered(order, canary.Done, 9)
-	c.Check(i.counted()["s"].GetStoppedSessions(), qt.HasLen, 1)
+	c.Check(i.localReports()["s"].GetStoppedSessions(), qt.HasLen, 0)
+	i.applyOrder(order, canary.Done, 9)
+	c.Check(i.localReports()["s"].GetStoppedSessions(), qt.HasLen, 1)
 	i.byService["s"].ended = time.Now().Add(-i.daemon.Settings.Introductions.SessionLapse)
-	c.Check(i.counted(), qt.HasLen, 0)
+	c.Check(i.localReports(), qt.HasLen, 0)
 }
--- a/entry/slowstart.go
+++ b/entry/slowstart.go
@@ -10,14 +10,15 @@
 	"github.com/bronzeturn/bronzeturn/slowstart"
 )
 
-// newSlowStarts returns what paces the requests to cold engines.
+// newSlowStarts returns the pacer of requests to cold engines.
 func newSlowStarts(d *Daemon) *slowstart.Pacer {
 	return slowstart.New(slowstart.Options{
 		Limit: d.coldLimit, Daemons: d.daemonsForSlowStarts, Random: d.rand(randSlowStarts), Registerer: d.registry,
 	})
 }
 
-// coldLimit returns what the cold engines of a service bear by the configuration in force.
+// coldLimit returns the limit on requests to a cold engine of a service by the configuration in
+// force, or the zero value if there is none.
 func (d *Daemon) coldLimit(service string) slowstart.Limit {
 	t := d.tables.Load()
 	if t == nil || t.Routes == nil {
@@ -31,23 +32,24 @@
 	return slowstart.Limit{For: s.ColdFor, PerSecond: s.ColdPerSecond*settings.ColdOverage + settings.ColdSlack}
 }
 
-// acquaintTime is how long after its start a daemon may take the daemons that it sees for
-// the fleet: in a common start of 295, all but a few see the others by then.
-const acquaintTime = 2 * joinTime
+// fleetKnownAfter is the time after the start of a daemon from which it assumes that it knows the
+// whole fleet. When 295 daemons start together, all but a few know the others by then.
+const fleetKnownAfter = 2 * joinTime
 
-// daemonsForSlowStarts returns how many daemons share what a cold engine bears, zero while
-// this one has just started.
+// daemonsForSlowStarts returns the number of daemons that share the limit of a cold engine, or
+// zero before fleetKnownAfter, when that number is not known.
 func (d *Daemon) daemonsForSlowStarts() int {
-	if time.Since(d.started) < acquaintTime {
+	if time.Since(d.started) < fleetKnownAfter {
 		return 0
 	}
 	return d.fleet.Live()
 }
 
-// toldCold takes in what engines say of themselves.
-func (d *Daemon) toldCold(told []inventory.Registration, now time.Time) {
+// updateSlowStarts passes on for how long the registered engines state that they are cold, and
+// logs the engines that have become cold or warm.
+func (d *Daemon) updateSlowStarts(registrations []inventory.Registration, now time.Time) {
 	var cold, warm []string
-	for _, r := range told {
+	for _, r := range registrations {
 		if !d.slowStarts.Told(r.Engine.Key(), r.Engine.Service, r.ColdFor, now) {
 			continue
 		}
@@ -61,7 +63,7 @@
 	d.logSlowStarts("engine is warm", warm)
 }
 
-// logSlowStarts writes one line for the engines that turned cold or warm.
+// logSlowStarts writes one log line for all engines that have become cold or warm.
 func (d *Daemon) logSlowStarts(text string, engines []string) {
 	if len(engines) == 0 {
 		return
@@ -70,9 +72,9 @@
 	d.log.Info().Int("count", len(engines)).Strs("engines", logging.FirstNames(engines)).Int("daemons", d.fleet.Live()).Msg(text)
 }
 
-// unreachable takes in that an engine did not take a connection. Back under the same name
-// it is cold, and its entry may tell so late.
-func (b *sharedBalancer) unreachable(ev *balance.Failed) {
+// engineUnreachable treats an engine that did not accept a connection as cold. It may have been
+// restarted under the same name, and its entry may report late that it is cold.
+func (b *sharedBalancer) engineUnreachable(ev *balance.Failed) {
 	d := b.daemon
 	engine, known := d.engines.View().Engine(ev.Engine)
 	if known && d.slowStarts.Unreachable(ev.Engine, engine.Service, ev.At) {
--- a/entry/tallies.go
+++ b/entry/tallies.go
@@ -12,7 +12,7 @@
 	"github.com/bronzeturn/bronzeturn/tally"
 )
 
-// tallyPlace returns this daemon's place for the adding up of counts.
+// tallyPlace returns this daemon's place in the tree over which counts are summed.
 func (f *fleet) tallyPlace() tally.Place {
 	t := f.tree()
 	if slices.Contains(t.watching, f.daemon.Settings.Name) {
@@ -21,8 +21,8 @@
 	return tally.Place{Depth: t.depth, Parents: t.parents, Live: f.Live()}
 }
 
-// tallyOf opens calls to a daemon that adds counts up.
-func (f *fleet) tallyOf(daemon string) bronzeturnv1connect.TallyServiceClient {
+// tallyClient returns a client for the tally service of a daemon, or nil if the daemon is unknown.
+func (f *fleet) tallyClient(daemon string) bronzeturnv1connect.TallyServiceClient {
 	client, base, ok := f.directory.Dial(daemon)
 	if !ok {
 		return nil
@@ -30,7 +30,7 @@
 	return bronzeturnv1connect.NewTallyServiceClient(client, base, peer.ClientOptions()...)
 }
 
-// tallyServer answers daemons that add counts up.
+// tallyServer receives the counts of other daemons.
 type tallyServer struct{ daemon *Daemon }
 
 // Add implements bronzeturnv1connect.TallyServiceHandler.
--- a/entry/tree_test.go
+++ b/entry/tree_test.go
@@ -11,13 +11,13 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// centres returns the branches of a fleet of a size whose daemons are divided among data
+// centres returns the branches of a fleet of the given size that is spread evenly over count data
 // centres, and the daemons that watch the store.
 func centres(size, count int) (branches [][]membership.Member, watching []string) {
 	branches = make([][]membership.Member, count)
 	for i := range size {
 		name := fmt.Sprint("d-", i)
-		if i < mostWatchers {
+		if i < maxWatchers {
 			watching = append(watching, name)
 			continue
 		}
@@ -26,9 +26,10 @@
 	return branches, watching
 }
 
-// TestEveryDaemonHasAWayToTheStore follows the usual parents of each daemon up to one
-// that watches, and counts how many daemons each one passes changes on to.
-func TestEveryDaemonHasAWayToTheStore(t *testing.T) {
+// TestEveryDaemonHasAPathToTheStore guards against cycles and long paths in the tree, and against
+// daemons with too many children. It follows the preferred parents of each daemon up to one that
+// watches the store.
+func TestEveryDaemonHasAPathToTheStore(t *testing.T) {
 	for _, test := range []struct{ size, centres, longest int }{
 		{1, 1, 1}, {4, 4, 1}, {7, 4, 1}, {30, 3, 2}, {91, 4, 3}, {295, 5, 3}, {410, 4, 3},
 	} {
@@ -53,15 +54,16 @@
 				}
 			}
 			for name, n := range children {
-				c.Check(n <= 2*treeFanout, qt.IsTrue, qt.Commentf("%s passes on to %d", name, n))
+				c.Check(n <= 2*treeFanout, qt.IsTrue, qt.Commentf("%s has %d children", name, n))
 			}
 		})
 	}
 }
 
-// TestDaemonsWithoutTheirUsualParentHaveOthers takes each daemon's usual parent away: the
-// next ones get changes no later than it did, so that nobody waits for one behind him.
-func TestDaemonsWithoutTheirUsualParentHaveOthers(t *testing.T) {
+// TestAlternativeParentsAreUpstream guards against daemons that pull changes from one at their own
+// depth or below when their preferred parent fails, and wait for each other: the alternative
+// parents must be nearer to the store than the daemon itself.
+func TestAlternativeParentsAreUpstream(t *testing.T) {
 	c := qt.New(t)
 	branches, watching := centres(295, 5)
 	for _, branch := range branches {
@@ -72,15 +74,16 @@
 				if slices.Contains(watching, other) {
 					continue
 				}
-				c.Check(placeInTree(other, branch, watching).depth < p.depth, qt.IsTrue, qt.Commentf("%s behind %s", name, other))
+				c.Check(placeInTree(other, branch, watching).depth < p.depth, qt.IsTrue, qt.Commentf("%s is not below its parent %s", name, other))
 			}
 		}
 	}
 }
 
-// TestLossOfADaemonMovesFewOthers counts the daemons whose usual parent changes when one
-// goes: its children, those of the daemons that move up a level in turn, and these.
-func TestLossOfADaemonMovesFewOthers(t *testing.T) {
+// TestLossOfADaemonChangesFewParents guards against a reorganisation of the whole tree when one
+// daemon is lost. The preferred parent may change only for its children, for the daemons that
+// move up a level in its place, and for the children of these.
+func TestLossOfADaemonChangesFewParents(t *testing.T) {
 	c := qt.New(t)
 	branches, watching := centres(410, 4)
 	branch, total := branches[0], 0
@@ -98,10 +101,10 @@
 	c.Check(total <= 2*treeFanout*len(branch), qt.IsTrue, qt.Commentf("%d moved for %d losses", total, len(branch)))
 }
 
-// TestStrongHostsPassChangesOn has 3 of 59 hosts carry forty times what the others can:
-// mostly they are the heads of their data centre, and when all of them are lost at once,
-// the others are ranked as they were among themselves.
-func TestStrongHostsPassChangesOn(t *testing.T) {
+// TestHostsOfHighCapacityAreHeads checks that hosts of high capacity are usually the heads of their
+// data centre, with 3 such hosts of about forty times the capacity of the 59 others. When all of
+// them are lost at once, the order of the others must not change.
+func TestHostsOfHighCapacityAreHeads(t *testing.T) {
 	c := qt.New(t)
 	heads, rounds := 0, 200
 	for round := range rounds {
@@ -122,5 +125,5 @@
 		left := slices.DeleteFunc(ranked, func(n string) bool { return capacities[n] > 100 })
 		c.Check(left, qt.DeepEquals, weak)
 	}
-	c.Check(float64(heads) >= 0.6*float64(treeHeads*rounds), qt.IsTrue, qt.Commentf("%d heads are strong", heads))
+	c.Check(float64(heads) >= 0.6*float64(treeHeads*rounds), qt.IsTrue, qt.Commentf("%d heads have a high capacity", heads))
 }
--- a/entry/watchers.go
+++ b/entry/watchers.go
@@ -11,62 +11,61 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-// turnedAwayPrefix holds the daemons that watch the store and get no answer from it.
+// turnedAwayPrefix is the key prefix in the gossip table for the daemons that were turned away:
+// they watch the store and get no answer from it.
 const turnedAwayPrefix = "turned-away/"
 
 const (
-	// turnedAwayAfter is how long the store may fail a daemon that watches before others
-	// watch in its place: more than one lost call, less than the half second after which
-	// a failure counts as an outage.
+	// turnedAwayAfter is how long a daemon that watches may get no answer from the store before
+	// other daemons watch in its place. It covers a single lost call, and is shorter than the
+	// half second after which a failure counts as an outage.
 	turnedAwayAfter = 150 * time.Millisecond
-	// turnedAwayPoll is the time between two looks at that.
-	turnedAwayPoll = 100 * time.Millisecond
-	// turnedAwayFor is how long a daemon that tried in the place of others counts as
-	// turned away. Those whose turn it is first go on asking, so that a store that
-	// comes back is noticed; the others try again after this time only, since calls
-	// cost something also when they are refused.
-	turnedAwayFor = 3 * time.Second
-	// mostSubstitutes bounds the daemons that are considered in the place of one. A
-	// store that turns a third of the fleet away has all of them among these once in
-	// 81 times; one that is down costs no more than so many daemons' calls.
-	mostSubstitutes = 4
-	// substituteKey ranks the daemons for it.
+	// turnedAwayPollInterval is the interval between checks whether this daemon is turned away.
+	turnedAwayPollInterval = 100 * time.Millisecond
+	// substituteRetryInterval is how long a substitute for another daemon counts as turned away
+	// before it tries again. The primary watchers keep calling the store, so that its recovery is
+	// noticed. The substitutes wait, because calls have a cost even if they are refused.
+	substituteRetryInterval = 3 * time.Second
+	// maxSubstitutes is the maximum number of daemons that are considered in the place of one
+	// primary watcher. If the store turns away a third of the fleet, all four are turned away in
+	// one of 81 cases. If the store is down, the number limits how many daemons call it.
+	maxSubstitutes = 4
+	// substituteKey is the key by which the daemons are ranked as substitutes.
 	substituteKey = "watchers/substitutes"
-	// mostWatchers bounds the daemons whose turn it is first: each one's waiting watches
-	// cost calls, and the others take what changes over the tree. With three, two may be
-	// lost or silent at once.
-	mostWatchers = 3
+	// maxWatchers is the maximum number of primary watchers. The watches of each of them cost
+	// calls to the store, and all other daemons receive changes over the tree. With three, two
+	// may fail or hang at the same time.
+	maxWatchers = 3
 )
 
-// firstWatchers returns the daemons whose turn it is first to watch the store: the
-// highest ranked of those that the view names, which are of different data centres.
-func firstWatchers(named, ranked []string) []string {
-	var first []string
+// primaryWatchers returns the daemons that watch the store unless they are turned away: the
+// highest ranked of those that the view names, which are in different data centres.
+func primaryWatchers(named, ranked []string) []string {
+	var primary []string
 	for _, name := range ranked {
-		if len(first) < mostWatchers && slices.Contains(named, name) {
-			first = append(first, name)
+		if len(primary) < maxWatchers && slices.Contains(named, name) {
+			primary = append(primary, name)
 		}
 	}
-	return first
+	return primary
 }
 
-// chooseWatchers returns the daemons that watch the store now: those whose turn it is
-// first and, in the place of each of them that is turned away, the next of the ranked
-// ones that is not.
-func chooseWatchers(first, ranked []string, turnedAway func(name string) bool) []string {
+// chooseWatchers returns the daemons that watch the store now: the primary watchers and, in place
+// of each of them that is turned away, the highest ranked substitute that is not.
+func chooseWatchers(primary, ranked []string, turnedAway func(name string) bool) []string {
 	var chosen []string
-	for _, name := range first {
+	for _, name := range primary {
 		if !turnedAway(name) {
 			chosen = append(chosen, name)
 		}
 	}
-	missing := len(first) - len(chosen)
-	considered := mostSubstitutes * missing
+	missing := len(primary) - len(chosen)
+	considered := maxSubstitutes * missing
 	for _, name := range ranked {
 		if missing == 0 || considered == 0 {
 			break
 		}
-		if slices.Contains(first, name) {
+		if slices.Contains(primary, name) {
 			continue
 		}
 		considered--
@@ -78,64 +77,65 @@
 	return chosen
 }
 
-// watchers keep which daemons watch the store.
+// watchers determines which daemons watch the store.
 type watchers struct {
 	fleet *fleet
-	// changes counts the changes of who is turned away.
+	// changes counts the changes of the turned-away entries in the gossip table.
 	changes atomic.Uint64
 	last    atomic.Pointer[watcherSet]
-	// wake makes run review before the next tick.
+	// wake makes run call review before the next tick.
 	wake chan struct{}
-	// since is when this daemon last published of itself; the loop of run alone uses it.
-	since time.Time
+	// published is when this daemon last published whether it is turned away. Only the goroutine
+	// of run uses it.
+	published time.Time
 }
 
-// watcherSet are the watchers of one view of the fleet and one state of the table.
+// watcherSet holds the watchers for one view of the fleet and one state of the gossip table.
 type watcherSet struct {
 	view    *membership.View
 	changes uint64
-	// first are the daemons whose turn it is first, names those that watch.
-	first, names []string
+	// primary are the primary watchers, names the daemons that watch.
+	primary, names []string
 }
 
 // names returns the daemons that watch the store now.
 func (w *watchers) names() []string { return w.set().names }
 
-// set returns who watches by the newest view and the newest state of the table.
+// set returns the watchers for the current view and the current state of the gossip table.
 func (w *watchers) set() *watcherSet {
 	view, changes := w.fleet.members.View(), w.changes.Load()
 	if last := w.last.Load(); last != nil && last.view == view && last.changes == changes {
 		return last
 	}
 	ranked := view.Top(substituteKey, view.Live())
-	next := &watcherSet{view: view, changes: changes, first: firstWatchers(view.Watchers, ranked)}
-	next.names = chooseWatchers(next.first, ranked, w.isTurnedAway)
+	next := &watcherSet{view: view, changes: changes, primary: primaryWatchers(view.Watchers, ranked)}
+	next.names = chooseWatchers(next.primary, ranked, w.isTurnedAway)
 	w.last.Store(next)
 	return next
 }
 
-// isTurnedAway tells whether a daemon has published that the store does not answer it.
+// isTurnedAway reports whether a daemon has published that it gets no answer from the store.
 func (w *watchers) isTurnedAway(name string) bool {
 	_, value, known := w.fleet.members.Table().Get(turnedAwayPrefix + name)
 	return known && len(value) > 0
 }
 
-// includes tells whether a daemon reads the store of its own accord: it watches, or it is
-// its turn first and it goes on asking until the store answers it again.
+// includes reports whether a daemon calls the store regularly: it watches, or it is a primary
+// watcher that is turned away and keeps calling until the store answers again.
 func (w *watchers) includes(name string) bool {
 	set := w.set()
-	return slices.Contains(set.names, name) || slices.Contains(set.first, name)
+	return slices.Contains(set.names, name) || slices.Contains(set.primary, name)
 }
 
-// heard takes in a change of who is turned away.
-func (w *watchers) heard(key string, _ uint64, value []byte) {
+// turnedAwayChanged handles a change of a turned-away entry in the gossip table.
+func (w *watchers) turnedAwayChanged(key string, _ uint64, value []byte) {
 	w.changes.Add(1)
 	w.notifyChange()
 	w.fleet.daemon.log.Info().Str("daemon", strings.TrimPrefix(key, turnedAwayPrefix)).Bool("turned_away", len(value) > 0).
 		Msg("watchers of the store changed")
 }
 
-// run publishes whether the store answers this daemon while it watches, until ctx ends.
+// run publishes whether this daemon is turned away, until ctx is done.
 func (w *watchers) run(ctx context.Context) error {
 	for w.wait(ctx) == nil {
 		w.review(time.Now())
@@ -149,7 +149,7 @@
 func (w *watchers) wait(ctx context.Context) error {
 	interval := backoff.IdleInterval
 	if self := w.fleet.daemon.Settings.Name; w.includes(self) || w.isTurnedAway(self) {
-		interval = turnedAwayPoll
+		interval = turnedAwayPollInterval
 	}
 	return backoff.TickOrWake(ctx, interval, w.wake)
 }
@@ -166,23 +166,23 @@
 	}
 }
 
-// review looks once whether this daemon is turned away, and publishes a change. What is
-// published may be of the process before this one.
+// review checks whether this daemon is turned away, and publishes a change. The published state
+// may originate from an earlier process of this daemon.
 func (w *watchers) review(now time.Time) {
 	self := w.fleet.daemon.Settings.Name
-	told := w.isTurnedAway(self)
-	first := slices.Contains(w.set().first, self)
+	wasAway := w.isTurnedAway(self)
+	primary := slices.Contains(w.set().primary, self)
 	away := w.fleet.daemon.copies.failingFor(now) >= turnedAwayAfter
 	switch {
-	case told && !first:
-		away = now.Sub(w.since) < turnedAwayFor
-	case !told && !w.includes(self):
+	case wasAway && !primary:
+		away = now.Sub(w.published) < substituteRetryInterval
+	case !wasAway && !w.includes(self):
 		away = false
 	}
-	if away == told {
+	if away == wasAway {
 		return
 	}
-	w.since = now
+	w.published = now
 	held, _, _ := w.fleet.members.Table().Get(turnedAwayPrefix + self)
 	var value []byte
 	if away {
--- a/entry/watchers_test.go
+++ b/entry/watchers_test.go
@@ -9,41 +9,42 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// awayOf tells of a list of daemons that they are turned away.
-func awayOf(names ...string) func(string) bool {
+// turnedAway returns a function that reports whether a daemon is among those named.
+func turnedAway(names ...string) func(string) bool {
 	return func(name string) bool { return slices.Contains(names, name) }
 }
 
-func TestOthersWatchInThePlaceOfThoseTurnedAway(t *testing.T) {
-	first, ranked := []string{"a", "b"}, []string{"c", "b", "d", "a", "e", "f", "g", "h", "i", "j", "k", "l"}
+func TestSubstitutesWatchForDaemonsTurnedAway(t *testing.T) {
+	primary, ranked := []string{"a", "b"}, []string{"c", "b", "d", "a", "e", "f", "g", "h", "i", "j", "k", "l"}
 	for _, test := range []struct {
 		name string
 		away []string
 		want []string
 	}{
-		{"nobody", nil, []string{"a", "b"}},
+		{"none", nil, []string{"a", "b"}},
 		{"one", []string{"a"}, []string{"b", "c"}},
-		{"all whose turn it is", []string{"a", "b"}, []string{"c", "d"}},
+		{"all primary watchers", []string{"a", "b"}, []string{"c", "d"}},
 		{"substitutes too", []string{"a", "b", "c"}, []string{"d", "e"}},
-		{"somebody who does not watch", []string{"e"}, []string{"a", "b"}},
-		{"everybody: no more are tried than the bound", ranked, nil},
+		{"a daemon that does not watch", []string{"e"}, []string{"a", "b"}},
+		{"all daemons: no more than maxSubstitutes are considered for each", ranked, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := chooseWatchers(first, ranked, awayOf(test.away...))
+			got := chooseWatchers(primary, ranked, turnedAway(test.away...))
 			qt.Check(t, got, qt.DeepEquals, test.want)
 		})
 	}
 }
 
-// TestStoreThatTurnsAThirdAwayIsStillWatched draws fleets of the users' sizes in which a
-// third of the daemons are turned away, those that watch first among them, as a store
-// does that refuses whoever asks most. Some daemon watches nearly always.
-func TestStoreThatTurnsAThirdAwayIsStillWatched(t *testing.T) {
+// TestStoreThatTurnsAwayAThirdIsStillWatched guards against fleets in which no daemon watches the
+// store. The store turns away a third of the daemons, including the primary watchers, as a store
+// does that limits the clients with the most calls. In at least 95 % of the cases some daemon must
+// watch, for fleets of several sizes.
+func TestStoreThatTurnsAwayAThirdIsStillWatched(t *testing.T) {
 	c := qt.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	const rounds = 2000
 	for _, size := range []int{6, 30, 91, 410} {
-		first := []string{"d-0", "d-1", "d-2"}
+		primary := []string{"d-0", "d-1", "d-2"}
 		unwatched := 0
 		for range rounds {
 			ranked := make([]string, size)
@@ -51,13 +52,13 @@
 				ranked[i] = fmt.Sprint("d-", i)
 			}
 			random.Shuffle(size, func(i, j int) { ranked[i], ranked[j] = ranked[j], ranked[i] })
-			away := slices.Clone(first)
+			away := slices.Clone(primary)
 			for _, name := range ranked {
 				if random.Float64() < 1.0/3 {
 					away = append(away, name)
 				}
 			}
-			if len(chooseWatchers(first, ranked, awayOf(away...))) == 0 {
+			if len(chooseWatchers(primary, ranked, turnedAway(away...))) == 0 {
 				unwatched++
 			}
 		}
@@ -65,21 +66,22 @@
 	}
 }
 
-// TestStoreThatIsDownIsTriedByFew counts the daemons that try in an outage for all.
-func TestStoreThatIsDownIsTriedByFew(t *testing.T) {
+// TestFewDaemonsTryAStoreThatIsDown guards against calls of the whole fleet during an outage of the
+// store: the number of daemons that try to watch is limited.
+func TestFewDaemonsTryAStoreThatIsDown(t *testing.T) {
 	c := qt.New(t)
 	ranked := make([]string, 410)
 	for i := range ranked {
 		ranked[i] = fmt.Sprint("d-", i)
 	}
-	first := ranked[:4:4]
-	away := slices.Clone(first)
+	primary := ranked[:4:4]
+	away := slices.Clone(primary)
 	for {
-		trying := chooseWatchers(first, ranked, awayOf(away...))
+		trying := chooseWatchers(primary, ranked, turnedAway(away...))
 		if len(trying) == 0 {
 			break
 		}
 		away = append(away, trying...)
 	}
-	c.Check(len(away), qt.Equals, len(first)+mostSubstitutes*len(first))
+	c.Check(len(away), qt.Equals, len(primary)+maxSubstitutes*len(primary))
 }
