--- a/entry/directory.go
+++ b/entry/directory.go
@@ -9,8 +9,8 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-// AddressQuestion is a caller's query for the addresses to connect to.
-type AddressQuestion struct {
+// AddressQuery is a caller's query for the addresses to connect to.
+type AddressQuery struct {
 	// Region is the region of the caller, or "" if the caller does not state it.
 	Region string
 }
@@ -19,7 +19,7 @@
 func (d *Daemon) directoryHandler() http.Handler {
 	mux := bunrouter.New()
 	mux.GET(d.Documents.AddressesPath(), func(w http.ResponseWriter, r bunrouter.Request) error {
-		list := d.fleet.addresses(d.Documents.AddressQuestion(r.Request))
+		list := d.fleet.addresses(d.Documents.AddressQuery(r.Request))
 		if len(list) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
@@ -30,7 +30,7 @@
 }
 
 // addresses returns the caller addresses of the daemons that accept requests, in random order.
-func (f *fleet) addresses(q AddressQuestion) []string {
+func (f *fleet) addresses(q AddressQuery) []string {
 	view := f.members.View()
 	ready := make(map[string]string)
 	f.members.Table().Each(readyPrefix, func(key string, _ uint64, value []byte) {
@@ -47,7 +47,7 @@
 // that a request leaves the region only if it is sent to an engine elsewhere. If no daemon of
 // the region accepts requests, or the region is unknown, it returns the addresses of all daemons
 // that do.
-func addressesFor(q AddressQuestion, members []membership.Member, ready, regions map[string]string) []string {
+func addressesFor(q AddressQuery, members []membership.Member, ready, regions map[string]string) []string {
 	var near, all []string
 	for _, m := range members {
 		address := ready[m.Name]
--- a/entry/directory_test.go
+++ b/entry/directory_test.go
@@ -20,7 +20,7 @@
 	}
 	ready := map[string]string{"a": "1", "b": "2", "c": "3", "d": "4"}
 	ask := func(region string) []string {
-		return addressesFor(AddressQuestion{Region: region}, members, ready, regions)
+		return addressesFor(AddressQuery{Region: region}, members, ready, regions)
 	}
 	c.Check(ask("north"), qt.DeepEquals, []string{"1", "2"})
 	c.Check(ask("south"), qt.DeepEquals, []string{"3"})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -105,7 +105,7 @@
 	Evacuated(s *follow.Snapshot) []string
 	OrderStatus(target string, state canary.State) (json.RawMessage, error)
 	AddressesPath() string
-	AddressQuestion(r *http.Request) AddressQuestion
+	AddressQuery(r *http.Request) AddressQuery
 	AnswerAddresses(w http.ResponseWriter, list []string, keepSeconds float64) error
 }
 
