--- a/rollout/delay.go
+++ b/rollout/delay.go
@@ -2,12 +2,13 @@
 
 import "math"
 
-// ExpectedRatings estimates how many ratings the sequential test needs to find
-// that the mean score of a version fell from its reference to bad, when the
-// ratings come evenly from the given number of organisations. It is infinite
-// when the drop is too small to be found, or when only one of several
-// organisations rates. Dividing by the sampled share of ratings gives the
-// number of answers.
+// ExpectedRatings estimates how many ratings the sequential test needs to detect
+// that the mean score of a version has fallen from reference to bad, if the
+// ratings are spread evenly over the given number of organisations. It returns
+// infinity if the drop is too small to be detected or organisations is below 1.
+// A single organisation is taken for the only one that may use the version; if
+// others may use it too, its ratings alone never cut the version off. Divide the
+// result by the fraction of answers that are rated to get the number of answers.
 func (o Options) ExpectedRatings(reference, bad float64, organisations int) float64 {
 	o = o.withDefaults()
 	drift := math.Max(o.drift(reference, bad, o.SmallDrop), o.drift(reference, bad, o.LargeDrop))
@@ -16,13 +17,14 @@
 	}
 	n := math.Log(2/o.FalseAlarm) / drift
 	if organisations == 1 {
-		return n // the sole user
+		return n // All evidence of a sole user counts.
 	}
 	k := float64(organisations)
-	return n * k / (k - 1) // one organisation is left out
+	return n * k / (k - 1) // The evidence of one organisation is left out.
 }
 
-// drift is the mean evidence of one rating.
+// drift returns the mean evidence per rating against a version with the mean
+// score bad, in the test for the given drop.
 func (o Options) drift(reference, bad, drop float64) float64 {
 	return NewBet(reference-o.Margin, drop).Evidence(bad, 1)
 }
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -1,16 +1,16 @@
 package rollout
 
-// Gate tells whether a version may receive new work.
+// Gate states whether a version may receive new requests.
 type Gate uint8
 
 // The values of Gate.
 const (
-	// GateOpen means that no cut-off is in force.
+	// GateOpen means that the version is not cut off.
 	GateOpen Gate = iota
-	// GateTrickle means that the version was cut off, and is tried again with a
-	// small share of requests.
+	// GateTrickle means that the version is cut off, and is tried again with a small
+	// share of requests.
 	GateTrickle
-	// GateClosed means that the version is cut off.
+	// GateClosed means that the version is cut off and receives no new requests.
 	GateClosed
 )
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,13 +1,14 @@
-// Package rollout decides how much work a version may receive.
+// Package rollout decides which share of requests a version may receive.
 //
-// A version that a roll-out introduces gets a share of its baseline's work,
-// which doubles with each stage of good ratings up to the cap of the rule. A
-// sequential test watches every version; when it finds one bad, the version is
-// cut off, and after a while tried again with a trickle of requests.
+// A version that is introduced by a roll-out receives a share of the requests of
+// its baseline. The share doubles with each stage of good ratings, up to the cap
+// of the rule. A sequential test monitors the ratings of every version. A version
+// that fails the test is cut off, and after a while is tried again with a small
+// share of requests, the trickle.
 //
-// The code does no I/O and reads no clock. Daemons agree on shares and
-// cut-offs by exchanging the entries that State returns; the entry with the
-// higher revision wins.
+// Apart from Sync, the package does no I/O, and it reads no clock. Daemons agree on
+// shares and cut-offs by exchanging the values of State; the state with the higher
+// revision wins.
 package rollout
 
 import (
@@ -29,45 +30,48 @@
 	DefaultStageRatings = 20.0
 	DefaultRetryAfter   = 10 * time.Minute
 	DefaultTrickleShare = 0.01
-	// maxStrikes bounds the doubling of the time until a retry.
+	// maxStrikes is the number of cut-offs after which the time until a retry no
+	// longer doubles.
 	maxStrikes = 6
-	// maxStage bounds the doubling of a share.
+	// maxStage is the maximum number of doublings of a share.
 	maxStage = 30
 )
 
 // Errors of this package.
 var (
-	// ErrOptions means that Options hold a value out of bounds.
+	// ErrOptions reports Options with a value out of range.
 	ErrOptions = errors.New("rollout: invalid options")
-	// ErrState means that a state of another daemon is out of bounds.
+	// ErrState reports a state of another daemon with a value out of range.
 	ErrState = errors.New("rollout: invalid state")
 )
 
-// Options tune a Controller. Zero fields take the defaults above.
+// Options configure a Controller. Zero fields take the defaults above.
 type Options struct {
-	// FalseAlarm bounds the false alarms of the sequential test: a version whose
-	// mean score is at least its reference minus Margin sees, on average, at
-	// least 1/FalseAlarm ratings between two alarms.
+	// FalseAlarm limits the rate of false alarms of the sequential test: a version
+	// whose mean score is at least its reference minus Margin receives, on average,
+	// at least 1/FalseAlarm ratings between two alarms.
 	FalseAlarm float64
-	// FalseClear is the probability that a trickle clears a version that is as
-	// bad as the alternative of the test.
+	// FalseClear is the probability that a trickle clears a version whose mean
+	// score equals the alternative of the test.
 	FalseClear float64
-	// Margin is how far below its reference a mean score still counts as good.
+	// Margin is how far a mean score may be below its reference and still count as
+	// good.
 	Margin float64
-	// SmallDrop and LargeDrop are the losses of quality that the two bets of the
-	// test are tuned to find soonest.
+	// SmallDrop and LargeDrop are the drops of the mean score that the two bets of
+	// the test detect soonest.
 	SmallDrop, LargeDrop float64
-	// StartShare is the share of a new version before ratings arrive.
+	// StartShare is the share of a new version before it has ratings.
 	StartShare float64
-	// StageRatings is the number of ratings that one doubling of the share needs.
+	// StageRatings is the number of ratings that each doubling of the share requires.
 	StageRatings float64
-	// RetryAfter is the time from a cut-off to the first trickle. It doubles with
-	// every cut-off that follows.
+	// RetryAfter is the time from the first cut-off to its trickle. It doubles with
+	// each further cut-off until the version is cleared.
 	RetryAfter time.Duration
-	// TrickleShare is the share of requests that try a cut-off version again.
+	// TrickleShare is the share of requests with which a cut-off version is tried
+	// again.
 	TrickleShare float64
-	// EndConversations refuses the running conversations of a cut-off version.
-	// By default they are kept.
+	// EndConversations is set to refuse further requests of the conversations that
+	// run on a cut-off version. By default they continue.
 	EndConversations bool
 }
 
@@ -92,7 +96,7 @@
 	}
 }
 
-// Validate reports options out of bounds.
+// Validate returns an error if a value is out of range.
 func (o Options) Validate() error {
 	o = o.withDefaults()
 	for _, p := range []float64{o.FalseAlarm, o.FalseClear, o.Margin, o.SmallDrop, o.LargeDrop, o.StartShare, o.TrickleShare} {
@@ -113,8 +117,8 @@
 	tracks  map[string]*Track
 }
 
-// NewController returns a Controller without tracks. It panics when the
-// options are invalid, which Options.Validate reports beforehand.
+// NewController returns a Controller without tracks. It panics if the options are
+// invalid; Options.Validate checks them beforehand.
 func NewController(o Options) *Controller {
 	if err := o.Validate(); err != nil {
 		panic(err)
@@ -122,11 +126,11 @@
 	return &Controller{options: o.withDefaults(), tracks: make(map[string]*Track)}
 }
 
-// Options returns the options in force.
+// Options returns the options, with defaults applied.
 func (c *Controller) Options() Options { return c.options }
 
-// Track returns the track of a version, created at first use. Hot paths keep
-// it and spare the look-up.
+// Track returns the track of a version, and creates it at first use. Callers in hot
+// paths should keep the result to avoid the look-up.
 func (c *Controller) Track(version string) *Track {
 	c.mu.RLock()
 	t := c.tracks[version]
@@ -143,30 +147,30 @@
 	return t
 }
 
-// Ratings is the event that an organisation's ratings of a version arrived.
+// Ratings are new ratings of a version by one organisation.
 type Ratings struct {
 	Organisation string
 	// Sum is the sum of Count scores between 0 and 1.
 	Sum, Count float64
 	// Reference is the mean score that the version has to reach.
 	Reference float64
-	// SoleUser is true when no other organisation may use the version.
+	// SoleUser is true if no other organisation may use the version.
 	SoleUser bool
 	At       time.Time
 }
 
-// Change tells what a rating changed.
+// Change is the effect of ratings on a version.
 type Change uint8
 
 // The values of Change.
 const (
-	// Unchanged means that the version may receive what it could before.
+	// Unchanged means that gate and share of the version remain the same.
 	Unchanged Change = iota
-	// CutOff means that the sequential test found the version bad.
+	// CutOff means that the version failed the sequential test.
 	CutOff
-	// Cleared means that the trickle found the version good again.
+	// Cleared means that the ratings of the trickle showed the version to be good.
 	Cleared
-	// ShareChanged means that a roll-out went to another stage.
+	// ShareChanged means that the roll-out moved to another stage.
 	ShareChanged
 )
 
@@ -183,7 +187,7 @@
 	return "unchanged"
 }
 
-// shareOf returns the share of a stage before the cap of the rule.
+// shareOf returns the share at a stage, before the cap of the rule.
 func (o *Options) shareOf(stage int32) float64 {
 	return math.Min(1, math.Ldexp(o.StartShare, int(stage)))
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,7 +16,7 @@
 
 const reference = 0.85
 
-// raters feeds one track with ratings of several organisations, one a second.
+// raters passes ratings of several organisations to a track, one per second.
 type raters struct {
 	track *rollout.Track
 	rng   *rand.Rand
@@ -32,7 +32,7 @@
 	}
 }
 
-// rate judges one rating, 0 or 1 with the given mean.
+// rate passes one rating to the track, which is 0 or 1 at random with the given mean.
 func (r *raters) rate(organisation int, mean float64) rollout.Change {
 	score := 0.0
 	if r.rng.Float64() < mean {
@@ -45,8 +45,8 @@
 	})
 }
 
-// until rates evenly until the change comes and returns the number of ratings,
-// which is at most limit.
+// until passes ratings, spread evenly over the organisations, until the change occurs or
+// limit ratings have been passed, and returns their number.
 func (r *raters) until(change rollout.Change, organisations int, mean float64, limit int) int {
 	for i := 1; i <= limit; i++ {
 		if r.rate(i%organisations, mean) == change {
@@ -80,11 +80,11 @@
 			t.Logf("%d alarms in %d ratings, allowed %g", alarms, ratings, allowed)
 			qt.Assert(t, float64(alarms) <= allowed, qt.IsTrue)
 			if r := newRaters(rollout.Options{FalseAlarm: test.falseAlarm}, 1); test.organisations > 1 {
-				// The same set-up does alarm when the mean falls.
+				// The same test must raise an alarm if the mean falls.
 				qt.Assert(t, r.until(rollout.CutOff, test.organisations, 0.3, 500) < 500, qt.IsTrue)
 				return
 			}
-			qt.Assert(t, alarms > 0, qt.IsTrue, qt.Commentf("a test that never alarms proves nothing"))
+			qt.Assert(t, alarms > 0, qt.IsTrue, qt.Commentf("no alarm at all: the check of the rate is meaningless"))
 		})
 	}
 }
@@ -123,7 +123,7 @@
 	for i := range 40_000 {
 		mean := reference
 		if i%2 == 0 {
-			mean = 0 // half of all ratings come from one organisation
+			mean = 0 // Half of all ratings come from one organisation.
 		}
 		organisation := 0
 		if i%2 == 1 {
@@ -139,24 +139,24 @@
 	qt.Assert(t, r.until(rollout.CutOff, 1, 0.2, 100) < 100, qt.IsTrue)
 }
 
-func TestCutOffIsFollowedByTrickleAndClearance(t *testing.T) {
+func TestCutOffIsFollowedByTrickleAndClearing(t *testing.T) {
 	r := newRaters(rollout.Options{}, 7)
 	r.until(rollout.CutOff, 5, 0.1, 1000)
 	qt.Assert(t, r.track.Gate(r.now), qt.Equals, rollout.GateClosed)
 	qt.Assert(t, r.track.RetryAt(), qt.Equals, r.now.Add(rollout.DefaultRetryAfter).Local())
 
-	// Late ratings of old answers count neither for nor against it.
+	// Ratings of answers from before the cut-off are ignored.
 	late := r.until(rollout.CutOff, 5, 0, 500)
 	qt.Assert(t, late, qt.Equals, 500)
 	r.now = r.track.RetryAt()
 	qt.Assert(t, r.track.Gate(r.now), qt.Equals, rollout.GateTrickle)
 
-	// Still bad: cut off again, for twice the time.
+	// The version is still bad, and is cut off again for twice the time.
 	r.until(rollout.CutOff, 5, 0.1, 1000)
 	qt.Assert(t, r.track.Gate(r.now), qt.Equals, rollout.GateClosed)
 	qt.Assert(t, r.track.RetryAt().Sub(r.now), qt.Equals, 2*rollout.DefaultRetryAfter)
 
-	// Mended: cleared.
+	// The version is good again, and is cleared.
 	r.now = r.track.RetryAt()
 	qt.Assert(t, r.until(rollout.Cleared, 5, 0.95, 1000) < 200, qt.IsTrue)
 	qt.Assert(t, r.track.Gate(r.now), qt.Equals, rollout.GateOpen)
@@ -165,7 +165,7 @@
 func TestShareGrowsWithEvidenceUpToTheCap(t *testing.T) {
 	r := newRaters(rollout.Options{}, 13)
 	good := quality.Estimate{Mean: 0.9, Lower: 0.88, Upper: 0.92, Weight: 100}
-	// The estimates of two kinds take turns; each rating counts once.
+	// The estimates of two task kinds alternate; each rating must count once.
 	small := quality.Estimate{Mean: 0.9, Lower: 0.88, Upper: 0.92, Weight: 25}
 	const maxShare = 0.2
 	shares, at := []float64{r.track.Share()}, []int{0}
@@ -189,7 +189,7 @@
 
 func TestPriorAloneDoesNotGrowTheShare(t *testing.T) {
 	r := newRaters(rollout.Options{}, 13)
-	prior := quality.Estimate{Mean: 0.95, Lower: 0.9, Upper: 0.98} // the only rater is left out
+	prior := quality.Estimate{Mean: 0.95, Lower: 0.9, Upper: 0.98} // without the only organisation that rates
 	for range 100 {
 		r.rate(0, 1)
 		qt.Assert(t, r.track.Advance(prior, reference, 0.5, r.now), qt.Equals, rollout.Unchanged)
@@ -222,12 +222,12 @@
 	qt.Assert(t, other.Accept(cleared), qt.IsTrue)
 	qt.Assert(t, other.Gate(owner.now), qt.Equals, rollout.GateOpen)
 
-	// A late copy of the cut-off does not come back.
+	// A delayed copy of the cut-off must not be adopted.
 	qt.Assert(t, other.Accept(cut), qt.IsFalse)
 	qt.Assert(t, other.Gate(owner.now), qt.Equals, rollout.GateOpen)
 }
 
-func TestOptionsOutOfBoundsAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRefused(t *testing.T) {
 	for _, o := range []rollout.Options{
 		{FalseAlarm: 1}, {Margin: -0.1}, {StartShare: 2}, {RetryAfter: -1}, {StageRatings: -1},
 	} {
--- a/rollout/sync.go
+++ b/rollout/sync.go
@@ -11,18 +11,19 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// TablePrefix begins the keys of version states in the flooded table.
+// TablePrefix is the prefix of the keys of version states in the gossip table.
 const TablePrefix = "cutoff/"
 
-// Table is the flooded table between daemons; the higher version wins.
+// Table is the gossip table that is replicated among the daemons. The entry with the
+// higher version wins.
 type Table interface {
 	Publish(key string, version uint64, value []byte) error
-	// Subscribe calls f with all present and future entries under a prefix. An
-	// empty value means that there is no entry.
+	// Subscribe calls f with all current and future entries with a key prefix. An
+	// empty value means that the entry was removed.
 	Subscribe(prefix string, f func(key string, version uint64, value []byte))
 }
 
-// Sync carries cut-offs and stages between the daemons. It is safe for
+// Sync exchanges cut-offs and stages with the other daemons. It is safe for
 // concurrent use.
 type Sync struct {
 	controller *Controller
@@ -30,16 +31,16 @@
 	log        zerolog.Logger
 }
 
-// NewSync returns a Sync, which Start sets going.
+// NewSync returns a Sync. It receives states only after Start is called.
 func NewSync(c *Controller, t Table, log zerolog.Logger) *Sync {
 	return &Sync{controller: c, table: t, log: log.With().Str("part", "rollout").Logger()}
 }
 
-// Start subscribes to the changes of other daemons.
+// Start subscribes to the states of other daemons.
 func (s *Sync) Start() { s.table.Subscribe(TablePrefix, s.receive) }
 
-// Changed logs a change of a version on this daemon and tells the others. It
-// does nothing when the change is Unchanged.
+// Changed logs a change of a version that this daemon has decided on, and publishes
+// the version's state. It does nothing if the change is Unchanged.
 func (s *Sync) Changed(version string, change Change) {
 	if change == Unchanged {
 		return
@@ -51,7 +52,7 @@
 		err = s.table.Publish(TablePrefix+version, state.Revision, value)
 	}
 	if err != nil {
-		s.log.Error().Err(err).Str("version", version).Msg("version state not published")
+		s.log.Error().Err(err).Str("version", version).Msg("failed to publish version state")
 	}
 }
 
@@ -62,12 +63,12 @@
 	}
 	state, err := decode(value)
 	if err != nil {
-		s.log.Warn().Err(err).Str("version", version).Msg("version state unreadable")
+		s.log.Warn().Err(err).Str("version", version).Msg("failed to decode version state")
 		return
 	}
 	state.Version, state.Revision = version, revision
 	if s.controller.Track(version).Accept(state) {
-		s.logState(&state, "received", "version state taken over")
+		s.logState(&state, "received", "version state accepted from another daemon")
 	}
 }
 
@@ -84,7 +85,8 @@
 	return proto.Marshal(message)
 }
 
-// decode reads a table value. A stage out of bounds is refused.
+// decode decodes a table value. It returns ErrState if the stage or the number of
+// strikes is out of range.
 func decode(value []byte) (State, error) {
 	message := &bronzeturnv1.VersionGate{}
 	if err := proto.Unmarshal(value, message); err != nil {
--- a/rollout/sync_test.go
+++ b/rollout/sync_test.go
@@ -13,7 +13,7 @@
 	"github.com/bronzeturn/bronzeturn/rollout"
 )
 
-// broadcast is a table that delivers at once.
+// broadcast is a table that delivers entries synchronously.
 type broadcast struct {
 	subscribers []func(string, uint64, []byte)
 	bytes       int
@@ -53,16 +53,16 @@
 	qt.Assert(t, other.Track("v").Gate(owner.now), qt.Equals, rollout.GateOpen)
 
 	sync.Changed("v", rollout.Unchanged)
-	qt.Assert(t, strings.Count(log.String(), "\n"), qt.Equals, 2, qt.Commentf("one line a decision: %s", log))
+	qt.Assert(t, strings.Count(log.String(), "\n"), qt.Equals, 2, qt.Commentf("one line per decision: %s", log))
 }
 
-func TestUnreadableStatesAreIgnored(t *testing.T) {
+func TestInvalidStatesAreIgnored(t *testing.T) {
 	table := &broadcast{}
 	c := rollout.NewController(rollout.Options{})
 	rollout.NewSync(c, table, zerolog.Nop()).Start()
-	wild, err := proto.Marshal(&bronzeturnv1.VersionGate{CutOff: true, Stage: 1000})
+	outOfRange, err := proto.Marshal(&bronzeturnv1.VersionGate{CutOff: true, Stage: 1000})
 	qt.Assert(t, err, qt.IsNil)
-	for _, value := range [][]byte{nil, []byte("\xff\xff"), wild} {
+	for _, value := range [][]byte{nil, []byte("\xff\xff"), outOfRange} {
 		qt.Assert(t, table.Publish(rollout.TablePrefix+"v", 1, value), qt.IsNil)
 		qt.Assert(t, c.Track("v").Gate(start), qt.Equals, rollout.GateOpen)
 	}
