--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestHeapGrowthIsReducedForLargeHeaps guards against a GC percentage of 100 for large heaps on hosts with few cores, which
-// doubles the heap memory with ten thousand engines.
+// TestHeapGrowthIsReducedForLargeHeaps guards against a GC percentage of 100 for large heaps on
+// hosts with few cores, which doubles the heap memory with ten thousand engines.
 func TestHeapGrowthIsReducedForLargeHeaps(t *testing.T) {
 	c := qt.New(t)
 	const cores = 0.192
