--- a/entry/directory.go
+++ b/entry/directory.go
@@ -9,17 +9,17 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-// AddressQuestion is a caller's question where to connect.
-type AddressQuestion struct {
-	// Region is the caller's, "" if it does not say.
+// AddressQuery is a caller's query for the addresses to connect to.
+type AddressQuery struct {
+	// Region is the region of the caller, or "" if the caller does not state it.
 	Region string
 }
 
-// directoryHandler answers which addresses to use.
+// directoryHandler serves the addresses that callers should connect to.
 func (d *Daemon) directoryHandler() http.Handler {
 	mux := bunrouter.New()
 	mux.GET(d.Documents.AddressesPath(), func(w http.ResponseWriter, r bunrouter.Request) error {
-		list := d.fleet.addresses(d.Documents.AddressQuestion(r.Request))
+		list := d.fleet.addresses(d.Documents.AddressQuery(r.Request))
 		if len(list) == 0 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
@@ -29,9 +29,8 @@
 	return mux
 }
 
-// addresses returns the caller addresses of the daemons that take requests, in random
-// order.
-func (f *fleet) addresses(q AddressQuestion) []string {
+// addresses returns the caller addresses of the daemons that accept requests, in random order.
+func (f *fleet) addresses(q AddressQuery) []string {
 	view := f.members.View()
 	ready := make(map[string]string)
 	f.members.Table().Each(readyPrefix, func(key string, _ uint64, value []byte) {
@@ -44,10 +43,11 @@
 	return list
 }
 
-// addressesFor returns the addresses for a caller: those of the daemons in its own region,
-// so that what it sends leaves the region only where an engine elsewhere is to work on it,
-// or all while none there takes requests.
-func addressesFor(q AddressQuestion, members []membership.Member, ready, regions map[string]string) []string {
+// addressesFor returns the addresses for a caller: those of the daemons in its own region, so
+// that a request leaves the region only if it is sent to an engine elsewhere. If no daemon of
+// the region accepts requests, or the region is unknown, it returns the addresses of all daemons
+// that do.
+func addressesFor(q AddressQuery, members []membership.Member, ready, regions map[string]string) []string {
 	var near, all []string
 	for _, m := range members {
 		address := ready[m.Name]
--- a/entry/directory_test.go
+++ b/entry/directory_test.go
@@ -8,7 +8,7 @@
 	"github.com/bronzeturn/bronzeturn/membership"
 )
 
-func TestCallersAreSentToDaemonsOfTheirRegion(t *testing.T) {
+func TestCallersGetAddressesOfTheirRegion(t *testing.T) {
 	c := qt.New(t)
 	regions := map[string]string{"hall-1": "north", "hall-2": "north", "hall-3": "south"}
 	members := []membership.Member{
@@ -20,7 +20,7 @@
 	}
 	ready := map[string]string{"a": "1", "b": "2", "c": "3", "d": "4"}
 	ask := func(region string) []string {
-		return addressesFor(AddressQuestion{Region: region}, members, ready, regions)
+		return addressesFor(AddressQuery{Region: region}, members, ready, regions)
 	}
 	c.Check(ask("north"), qt.DeepEquals, []string{"1", "2"})
 	c.Check(ask("south"), qt.DeepEquals, []string{"3"})
