--- a/entry/servers.go
+++ b/entry/servers.go
@@ -162,7 +162,7 @@
 // callers all the same, and metrics on the readiness address only.
 func (s *servers) openMetrics(d *Daemon, handler http.Handler) {
 	if err := s.open(d, "metrics", d.Settings.MetricsListen, handler); err != nil {
-		d.log.Error().Err(err).Msg("failed to open the metrics listener; metrics are served on the readiness address only")
+		d.log.Error().Err(err).Msg("metrics have no address of their own")
 	}
 }
 
