--- a/router/admit.go
+++ b/router/admit.go
@@ -9,8 +9,8 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// grant is the admission of one request: room for its bill and a place within
-// its organisation's limits.
+// grant is the admission of one request: reserved space in the ledger for its
+// bill, and an admission ticket within the limits of its organisation.
 type grant struct {
 	reservation *ledger.Reservation
 	ticket      *admission.Ticket
@@ -18,8 +18,8 @@
 	released    bool
 }
 
-// release gives everything back and settles what was used. Only the first call
-// has an effect.
+// release frees the reservation and the ticket, and charges what was used
+// against the limits. Only the first call has an effect.
 func (g *grant) release() {
 	if g.released {
 		return
@@ -29,7 +29,7 @@
 	g.reservation.Release()
 }
 
-// admit reserves room for the bill first, then waits for a place.
+// admit reserves space for the bill first, then waits for an admission ticket.
 func (r *Router) admit(ctx context.Context, c *call, d selection.Decision) (*grant, *failure.Error) {
 	reservation, err := r.Ledger.Reserve()
 	if err != nil {
--- a/router/answer.go
+++ b/router/answer.go
@@ -9,19 +9,20 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// answer is the caller's side of one request. It is used by one goroutine.
+// answer writes the response to the caller of one request. It must be used by
+// one goroutine only.
 type answer struct {
 	w       http.ResponseWriter
 	control *http.ResponseController
 	call    *call
-	// started tells that the status line went out.
+	// started is set once the status line has been sent.
 	started   bool
 	sent      int64
 	firstByte time.Duration
-	// stall bounds one write, so that a caller that went silent frees the
-	// engine. Zero means no bound.
-	stall time.Duration
-	// deadlineSet is when the write deadline was last moved.
+	// stallTimeout bounds one write, so that a caller that stops reading does not keep
+	// an engine busy. Zero means no bound.
+	stallTimeout time.Duration
+	// deadlineSet is when the write deadline was last extended.
 	deadlineSet time.Time
 }
 
@@ -29,7 +30,8 @@
 	return &answer{w: w, control: http.NewResponseController(w), call: c}
 }
 
-// begin sends the status line. A length of -1 means that it is not known.
+// begin sends the status line and headers. A length of -1 means that the length
+// is not known.
 func (a *answer) begin(status int, contentType, version string, length int) {
 	h := a.w.Header()
 	if contentType != "" {
@@ -46,7 +48,8 @@
 	a.w.WriteHeader(status)
 }
 
-// write sends data. An error means that the caller is gone or silent.
+// write sends data. An error means that the caller has disconnected or has
+// stopped reading.
 func (a *answer) write(data []byte) error {
 	a.extendDeadline()
 	n, err := a.w.Write(data)
@@ -54,29 +57,29 @@
 	return err
 }
 
-// flush sends what is buffered.
+// flush sends buffered data.
 func (a *answer) flush() error { return a.control.Flush() }
 
-// extendDeadline moves the write deadline, at most a few times per stall time,
-// since each move costs more than the write of one token. The deadline is never
-// less than the stall time away, since HTTP/2 ends a stream at it even when
-// nothing is being written.
+// extendDeadline moves the write deadline, at most a few times per stallTimeout,
+// since each extension costs more than writing one token. The deadline is always
+// at least stallTimeout away, because HTTP/2 resets a stream at its write
+// deadline even when no write is in progress.
 func (a *answer) extendDeadline() {
-	const movesPerStall = 4
-	if a.stall <= 0 {
+	const extensionsPerTimeout = 4
+	if a.stallTimeout <= 0 {
 		return
 	}
-	now, step := time.Now(), a.stall/movesPerStall
+	now, step := time.Now(), a.stallTimeout/extensionsPerTimeout
 	if now.Sub(a.deadlineSet) < step {
 		return
 	}
 	a.deadlineSet = now
-	// A writer without deadlines, as in tests, needs none.
-	_ = a.control.SetWriteDeadline(now.Add(a.stall + step))
+	// Writers that do not support deadlines, as in tests, need none.
+	_ = a.control.SetWriteDeadline(now.Add(a.stallTimeout + step))
 }
 
-// clearDeadline takes the write deadline away while the answer waits for
-// something else than the caller.
+// clearDeadline removes the write deadline while the answer waits for something
+// other than the caller.
 func (a *answer) clearDeadline() {
 	if a.deadlineSet.IsZero() {
 		return
@@ -85,28 +88,29 @@
 	_ = a.control.SetWriteDeadline(time.Time{})
 }
 
-// setReadDeadline bounds the reading of the request's body. The zero time means
+// setReadDeadline bounds the time to read the request body. The zero time means
 // no bound.
 func (a *answer) setReadDeadline(t time.Time) {
-	_ = a.control.SetReadDeadline(t) // A reader without deadlines needs none.
+	_ = a.control.SetReadDeadline(t) // Readers that do not support deadlines need none.
 }
 
-// fail ends the request with a failure. After the first byte of an answer the
-// connection is cut, so that a broken answer never ends like a whole one.
+// fail ends the request with a failure. Once part of an answer has been sent, it
+// aborts the connection, so that the caller cannot take a truncated answer for a
+// complete one.
 func (a *answer) fail(f *failure.Error) {
 	if !a.started {
 		writeFailure(a.w, f)
 		return
 	}
 	if a.call.chat.stream {
-		_ = a.write(brokenEvent(f))
+		_ = a.write(errorEvent(f))
 		_ = a.flush()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// brokenEvent is the server-sent event that marks a broken stream.
-func brokenEvent(f *failure.Error) []byte {
+// errorEvent returns the server-sent event that reports the failure of a stream.
+func errorEvent(f *failure.Error) []byte {
 	data := append([]byte("data: "), encodeFailure(f)...)
 	return append(data, "\n\n"...)
 }
--- a/router/answer_test.go
+++ b/router/answer_test.go
@@ -325,13 +325,13 @@
 		body, err := chat.forwardBody("depot", cheap)
 		c.Assert(err, qt.IsNil)
 		l := &launch{call: call, version: cheap, body: body, ran: failure.RanNo}
-		results := make(chan sent, maxCopies)
+		results := make(chan sendResult, maxCopies)
 		var cancels []context.CancelFunc
 		for number := range maxCopies {
 			decision, f := s.chooseEngine(l, true)
 			c.Assert(f == nil, qt.IsTrue)
-			l.count(decision.Engine.GetName())
-			cancels = append(cancels, s.sendAside(context.Background(), l, &decision, number, results))
+			l.markTried(decision.Engine.GetName())
+			cancels = append(cancels, s.sendAsync(context.Background(), l, &decision, number, results))
 		}
 		synctest.Wait()
 		winner := <-results
@@ -343,7 +343,7 @@
 		c.Check(s.balancer.finished, qt.HasLen, 1)
 		c.Check(s.balancer.finished[0].Cancelled, qt.IsTrue)
 		winner.attempt.close()
-		s.failed(winner.attempt, &engine.Error{Kind: engine.Canceled})
+		s.reportFailed(winner.attempt, &engine.Error{Kind: engine.Canceled})
 		synctest.Wait()
 		c.Check(s.balancer.check(), qt.Equals, "")
 	})
--- a/router/answerchat.go
+++ b/router/answerchat.go
@@ -11,105 +11,109 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Content types of chat answers.
+// Content types of chat completions.
 const (
 	contentTypeJSON   = "application/json"
 	contentTypeEvents = "text/event-stream"
 )
 
 // recordTimeout bounds the recording of a bill and an outcome after the answer.
-// The caller's own context may have ended by then.
+// It replaces the deadline of the request's context, which may have ended by then.
 const recordTimeout = 10 * time.Second
 
-// answerChat runs a request that may be dispatched, and records how it ended.
+// answerChat runs an admitted chat completion and records how it ended.
 func (r *Router) answerChat(ctx context.Context, a *answer, c *call, d *selection.Decision, g *grant, held claim) *failure.Error {
 	r.logVersion(c, d)
-	a.stall = c.kind.GetProgressTimeout().AsDuration()
+	a.stallTimeout = c.kind.GetProgressTimeout().AsDuration()
 	s := &settlement{router: r, call: c, claim: held, grant: g}
-	f := r.runSteps(ctx, a, c, d, s)
+	f := r.runVersions(ctx, a, c, d, s)
 	if f != nil {
-		s.abandon(f)
+		s.settleFailed(f)
 	}
 	return f
 }
 
-// runSteps runs the chosen version and, if its answer does not pass the check,
-// the stronger one.
-func (r *Router) runSteps(ctx context.Context, a *answer, c *call, d *selection.Decision, s *settlement) *failure.Error {
+// runVersions runs the chosen version. In a cascade it also runs the stronger
+// version if the answer does not pass the check; otherwise it tries other versions
+// if none of the chosen version's engines took the request.
+func (r *Router) runVersions(ctx context.Context, a *answer, c *call, d *selection.Decision, s *settlement) *failure.Error {
 	if d.Escalatable {
 		return r.runCascade(ctx, a, c, d, s)
 	}
-	got, f := r.start(ctx, c, d.Version, s)
+	got, f := r.startAttempt(ctx, c, d.Version, s)
 	for f != nil {
 		if s.attempts > 0 {
-			// Whatever was sent has had its retries.
+			// A request that was sent to an engine has used its retries already.
 			return f
 		}
-		next, ok := r.chooseAgain(c, d, f)
+		next, ok := r.chooseFallback(c, d, f)
 		if !ok {
 			return f
 		}
 		d = &next
-		got, f = r.start(ctx, c, d.Version, s)
+		got, f = r.startAttempt(ctx, c, d.Version, s)
 	}
 	return r.deliver(ctx, a, c, got, s)
 }
 
-// start sends the request to a version and returns its first event.
-func (r *Router) start(ctx context.Context, c *call, version string, s *settlement) (*attempt, *failure.Error) {
+// startAttempt sends the request to an engine of a version and returns the
+// attempt with the first event of its answer.
+func (r *Router) startAttempt(ctx context.Context, c *call, version string, s *settlement) (*attempt, *failure.Error) {
 	body, err := c.chat.forwardBody(c.organisation.GetName(), version)
 	if err != nil {
 		return nil, failure.Wrap(err, failure.CodeMalformedRequest, failure.RanNo, "the body could not be encoded")
 	}
 	l := &launch{call: c, version: version, body: body, fence: s.claim.ticket.Fence, ran: failure.RanNo}
-	got, f := r.begin(ctx, l)
+	got, f := r.sendWithRetries(ctx, l)
 	s.attempts += l.attempts
 	return got, f
 }
 
-// deliver streams an answer to the caller. The last event waits until the bill
-// is recorded.
+// deliver streams an answer to the caller. The last event is sent only after the
+// bill is recorded.
 func (r *Router) deliver(ctx context.Context, a *answer, c *call, t *attempt, s *settlement) *failure.Error {
 	defer t.close()
-	p := &pump{router: r, answer: a, call: c, attempt: t, settlement: s}
+	p := &relay{router: r, answer: a, call: c, attempt: t, settlement: s}
 	if err := p.run(); err != nil {
-		return p.ended(ctx, err)
+		return p.handleError(ctx, err)
 	}
 	return nil
 }
 
-// close ends the exchange with the engine.
+// close closes the stream from the engine and releases the attempt.
 func (t *attempt) close() {
 	_ = t.stream.Close()
 	t.release()
 }
 
-// release ends the send in the quarantine and cancels its context.
+// release ends the attempt's registration with the quarantine and cancels its
+// context.
 func (t *attempt) release() {
 	t.send.Done()
 	t.cancel()
 }
 
-// pump moves the events of one answer from the engine to the caller.
-type pump struct {
+// relay forwards the events of one answer from the engine to the caller.
+type relay struct {
 	router     *Router
 	answer     *answer
 	call       *call
 	attempt    *attempt
 	settlement *settlement
-	// events counts those with content.
+	// events counts the events that carry content.
 	events int64
-	// copied holds the answer while it may still be kept with its claim.
-	copied []byte
+	// recorded is a copy of the answer of a claimed request, for its outcome in
+	// the ledger.
+	recorded []byte
 }
 
-// run moves all events. The error is an *engine.Error, an *answerError or a
+// run forwards all events. The error is an *engine.Error, a *writeError or a
 // *failure.Error.
-func (p *pump) run() error {
+func (p *relay) run() error {
 	event := p.attempt.first
 	for {
 		if event.Last {
-			return p.last(event.Data)
+			return p.finish(event.Data)
 		}
 		if err := p.forward(event.Data); err != nil {
 			return err
@@ -121,37 +125,37 @@
 	}
 }
 
-// forward sends one event that is not the last.
-func (p *pump) forward(data []byte) error {
+// forward sends one event other than the last.
+func (p *relay) forward(data []byte) error {
 	if p.hidesUsage(data) {
 		return nil
 	}
 	p.events++
-	p.keep(data)
-	p.open(-1)
+	p.record(data)
+	p.begin(-1)
 	if err := p.answer.write(data); err != nil {
-		return &answerError{Cause: err}
+		return &writeError{Cause: err}
 	}
 	if p.attempt.stream.Buffered() {
 		return nil
 	}
 	if err := p.answer.flush(); err != nil {
-		return &answerError{Cause: err}
+		return &writeError{Cause: err}
 	}
 	return nil
 }
 
-// last records bill and outcome, then sends the end of the answer.
-func (p *pump) last(data []byte) error {
-	p.router.finished(p.attempt, p.events)
+// finish records the bill and the outcome, then sends the last event.
+func (p *relay) finish(data []byte) error {
+	p.router.reportFinished(p.attempt, p.events)
 	if p.answer.started {
-		// What came before must not wait for the bill.
+		// Events that were forwarded must not be held up while the bill is recorded.
 		if err := p.answer.flush(); err != nil {
-			return &answerError{Cause: err}
+			return &writeError{Cause: err}
 		}
 		p.answer.clearDeadline()
 	}
-	p.keep(data)
+	p.record(data)
 	usage := p.usage()
 	contentType := contentTypeJSON
 	if p.call.chat.stream {
@@ -159,9 +163,9 @@
 	}
 	var outcome *ledger.Outcome
 	if p.settlement.claim.held {
-		outcome = ledger.NewOutcome(http.StatusOK, contentType, p.attempt.version, p.copied)
+		outcome = ledger.NewOutcome(http.StatusOK, contentType, p.attempt.version, p.recorded)
 	}
-	p.settlement.add(p.attempt.version, usage)
+	p.settlement.addUsage(p.attempt.version, usage)
 	if f := p.settlement.settle(outcome); f != nil {
 		return f
 	}
@@ -169,18 +173,18 @@
 	if !p.call.chat.stream {
 		length = len(data)
 	}
-	p.open(length)
+	p.begin(length)
 	if err := p.answer.write(data); err != nil {
-		return &answerError{Cause: err}
+		return &writeError{Cause: err}
 	}
 	if err := p.answer.flush(); err != nil {
-		return &answerError{Cause: err}
+		return &writeError{Cause: err}
 	}
 	return nil
 }
 
-// open sends the status line once.
-func (p *pump) open(length int) {
+// begin sends the status line unless it has been sent.
+func (p *relay) begin(length int) {
 	if p.answer.started {
 		return
 	}
@@ -192,24 +196,25 @@
 	p.router.metrics.firstByte.WithLabelValues(p.call.kind.GetName()).Observe(p.answer.firstByte.Seconds())
 }
 
-// keep copies the answer of a claimed request.
-func (p *pump) keep(data []byte) {
+// record copies an event if the request is claimed.
+func (p *relay) record(data []byte) {
 	if p.settlement.claim.held {
-		p.copied = append(p.copied, data...)
+		p.recorded = append(p.recorded, data...)
 	}
 }
 
-// usage returns the engine's token counts, or an estimate when it gave none.
-func (p *pump) usage() engine.Usage {
+// usage returns the token counts reported by the engine, or an estimate if it
+// reported none.
+func (p *relay) usage() engine.Usage {
 	if u, ok := p.attempt.stream.Usage(); ok {
 		return u
 	}
 	return engine.Usage{PromptTokens: p.call.chat.promptTokens, CompletionTokens: max(p.events, 1)}
 }
 
-// hidesUsage tells that an event carries only token counts that the caller did
-// not ask for.
-func (p *pump) hidesUsage(data []byte) bool {
+// hidesUsage reports whether an event carries only token counts and the caller
+// did not ask for them.
+func (p *relay) hidesUsage(data []byte) bool {
 	if p.call.chat.wantsUsage {
 		return false
 	}
@@ -217,29 +222,30 @@
 	return seen && isUsageOnly(data)
 }
 
-// ended translates the end of an answer that is not whole.
-func (p *pump) ended(ctx context.Context, err error) *failure.Error {
+// handleError reports the end of an incomplete answer to the balancer and the
+// settlement, and returns the failure for the caller.
+func (p *relay) handleError(ctx context.Context, err error) *failure.Error {
 	switch e := err.(type) {
 	case *engine.Error:
-		p.router.failed(p.attempt, e)
-		p.settlement.interrupted(p, e.Kind == engine.Canceled)
-		return brokenAnswer(ctx, e)
-	case *answerError:
-		p.router.failed(p.attempt, &engine.Error{Kind: engine.Canceled})
-		p.settlement.interrupted(p, true)
-		return callerGone(e, failure.RanYes)
+		p.router.reportFailed(p.attempt, e)
+		p.settlement.addInterrupted(p, e.Kind == engine.Canceled)
+		return brokenAnswerFailure(ctx, e)
+	case *writeError:
+		p.router.reportFailed(p.attempt, &engine.Error{Kind: engine.Canceled})
+		p.settlement.addInterrupted(p, true)
+		return callerWriteFailure(e, failure.RanYes)
 	default:
 		return failure.From(err)
 	}
 }
 
-// answerError reports that the caller's side failed.
-type answerError struct {
+// writeError reports a failed write to the caller.
+type writeError struct {
 	Cause error
 }
 
 // Error implements error.
-func (e *answerError) Error() string { return "write answer: " + e.Cause.Error() }
+func (e *writeError) Error() string { return "write answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *answerError) Unwrap() error { return e.Cause }
+func (e *writeError) Unwrap() error { return e.Cause }
--- a/router/cascade.go
+++ b/router/cascade.go
@@ -14,37 +14,38 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// maxHeldBytes bounds a cheap answer that is held back for its check.
-const maxHeldBytes = 1 << 20
+// maxBufferedBytes bounds the size of a cheap answer that is buffered for its
+// check.
+const maxBufferedBytes = 1 << 20
 
-// checker judges cheap answers.
+// checker checks cheap answers.
 var checker = cascade.BasicChecker{}
 
-// runCascade holds the cheap answer back until it is checked. Only when the
-// check finds a fault does the stronger version run, and its answer is sent. The
-// cheap answer is sent after all when no engine answers for the stronger one.
+// runCascade buffers the cheap answer and checks it. If the check flags it, the
+// stronger version runs and its answer is sent instead. If no engine answers for
+// the stronger version, the cheap answer is sent after all.
 func (r *Router) runCascade(ctx context.Context, a *answer, c *call, d *selection.Decision, s *settlement) *failure.Error {
-	cheap, f := r.start(ctx, c, d.Version, s)
+	cheap, f := r.startAttempt(ctx, c, d.Version, s)
 	if f != nil {
 		return f
 	}
-	held, err := hold(cheap)
+	buffered, err := bufferAnswer(cheap)
 	if err != nil {
 		cheap.close()
-		return r.heldFailed(ctx, cheap, held, s, err)
+		return r.failBuffered(ctx, cheap, buffered, s, err)
 	}
-	r.finished(cheap, held.events)
-	next := r.afterCheck(c, d, held, s)
+	r.reportFinished(cheap, buffered.events)
+	next := r.checkAnswer(c, d, buffered, s)
 	if next == "" {
-		return r.deliverHeld(a, c, cheap, held, s)
+		return r.deliverBuffered(a, c, cheap, buffered, s)
 	}
 	cheap.close()
-	strong, f := r.start(ctx, c, next, s)
+	strong, f := r.startAttempt(ctx, c, next, s)
 	if f != nil && ctx.Err() == nil {
-		// The answer at hand is better than none.
-		return r.deliverHeld(a, c, cheap, held, s)
+		// A flagged answer is better than none.
+		return r.deliverBuffered(a, c, cheap, buffered, s)
 	}
-	s.add(d.Version, held.usage)
+	s.addUsage(d.Version, buffered.usage)
 	if f != nil {
 		f.Ran = failure.RanYes
 		return f
@@ -54,9 +55,10 @@
 	return r.deliver(ctx, a, c, strong, s)
 }
 
-// afterCheck checks the cheap answer and returns the version to run next, or "".
-func (r *Router) afterCheck(c *call, d *selection.Decision, held *heldAnswer, s *settlement) string {
-	verdict := checker.Check(held.describe(c))
+// checkAnswer checks the cheap answer and returns the version to run next, or ""
+// if the cheap answer is to be sent.
+func (r *Router) checkAnswer(c *call, d *selection.Decision, buffered *bufferedAnswer, s *settlement) string {
+	verdict := checker.Check(buffered.describe(c))
 	s.accepted = verdict.OK()
 	r.Quality.Checked(quality.Checked{Version: d.Version, Kind: c.kind.GetName(), Flagged: !verdict.OK()})
 	newest, now := r.Tables().Snapshot, time.Now()
@@ -72,68 +74,70 @@
 	return decision.Version
 }
 
-// deliverHeld sends a cheap answer that passed, or that no other replaces.
-func (r *Router) deliverHeld(a *answer, c *call, t *attempt, held *heldAnswer, s *settlement) *failure.Error {
+// deliverBuffered sends a cheap answer that passed the check or that no answer of
+// a stronger version replaces.
+func (r *Router) deliverBuffered(a *answer, c *call, t *attempt, buffered *bufferedAnswer, s *settlement) *failure.Error {
 	defer t.close()
-	p := &pump{router: r, answer: a, call: c, attempt: t, settlement: s, events: held.events}
-	for _, event := range held.data[:len(held.data)-1] {
+	p := &relay{router: r, answer: a, call: c, attempt: t, settlement: s, events: buffered.events}
+	for _, event := range buffered.data[:len(buffered.data)-1] {
 		if err := p.forward(event); err != nil {
-			s.interrupted(p, true)
-			return callerGone(err, failure.RanYes)
+			s.addInterrupted(p, true)
+			return callerWriteFailure(err, failure.RanYes)
 		}
 	}
-	if err := p.last(held.data[len(held.data)-1]); err != nil {
+	if err := p.finish(buffered.data[len(buffered.data)-1]); err != nil {
 		if f, ok := err.(*failure.Error); ok {
 			return f
 		}
-		return callerGone(err, failure.RanYes)
+		return callerWriteFailure(err, failure.RanYes)
 	}
 	return nil
 }
 
-// heldFailed ends a request whose cheap answer broke while it was held back.
-func (r *Router) heldFailed(ctx context.Context, t *attempt, held *heldAnswer, s *settlement, err error) *failure.Error {
+// failBuffered ends a request whose cheap answer failed while it was buffered.
+func (r *Router) failBuffered(ctx context.Context, t *attempt, buffered *bufferedAnswer, s *settlement, err error) *failure.Error {
 	e := asEngineError(err)
-	r.failed(t, e)
-	s.interrupted(&pump{attempt: t, call: s.call, events: held.events}, e.Kind == engine.Canceled)
-	return brokenAnswer(ctx, e)
+	r.reportFailed(t, e)
+	s.addInterrupted(&relay{attempt: t, call: s.call, events: buffered.events}, e.Kind == engine.Canceled)
+	return brokenAnswerFailure(ctx, e)
 }
 
-// heldAnswer is a whole answer in memory.
-type heldAnswer struct {
+// bufferedAnswer is a complete answer in memory.
+type bufferedAnswer struct {
 	data   [][]byte
 	size   int
 	events int64
 	usage  engine.Usage
 }
 
-// hold reads a whole answer.
-func hold(t *attempt) (*heldAnswer, error) {
-	held := &heldAnswer{}
+// bufferAnswer reads a complete answer into memory.
+func bufferAnswer(t *attempt) (*bufferedAnswer, error) {
+	buffered := &bufferedAnswer{}
 	event := t.first
 	for {
-		held.data = append(held.data, bytes.Clone(event.Data))
-		held.size += len(event.Data)
-		if held.size > maxHeldBytes {
-			return held, &engine.Error{Kind: engine.Failed, Ran: failure.RanYes}
+		buffered.data = append(buffered.data, bytes.Clone(event.Data))
+		buffered.size += len(event.Data)
+		if buffered.size > maxBufferedBytes {
+			return buffered, &engine.Error{Kind: engine.Failed, Ran: failure.RanYes}
 		}
 		if event.Last {
 			break
 		}
-		held.events++
+		buffered.events++
 		var err error
 		if event, err = t.stream.Next(); err != nil {
-			return held, err
+			return buffered, err
 		}
 	}
-	held.usage = engine.Usage{CompletionTokens: max(held.events, 1)}
+	buffered.usage = engine.Usage{CompletionTokens: max(buffered.events, 1)}
 	if u, ok := t.stream.Usage(); ok {
-		held.usage = u
+		buffered.usage = u
 	}
-	return held, nil
+	return buffered, nil
 }
 
-// completion is the part of an answer, whole or one event, that the check reads.
+// completion holds the fields of an answer, or of one event of a stream, that the
+// check reads.
 type completion struct {
 	Choices []struct {
 		Message      struct{ Content string }
@@ -145,14 +149,14 @@
 // dataPrefix precedes the JSON of a server-sent event.
 const dataPrefix = "data:"
 
-// describe returns the answer in the form that the check takes.
-func (h *heldAnswer) describe(c *call) *cascade.Answer {
+// describe returns the answer as input for the check.
+func (h *bufferedAnswer) describe(c *call) *cascade.Answer {
 	var text strings.Builder
 	answer := &cascade.Answer{Kind: c.kind.GetName()}
 	for _, data := range h.data {
 		var part completion
 		if json.Unmarshal(bytes.TrimPrefix(data, []byte(dataPrefix)), &part) != nil {
-			continue // The end mark of a stream is not JSON.
+			continue // The [DONE] marker of a stream is not JSON.
 		}
 		for _, choice := range part.Choices {
 			text.WriteString(choice.Message.Content)
--- a/router/chat.go
+++ b/router/chat.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// prepareKind reads the headers that all requests share.
+// prepareKind reads the headers that are common to all requests.
 func (r *Router) prepareKind(h http.Header, c *call, name string) *failure.Error {
 	kind, ok := c.tables.Snapshot.Kind(name)
 	if !ok {
@@ -57,7 +57,8 @@
 	return f
 }
 
-// runChat carries out a chat completion.
+// runChat chooses a version for a chat completion, admits it, takes its claim and
+// runs it.
 func (r *Router) runChat(ctx context.Context, a *answer, c *call) *failure.Error {
 	if f := c.requireKey(); f != nil {
 		return f
@@ -74,8 +75,8 @@
 	return r.answerChat(ctx, a, c, &decision, grant, claim)
 }
 
-// requireKey refuses a non-idempotent request without an idempotency key: a
-// repeat by the caller could not be told from a new request.
+// requireKey refuses a non-idempotent request without an idempotency key, since a
+// repeat by the caller could not be distinguished from a new request.
 func (c *call) requireKey() *failure.Error {
 	if c.idempotent() || c.idempotencyKey != "" {
 		return nil
@@ -83,8 +84,8 @@
 	return failure.New(failure.CodeKeyRequired, failure.RanNo, "non-idempotent requests need the header %s", callerapi.HeaderIdempotencyKey)
 }
 
-// chooseVersion settles the version of the request: that of its conversation,
-// or the choice of the policy.
+// chooseVersion determines the version of the request: the one that its
+// conversation is pinned to, or the choice of the policy.
 func (r *Router) chooseVersion(ctx context.Context, c *call) (selection.Decision, *failure.Error) {
 	if c.conversation == "" {
 		return r.choose(c, c.chat.model)
@@ -100,8 +101,9 @@
 	return r.beginConversation(ctx, c)
 }
 
-// beginConversation settles the version of a new conversation with whoever
-// else begins it at the same time.
+// beginConversation chooses the version of a new conversation and pins it in the
+// ledger. If a concurrent request pinned the conversation first, its version is
+// used.
 func (r *Router) beginConversation(ctx context.Context, c *call) (selection.Decision, *failure.Error) {
 	decision, f := r.choose(c, c.chat.model)
 	if f != nil {
@@ -117,8 +119,8 @@
 	return r.continueConversation(c, pinned.Version)
 }
 
-// continueConversation keeps a conversation on its version, or refuses. It is
-// never moved to another version silently.
+// continueConversation keeps a conversation on its pinned version. It refuses the
+// request if that version cannot be used, and never switches versions silently.
 func (r *Router) continueConversation(c *call, version string) (selection.Decision, *failure.Error) {
 	if f := checkUsable(c.tables.Snapshot, c.organisation.GetName(), version); f != nil {
 		return selection.Decision{}, f
@@ -129,8 +131,8 @@
 	return r.choose(c, version)
 }
 
-// matchesConstraint refuses a request that names another model or version than
-// its conversation runs on.
+// matchesConstraint refuses a request that names a model or version other than
+// the one that its conversation runs on.
 func matchesConstraint(s *config.Snapshot, constraint, version string) *failure.Error {
 	if constraint == "" || constraint == version {
 		return nil
@@ -141,7 +143,8 @@
 	return failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "the conversation runs on %s", version)
 }
 
-// checkUsable tells whether a version may receive new work of an organisation.
+// checkUsable returns a failure unless an organisation may send new work to a
+// version.
 func checkUsable(s *config.Snapshot, organisation, version string) *failure.Error {
 	if !s.Allowed(organisation, version) {
 		return failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "the organisation may not use this version")
--- a/router/choose.go
+++ b/router/choose.go
@@ -15,7 +15,7 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// choose asks the policy for a version within a constraint.
+// choose asks the policy for a version that satisfies a constraint.
 func (r *Router) choose(c *call, constraint string) (decision selection.Decision, f *failure.Error) {
 	req := selection.Request{
 		Organisation:             c.organisation.GetName(),
@@ -32,15 +32,15 @@
 	req.SpendLeftMicros, req.SpendLimited = r.Admission.SpendLeft(req.Organisation, now)
 	decision, f = r.chooseWith(c, &req, now)
 	if f != nil && f.Code == failure.CodeSpendExceeded {
-		// Nothing fits what is left here. Admission refuses it, and knows when
-		// there may be more.
+		// No version fits the remaining spend. Choose without this limit: admission
+		// then refuses the request, and knows when the limit resets.
 		req.SpendLimited = false
 		decision, f = r.chooseWith(c, &req, now)
 	}
 	return decision, f
 }
 
-// chooseWith asks the policy once.
+// chooseWith asks the policy for a version once.
 func (r *Router) chooseWith(c *call, req *selection.Request, now time.Time) (decision selection.Decision, f *failure.Error) {
 	var err error
 	r.withRand(func(rng *rand.Rand) {
@@ -52,8 +52,9 @@
 	return decision, nil
 }
 
-// completionHint is the caller's bound on the answer where it is shorter than
-// usual, and zero otherwise: a generous bound tells nothing of the length.
+// completionHint returns the caller's max_tokens if it is less than the length
+// expected for the kind, and zero otherwise, since a high bound says nothing about
+// the length of the answer.
 func (c *call) completionHint() int64 {
 	if c.chat.maxTokens < c.kind.GetExpectedCompletionTokens() {
 		return c.chat.maxTokens
@@ -61,7 +62,7 @@
 	return 0
 }
 
-// stickyKey is the key by which a request falls on one side of a roll-out.
+// stickyKey returns the key that assigns a request to one version of a roll-out.
 func (c *call) stickyKey() string {
 	if c.conversation != "" {
 		return c.conversation
@@ -72,7 +73,7 @@
 	return c.requestID
 }
 
-// expectedTokens is the expected length of the answer.
+// expectedTokens returns the expected length of the answer in tokens.
 func (c *call) expectedTokens() int64 {
 	expected := c.kind.GetExpectedCompletionTokens()
 	if c.chat.maxTokens > 0 {
@@ -89,17 +90,18 @@
 	}
 }
 
-// prefixBlocks bounds the part of a prompt that decides prefix-cache affinity.
-const prefixBlocks = 4
+// maxPrefixBlocks bounds the number of prompt blocks that determine prefix-cache
+// affinity.
+const maxPrefixBlocks = 4
 
-// maxSaltBytes bounds the salt in front of a prompt, its separator included.
+// maxSaltBytes bounds the salt that precedes a prompt, including its separator.
 const maxSaltBytes = 24
 
-// prefixHash names the beginning of a prompt, salted by organisation, in the
-// form that engines use in their cache events. It is zero for short prompts.
+// prefixHash returns the hash of the beginning of a prompt, salted by organisation,
+// as engines report it in their cache events. It is zero for short prompts.
 func prefixHash(organisation string, messages json.RawMessage) uint64 {
 	if len(messages)+maxSaltBytes < engine.PrefixBlockBytes {
-		return 0 // The text of the prompt is no longer than its JSON.
+		return 0 // The prompt text is at most as long as its JSON.
 	}
 	body, err := encodeJSON(map[string]json.RawMessage{
 		"cache_salt": cacheSalt(organisation),
@@ -112,19 +114,20 @@
 	if err != nil {
 		return 0
 	}
-	hashes := engine.PromptPrefixes(text, prefixBlocks)
+	hashes := engine.PromptPrefixes(text, maxPrefixBlocks)
 	if len(hashes) == 0 {
 		return 0
 	}
 	return hashes[len(hashes)-1]
 }
 
-// cacheSalt separates the prefix caches of organisations inside an engine.
+// cacheSalt returns the salt that keeps the prefix-cache entries of organisations
+// separate within an engine.
 func cacheSalt(organisation string) json.RawMessage {
 	return json.RawMessage(strconv.AppendQuote(nil, strconv.FormatUint(xxhash.Sum64String(organisation), 16)))
 }
 
-// encodeJSON encodes v without escaping HTML, since prompts pass unchanged.
+// encodeJSON encodes v without escaping HTML, since prompts must pass unchanged.
 func encodeJSON(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := json.NewEncoder(&buf)
--- a/router/claim.go
+++ b/router/claim.go
@@ -8,7 +8,8 @@
 	"github.com/bronzeturn/bronzeturn/ledger"
 )
 
-// Ledger settles, for all daemons, who was first.
+// Ledger records bills, claims of idempotency keys and pinned conversations for
+// all daemons. Of concurrent claims or pins of one key, exactly one is first.
 type Ledger interface {
 	Reserve() (*ledger.Reservation, error)
 	Claim(ctx context.Context, req ledger.ClaimRequest) (ledger.ClaimResult, error)
@@ -19,21 +20,24 @@
 	Bill(ctx context.Context, b ledger.Bill) (ledger.Durability, error)
 }
 
-// inProgressRetryAfter is when a caller should ask again for a request that
-// still runs.
+// inProgressRetryAfter is the Retry-After for repeats of a request that is still
+// running.
 const inProgressRetryAfter = time.Second
 
 // claim is the right to run a request that names an idempotency key.
 type claim struct {
-	// held tells that there is a claim; requests without a key need none.
+	// held is set if this request holds the claim. Requests without an idempotency
+	// key need none.
 	held bool
-	// replayed tells that the caller got the recorded outcome.
+	// replayed is set if another request holds the claim and the caller was
+	// answered with its outcome.
 	replayed bool
 	ticket   ledger.Ticket
 }
 
-// claim takes the claim of the request, or answers with the outcome of the one
-// that was first. Waiting for that takes no place from other requests.
+// claim takes the claim of the request's idempotency key. If another request holds
+// it, claim answers with that request's outcome, and releases the grant first so
+// that the wait does not use capacity.
 func (r *Router) claim(ctx context.Context, a *answer, c *call, g *grant) (claim, *failure.Error) {
 	if c.idempotencyKey == "" {
 		return claim{}, nil
@@ -55,7 +59,8 @@
 	return claim{replayed: true}, r.replay(ctx, a, c, result)
 }
 
-// ledgerKey separates the keys of chat completions and of each plain service.
+// ledgerKey returns the idempotency key, prefixed to separate the keys of chat
+// completions and of each plain service.
 func (c *call) ledgerKey() string {
 	if c.service != nil {
 		return "service/" + c.service.GetName() + "/" + c.idempotencyKey
@@ -63,7 +68,7 @@
 	return "chat/" + c.idempotencyKey
 }
 
-// replay answers a repeated request from the claim that was first.
+// replay answers a repeated request with the outcome of the first one.
 func (r *Router) replay(ctx context.Context, a *answer, c *call, result ledger.ClaimResult) *failure.Error {
 	if result.State == ledger.StateRunning {
 		settled, ok, err := r.Ledger.Wait(ctx, c.organisation.GetName(), c.ledgerKey())
@@ -94,14 +99,14 @@
 	}
 	a.begin(o.Status, o.ContentType, o.Version, len(o.Body))
 	if err := a.write(o.Body); err != nil {
-		return callerGone(err, failure.RanYes)
+		return callerWriteFailure(err, failure.RanYes)
 	}
 	return nil
 }
 
-// complete records how a claimed request ended. A failure to record leaves the
-// claim to read as unknown after its deadline, which is safe.
-func (r *Router) complete(ctx context.Context, c *call, held claim, state ledger.ClaimState, outcome *ledger.Outcome) {
+// recordOutcome records how a claimed request ended. If that fails, the claim reads
+// as unknown after its deadline, which is safe.
+func (r *Router) recordOutcome(ctx context.Context, c *call, held claim, state ledger.ClaimState, outcome *ledger.Outcome) {
 	if !held.held {
 		return
 	}
@@ -117,8 +122,8 @@
 	}
 }
 
-// claimState is the claim's state after a failure.
-func claimState(f *failure.Error) ledger.ClaimState {
+// claimStateAfter returns the state of a claim whose request ended with a failure.
+func claimStateAfter(f *failure.Error) ledger.ClaimState {
 	if f.Ran == failure.RanNo {
 		return ledger.StateNotRun
 	}
--- a/router/gate.go
+++ b/router/gate.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// gate counts the requests in progress and can be closed for new ones. Unlike
-// a sync.WaitGroup it allows new entries while somebody waits.
+// gate counts the requests in progress and can be closed to new ones. Unlike a
+// sync.WaitGroup, it allows new entries while a goroutine waits.
 type gate struct {
 	mu     sync.Mutex
 	closed bool
 	active int
-	// idle is closed when the gate is closed and the last request has left.
+	// idle is closed once the gate is closed and the last request has left.
 	idle chan struct{}
 }
 
@@ -19,7 +19,7 @@
 	return &gate{idle: make(chan struct{})}
 }
 
-// enter counts a request in, or reports false when the gate is closed.
+// enter counts a new request. It returns false if the gate is closed.
 func (g *gate) enter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,15 +30,15 @@
 	return true
 }
 
-// leave counts a request out.
+// leave records the end of a request for which enter returned true.
 func (g *gate) leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active--
-	g.signal()
+	g.signalIdle()
 }
 
-// close lets no new request in. It may be called more than once.
+// close makes further calls of enter return false. It may be called more than once.
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,17 +46,19 @@
 		return
 	}
 	g.closed = true
-	g.signal()
+	g.signalIdle()
 }
 
-// signal closes idle when nothing is left. The caller holds the lock.
-func (g *gate) signal() {
+// signalIdle closes idle if the gate is closed and no request is in progress. The
+// caller must hold mu.
+func (g *gate) signalIdle() {
 	if g.closed && g.active == 0 {
 		close(g.idle)
 	}
 }
 
-// wait returns when the gate is closed and empty, or ctx ends.
+// wait returns when the gate is closed and no request is in progress, or when ctx
+// ends.
 func (g *gate) wait(ctx context.Context) error {
 	select {
 	case <-g.idle:
@@ -66,7 +68,7 @@
 	}
 }
 
-// inProgress returns the number of requests counted in.
+// inProgress returns the number of requests in progress.
 func (g *gate) inProgress() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/router/launch.go
+++ b/router/launch.go
@@ -15,25 +15,28 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// wholeAnswerSlack multiplies the expected time of a whole answer before its
-// connection counts as silent, since nothing comes until it is complete.
-const wholeAnswerSlack = 4
+// nonStreamingSilenceFactor multiplies the expected time of a non-streaming answer
+// to give the time after which its connection counts as silent, since the engine
+// sends nothing until the answer is complete.
+const nonStreamingSilenceFactor = 4
 
-// launch is what is needed to send one request to engines.
+// launch is the state of sending one request to the engines of a version.
 type launch struct {
 	call    *call
 	version string
 	body    []byte
 	fence   uint64
 	tried   [balance.MaxExclude]string
-	// attempts counts those sent, ran is the worst that is known of them.
+	// attempts counts the attempts sent. ran says whether any of them ran the
+	// request, as far as known.
 	attempts int
 	ran      failure.Ran
-	// retrying is set while one send of a quarantined request is permitted.
-	retrying bool
+	// quarantineRetry is set while the quarantine permits one send of a held
+	// request.
+	quarantineRetry bool
 }
 
-// attempt is one request at one engine that began to answer.
+// attempt is one send of a request to one engine.
 type attempt struct {
 	engine  string
 	version string
@@ -45,51 +48,51 @@
 	firstAt time.Time
 	// expected is the time to the first token that the balancer expected.
 	expected time.Duration
-	// whole tells that the answer comes in one piece.
-	whole bool
-	// reported tells that the balancer knows the end.
+	// nonStreaming is set if the answer comes in one piece.
+	nonStreaming bool
+	// reported is set once the end has been reported to the balancer.
 	reported bool
-	// engineStart, hash and send identify the engine, the request and the send in progress to
-	// the quarantine.
+	// engineStart, hash and send identify the engine, the request and the send to the
+	// quarantine.
 	engineStart inventory.Engine
 	hash        quarantine.Hash
 	send        *quarantine.Send
 }
 
-// begin sends the request to engines, one after the other, until one begins to
-// answer, the retry rules say no, or the deadline comes.
-func (r *Router) begin(ctx context.Context, l *launch) (*attempt, *failure.Error) {
+// sendWithRetries sends the request to one engine after another until an engine
+// begins to answer, the retry policy refuses another attempt, or the deadline passes.
+func (r *Router) sendWithRetries(ctx context.Context, l *launch) (*attempt, *failure.Error) {
 	r.Budget.Request(time.Now())
 	for {
-		if f := l.late(ctx); f != nil {
+		if f := l.checkDeadline(ctx); f != nil {
 			return nil, f
 		}
-		if f := r.screen(ctx, l); f != nil {
+		if f := r.checkQuarantine(ctx, l); f != nil {
 			return nil, f
 		}
 		decision, f := r.chooseEngine(l, !l.call.idempotent())
 		if f != nil {
 			return nil, f
 		}
-		got, err := r.race(ctx, l, &decision)
-		l.retrying = false
+		got, err := r.sendHedged(ctx, l, &decision)
+		l.quarantineRetry = false
 		if err == nil {
 			return got, nil
 		}
 		if isQuarantined(err) {
 			l.ran = worstRan(l.ran, err.Ran)
-			return nil, r.quarantined(l)
+			return nil, r.quarantineFailure(l)
 		}
-		if f := r.again(ctx, l, err); f != nil {
+		if f := r.retryOrFail(ctx, l, err); f != nil {
 			return nil, f
 		}
 	}
 }
 
-// late refuses an attempt that would begin after the request has ended. It
-// compares the clock too, since the timer of the context of a process that was
-// frozen may not have run yet.
-func (l *launch) late(ctx context.Context) *failure.Error {
+// checkDeadline refuses an attempt that would begin after the request has ended.
+// It also compares the clock, since the context's timer may not have fired yet if
+// the process was suspended.
+func (l *launch) checkDeadline(ctx context.Context) *failure.Error {
 	switch {
 	case !time.Now().Before(l.call.deadline):
 		return failure.New(failure.CodeDeadlinePassed, l.ran, "the deadline passed before an answer came")
@@ -99,11 +102,11 @@
 	return nil
 }
 
-// chooseEngine checks the version against the newest configuration and picks
-// an engine for it. It is called before each attempt. noProbe keeps the request
-// away from engines on probation.
+// chooseEngine checks the version against the newest configuration and chooses an
+// engine for it. It must be called before each attempt. noProbe excludes engines
+// on probation.
 func (r *Router) chooseEngine(l *launch, noProbe bool) (balance.Decision, *failure.Error) {
-	if f := r.stale(l.ran); f != nil {
+	if f := r.checkFresh(l.ran); f != nil {
 		return balance.Decision{}, f
 	}
 	newest := r.Tables()
@@ -135,7 +138,7 @@
 	return decision, nil
 }
 
-// work is the size of the request for the balancer.
+// work returns the size of the request for the balancer.
 func (l *launch) work() balance.Work {
 	return balance.Work{
 		Priority:       l.call.priority,
@@ -144,39 +147,40 @@
 	}
 }
 
-// send sends the request to one engine and waits for the first event. Several
-// calls for one launch may run at once.
-func (r *Router) send(ctx context.Context, l *launch, d *balance.Decision) (*attempt, *engine.Error) {
+// sendOnce sends the request to one engine and waits for the first event. Several
+// calls for one launch may run concurrently.
+func (r *Router) sendOnce(ctx context.Context, l *launch, d *balance.Decision) (*attempt, *engine.Error) {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	sendCtx, send := r.Quarantine.Sending(attemptCtx, l.call.hash)
 	a := &attempt{
 		engine: d.Engine.GetName(), version: l.version, work: l.work(), cancel: cancel,
-		sentAt: time.Now(), expected: d.ExpectedFirstToken, whole: !l.call.chat.stream,
+		sentAt: time.Now(), expected: d.ExpectedFirstToken, nonStreaming: !l.call.chat.stream,
 		engineStart: r.engineOf(l, d), hash: l.call.hash, send: send,
 	}
 	r.Engines.Dispatched(balance.Dispatched{Engine: a.engine, Work: a.work, PrefixHash: l.call.chat.prefixHash, At: a.sentAt})
-	err := r.open(sendCtx, l, d, a)
+	err := r.openStream(sendCtx, l, d, a)
 	if err != nil {
 		err = quarantinedCause(sendCtx, err)
 		a.release()
-		r.failed(a, err)
+		r.reportFailed(a, err)
 		if err.Kind == engine.Broken {
-			// The choice of the next engine depends on whether this one has ended.
+			// Whether and where the request is sent next depends on whether this engine
+			// has ended.
 			r.Quarantine.Wait(ctx, a.engineStart.Key())
 		}
 		return nil, err
 	}
 	a.send.Begun()
 	a.firstAt = time.Now()
-	r.firstToken(a)
+	r.reportFirstToken(a)
 	return a, nil
 }
 
-// open sends the request and reads the first event.
-func (r *Router) open(ctx context.Context, l *launch, d *balance.Decision, a *attempt) *engine.Error {
-	// The request may have been convicted between the last check and Sending, which cancels
-	// the context only for later convictions.
-	if r.Quarantine.Held(l.call.hash) && !l.retrying {
+// openStream sends the request and reads the first event.
+func (r *Router) openStream(ctx context.Context, l *launch, d *balance.Decision, a *attempt) *engine.Error {
+	// The request may have been quarantined between the last check and Sending, which
+	// cancels the context only if the request is quarantined afterwards.
+	if r.Quarantine.Held(l.call.hash) && !l.quarantineRetry {
 		return newQuarantinedError(failure.RanNo)
 	}
 	stream, err := r.EngineClient.Open(ctx, engine.Request{
@@ -202,18 +206,18 @@
 	return nil
 }
 
-// progressTimeout bounds the silence of a connection.
+// progressTimeout returns how long a connection may make no progress.
 func (l *launch) progressTimeout(d *balance.Decision) time.Duration {
 	timeout := l.call.kind.GetProgressTimeout().AsDuration()
 	if l.call.chat.stream {
 		return timeout + d.ExpectedWait
 	}
-	return timeout + wholeAnswerSlack*d.ExpectedAnswer
+	return timeout + nonStreamingSilenceFactor*d.ExpectedAnswer
 }
 
-// count records that an attempt goes to an engine and keeps later ones away
-// from it.
-func (l *launch) count(name string) {
+// markTried counts an attempt at an engine and excludes the engine from later
+// attempts.
+func (l *launch) markTried(name string) {
 	l.attempts++
 	for i := range l.tried {
 		if l.tried[i] == "" {
@@ -223,8 +227,9 @@
 	}
 }
 
-// again decides on a retry and waits for its turn. A failure ends the request.
-func (r *Router) again(ctx context.Context, l *launch, err *engine.Error) *failure.Error {
+// retryOrFail decides whether to retry a failed attempt, and waits for the backoff
+// if so. Otherwise it returns the failure that ends the request.
+func (r *Router) retryOrFail(ctx context.Context, l *launch, err *engine.Error) *failure.Error {
 	l.ran = worstRan(l.ran, err.Ran)
 	again, wait, reason := r.nextAttempt(retry.Attempt{
 		Kind:       retryKinds[err.Kind],
@@ -240,7 +245,7 @@
 	return engineFailure(ctx, err, l.ran)
 }
 
-// nextAttempt asks the retry rules about a failed attempt.
+// nextAttempt asks the retry policy about a failed attempt.
 func (r *Router) nextAttempt(a retry.Attempt) (again bool, wait time.Duration, reason retry.Reason) {
 	r.withRand(func(rng *rand.Rand) {
 		again, wait, reason = r.Retries.Next(a, r.Budget, time.Now(), rng)
@@ -248,19 +253,20 @@
 	return again, wait, reason
 }
 
-// firstToken tells the balancer that an answer began. The first token of an
-// answer that comes whole is not measured.
-func (r *Router) firstToken(a *attempt) {
+// reportFirstToken reports to the balancer that an answer began. It reports no
+// first-token latency for non-streaming answers, where it cannot be measured.
+func (r *Router) reportFirstToken(a *attempt) {
 	ev := balance.FirstToken{Engine: a.engine, Work: a.work, Expected: a.expected, At: a.firstAt}
-	if !a.whole {
+	if !a.nonStreaming {
 		ev.Latency = a.firstAt.Sub(a.sentAt)
 	}
 	r.Engines.FirstToken(ev)
 }
 
-// finished tells the balancer that an answer is whole, unless it knows that
-// already. Call it when the last event came, since the engine is free then.
-func (r *Router) finished(a *attempt, events int64) {
+// reportFinished reports to the balancer that an answer is complete, unless the
+// end was reported already. It must be called as soon as the last event has
+// arrived, since the engine is free from then on.
+func (r *Router) reportFinished(a *attempt, events int64) {
 	if a.reported {
 		return
 	}
@@ -278,27 +284,27 @@
 	})
 }
 
-// generation is the time from the first token to the last, estimated for an
-// answer that comes whole.
+// generation returns the time from the first token to the last. It is an estimate
+// for a non-streaming answer.
 func (a *attempt) generation(now time.Time) time.Duration {
-	if a.whole {
+	if a.nonStreaming {
 		return max(a.firstAt.Sub(a.sentAt)-a.expected, 0)
 	}
 	return now.Sub(a.firstAt)
 }
 
-// failed tells the balancer that an attempt got no whole answer, unless it
-// knows the end already.
-func (r *Router) failed(a *attempt, err *engine.Error) {
+// reportFailed reports to the balancer that an attempt got no complete answer,
+// unless the end was reported already.
+func (r *Router) reportFailed(a *attempt, err *engine.Error) {
 	if a.reported {
 		return
 	}
 	a.reported = true
 	now := time.Now()
 	r.metrics.attempts.WithLabelValues(string(err.Kind)).Inc()
-	r.tellQuarantine(a, err)
-	kind, tells := balanceKinds[err.Kind]
-	if !tells {
+	r.reportToQuarantine(a, err)
+	kind, known := balanceKinds[err.Kind]
+	if !known {
 		r.Engines.Finished(balance.Finished{Engine: a.engine, Work: a.work, FirstTokenSeen: !a.firstAt.IsZero(), Cancelled: true, At: now})
 		return
 	}
@@ -308,8 +314,8 @@
 	})
 }
 
-// balanceKinds maps failures that tell something of the engine. The others are
-// the caller's.
+// balanceKinds maps the failures that say something about the state of the engine
+// to those of the balancer. The others are due to the caller or the request.
 var balanceKinds = map[engine.Kind]balance.FailureKind{
 	engine.Unreachable: balance.FailureUnreachable,
 	engine.Refused:     balance.FailureBusy,
@@ -318,7 +324,7 @@
 	engine.Silent:      balance.FailureSilent,
 }
 
-// retryKinds maps failures to those of the retry rules.
+// retryKinds maps failures to those of the retry policy.
 var retryKinds = map[engine.Kind]retry.Kind{
 	engine.Unreachable: retry.KindConnect,
 	engine.Refused:     retry.KindRefused,
@@ -330,8 +336,8 @@
 	engine.Canceled:    retry.KindCancelled,
 }
 
-// asEngineError returns err as an *engine.Error. Any other error is read as
-// unknown, the only safe reading.
+// asEngineError returns err as an *engine.Error. For any other error it is unknown
+// whether the request ran, the only safe assumption.
 func asEngineError(err error) *engine.Error {
 	var e *engine.Error
 	if errors.As(err, &e) {
--- a/router/log.go
+++ b/router/log.go
@@ -17,8 +17,8 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// with adds what names a request to a log line.
-func with(e *zerolog.Event, c *call) *zerolog.Event {
+// withRequestFields adds the fields that identify a request to a log line.
+func withRequestFields(e *zerolog.Event, c *call) *zerolog.Event {
 	e.Str("request", c.requestID)
 	if c.organisation != nil {
 		e.Str("organisation", c.organisation.GetName())
@@ -29,14 +29,14 @@
 	return e
 }
 
-// logVersion writes the decision on the version.
+// logVersion logs the choice of the version.
 func (r *Router) logVersion(c *call, d *selection.Decision) {
-	with(r.Log.Info(), c).Uint64("generation", c.tables.Snapshot.Generation()).EmbedObject(d).Msg("version chosen")
+	withRequestFields(r.Log.Info(), c).Uint64("generation", c.tables.Snapshot.Generation()).EmbedObject(d).Msg("version chosen")
 }
 
-// logEngine writes the decision on the engine.
+// logEngine logs the choice of the engine, or that there is none.
 func (r *Router) logEngine(l *launch, d *balance.Decision) {
-	e := with(r.Log.Info(), l.call).Str("version", l.version).Stringer("reason", d.Reason).Int("attempt", l.attempts+1)
+	e := withRequestFields(r.Log.Info(), l.call).Str("version", l.version).Stringer("reason", d.Reason).Int("attempt", l.attempts+1)
 	if d.Engine == nil {
 		e.Dur("retry_after_ms", d.RetryAfter).Msg("no engine")
 		return
@@ -49,34 +49,34 @@
 	e.Array("candidates", candidates).Msg("engine chosen")
 }
 
-// logHedge writes the decision on a second copy.
+// logHedge logs whether a hedge is sent to a second engine.
 func (r *Router) logHedge(l *launch, second *balance.Decision, granted bool, reason hedge.Reason) {
-	with(r.Log.Info(), l.call).Str("version", l.version).Str("engine", second.Engine.GetName()).
+	withRequestFields(r.Log.Info(), l.call).Str("version", l.version).Str("engine", second.Engine.GetName()).
 		Bool("hedged", granted).Str("reason", string(reason)).Msg("hedge considered")
 }
 
-// logRetry writes the decision on another attempt.
+// logRetry logs a failed attempt and whether it is retried.
 func (r *Router) logRetry(l *launch, err *engine.Error, again bool, reason retry.Reason) {
-	with(r.Log.Info(), l.call).Str("failure", string(err.Kind)).Str("ran", string(err.Ran)).
+	withRequestFields(r.Log.Info(), l.call).Str("failure", string(err.Kind)).Str("ran", string(err.Ran)).
 		Bool("again", again).Stringer("reason", reason).Int("attempt", l.attempts).Msg("attempt failed")
 }
 
-// logCascade writes the decision on a second version.
+// logCascade logs the verdict on a cheap answer and which version runs next.
 func (r *Router) logCascade(c *call, d *selection.Decision, v cascade.Verdict, next cascade.Decision) {
-	with(r.Log.Info(), c).Str("version", d.Version).Stringer("verdict", v).
+	withRequestFields(r.Log.Info(), c).Str("version", d.Version).Stringer("verdict", v).
 		Str("next", next.Version).Stringer("reason", next.Reason).Msg("answer checked")
 }
 
-// logFailure writes a request that got no whole answer.
+// logFailure logs a request that got no complete answer.
 func (r *Router) logFailure(c *call, f *failure.Error) {
-	e := with(r.Log.Info(), c).Str("code", string(f.Code)).Str("ran", string(f.Ran))
+	e := withRequestFields(r.Log.Info(), c).Str("code", string(f.Code)).Str("ran", string(f.Ran))
 	if cause := f.Unwrap(); cause != nil {
 		e.Str("cause", causeText(cause))
 	}
 	e.Msg("request failed")
 }
 
-// causeText describes a cause without the words of an engine, which may quote
+// causeText describes a cause without the engine's error message, which may quote
 // the prompt.
 func causeText(err error) string {
 	var status *engine.StatusError
@@ -86,18 +86,19 @@
 	return err.Error()
 }
 
-// billed logs and counts a recorded bill, and learns from the answer.
-func (r *Router) billed(s *settlement, durability ledger.Durability) {
+// recordBilled logs a recorded bill and adds it to the metrics.
+func (r *Router) recordBilled(s *settlement, durability ledger.Durability) {
 	r.metrics.tokens.WithLabelValues(s.version, "prompt").Add(float64(s.promptTokens))
 	r.metrics.tokens.WithLabelValues(s.version, "completion").Add(float64(s.completionTokens))
 	r.metrics.cost.WithLabelValues(s.version).Add(float64(s.costMicros))
-	with(r.Log.Info(), s.call).Str("version", s.version).Int64("cost_micros", s.costMicros).
+	withRequestFields(r.Log.Info(), s.call).Str("version", s.version).Int64("cost_micros", s.costMicros).
 		Int64("prompt_tokens", s.promptTokens).Int64("completion_tokens", s.completionTokens).
 		Stringer("durability", durability).Msg("request billed")
 }
 
-// answered feeds back a whole answer.
-func (r *Router) answered(s *settlement) {
+// reportAnswered passes a complete answer to the quality statistics and to the
+// sampler.
+func (r *Router) reportAnswered(s *settlement) {
 	kind := s.call.kind.GetName()
 	r.Quality.Answered(quality.Answered{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
 	r.Raters.Sample(AnswerSample{
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// metrics are the counters of the request path. Labels are bounded by the
-// rules and the register; none names an organisation or a request.
+// metrics are the metrics of the request path. The label values are bounded by the
+// rules and the register; none identifies an organisation or a request.
 type metrics struct {
 	requests     *prometheus.CounterVec
 	refusals     *prometheus.CounterVec
@@ -59,11 +59,11 @@
 		}, []string{"version"}),
 		escalations: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bronzeturn_escalations_total",
-			Help: "Answers that a stronger version had to give again.",
+			Help: "Cheap answers of cascades that were replaced by the answer of a stronger version.",
 		}),
 		billFailures: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bronzeturn_bill_failures_total",
-			Help: "Bills that the ledger did not take.",
+			Help: "Bills that could not be recorded in the ledger.",
 		}),
 	}
 	if reg != nil {
@@ -73,11 +73,11 @@
 	return m
 }
 
-// codeOK labels requests that got their whole answer.
+// codeOK is the label value of requests and attempts that got a complete answer.
 const codeOK = "ok"
 
-// ended records the end of a request.
-func (m *metrics) ended(kind string, f *failure.Error, took time.Duration) {
+// observeRequest records the result and the duration of a request.
+func (m *metrics) observeRequest(kind string, f *failure.Error, took time.Duration) {
 	if f != nil {
 		m.requests.WithLabelValues(kind, string(f.Code)).Inc()
 		m.refusals.WithLabelValues(string(f.Code), string(f.Ran)).Inc()
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -9,11 +9,12 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// busyRetryAfter is the advice when an engine gave none.
+// busyRetryAfter is the least Retry-After sent to callers if an engine or a service
+// took no request.
 const busyRetryAfter = time.Second
 
-// worstRan combines what is known of two attempts: "not run" only if neither
-// ran, "run" if one certainly did.
+// worstRan combines what is known of two attempts: RanNo only if neither ran,
+// RanYes if one certainly did.
 func worstRan(a, b failure.Ran) failure.Ran {
 	if a == failure.RanYes || b == failure.RanYes {
 		return failure.RanYes
@@ -24,7 +25,7 @@
 	return failure.RanNo
 }
 
-// engineFailure is what the caller hears when no further attempt is made.
+// engineFailure returns the failure for the caller if no further attempt is made.
 func engineFailure(ctx context.Context, err *engine.Error, ran failure.Ran) *failure.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Wrap(err, failure.CodeDeadlinePassed, ran, "the deadline passed before an answer came")
@@ -44,8 +45,9 @@
 	}
 }
 
-// brokenAnswer is what the caller hears when an answer ends in the middle.
-func brokenAnswer(ctx context.Context, err *engine.Error) *failure.Error {
+// brokenAnswerFailure returns the failure for the caller if an answer ends before it
+// is complete.
+func brokenAnswerFailure(ctx context.Context, err *engine.Error) *failure.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Wrap(err, failure.CodeDeadlinePassed, failure.RanYes, "the deadline passed within the answer")
 	}
@@ -55,7 +57,8 @@
 	return failure.Wrap(err, failure.CodeAnswerBroken, failure.RanYes, "the answer ended before it was complete")
 }
 
-// callerGone reports a caller that does not read its answer.
-func callerGone(err error, ran failure.Ran) *failure.Error {
+// callerWriteFailure returns the failure of a request whose caller has disconnected
+// or has stopped reading.
+func callerWriteFailure(err error, ran failure.Ran) *failure.Error {
 	return failure.Wrap(err, failure.CodeCanceled, ran, "the caller does not read its answer")
 }
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -30,7 +30,7 @@
 	// Ends returns the number of engines that ended while they processed a request, zero once
 	// it has completed since.
 	Ends(h quarantine.Hash) int
-	// Sending registers a send. The returned context is canceled if the request is convicted
+	// Sending registers a send. The returned context is canceled if the request is quarantined
 	// before the engine begins to answer.
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed records that a request completed.
@@ -52,21 +52,21 @@
 	return h.Sum()
 }
 
-// screen returns a failure if the request must not be sent because it crashes engines. It
-// must be called before each send.
-func (r *Router) screen(ctx context.Context, l *launch) *failure.Error {
+// checkQuarantine returns a failure if the request must not be sent because it crashes
+// engines. It must be called before each send.
+func (r *Router) checkQuarantine(ctx context.Context, l *launch) *failure.Error {
 	ok, isRetry := r.Quarantine.Admit(ctx, l.call.hash)
 	if !ok {
-		return r.quarantined(l)
+		return r.quarantineFailure(l)
 	}
-	l.retrying = l.retrying || isRetry
+	l.quarantineRetry = l.quarantineRetry || isRetry
 	return nil
 }
 
-// quarantined logs and returns the refusal of a request that crashes engines.
-func (r *Router) quarantined(l *launch) *failure.Error {
+// quarantineFailure logs and returns the refusal of a request that crashes engines.
+func (r *Router) quarantineFailure(l *launch) *failure.Error {
 	record := r.Quarantine.Refused(l.call.hash)
-	with(r.Log.Warn(), l.call).Stringer("hash", l.call.hash).EmbedObject(&record).Str("ran", string(l.ran)).Msg("request in quarantine refused")
+	withRequestFields(r.Log.Warn(), l.call).Stringer("hash", l.call.hash).EmbedObject(&record).Str("ran", string(l.ran)).Msg("request in quarantine refused")
 	return failure.New(failure.CodeQuarantined, l.ran, "the request crashes engines").After(record.RetryAfter())
 }
 
@@ -75,8 +75,9 @@
 	return r.Quarantine.CurrentStart(inventory.Engine{ID: d.Engine.GetName(), Address: d.Engine.GetAddress(), Version: l.version})
 }
 
-// tellQuarantine reports to the quarantine a failed attempt that may be due to the end of the engine.
-func (r *Router) tellQuarantine(a *attempt, err *engine.Error) {
+// reportToQuarantine reports a failed attempt to the quarantine if the cause may be that the
+// engine ended.
+func (r *Router) reportToQuarantine(a *attempt, err *engine.Error) {
 	now := time.Now()
 	switch {
 	case err.Kind == engine.Broken:
--- a/router/race.go
+++ b/router/race.go
@@ -9,24 +9,24 @@
 	"github.com/bronzeturn/bronzeturn/hedge"
 )
 
-// maxCopies bounds the copies of one request that run at a time.
+// maxCopies bounds the number of concurrent copies of one request.
 const maxCopies = 2
 
-// sent is the result of one copy.
-type sent struct {
+// sendResult is the result of one copy.
+type sendResult struct {
 	number  int
 	attempt *attempt
 	err     *engine.Error
 }
 
-// race sends the request to the chosen engine and, when the hedging policy says
-// so, to a second one. A request that is linked to the end of an engine gets no second copy,
-// which could crash another engine. The first to begin its answer wins, the other is
-// canceled. Both count as attempts.
-func (r *Router) race(ctx context.Context, l *launch, first *balance.Decision) (*attempt, *engine.Error) {
-	l.count(first.Engine.GetName())
-	if !l.mayHedge() || l.retrying || r.Quarantine.Ends(l.call.hash) > 0 {
-		return r.send(ctx, l, first)
+// sendHedged sends the request to the chosen engine and, if the hedging policy allows
+// it, to a second one. A request that was in progress at an engine when the engine ended
+// gets no second copy, which could crash another engine. The first copy to begin its
+// answer wins; the other is canceled. Both count as attempts.
+func (r *Router) sendHedged(ctx context.Context, l *launch, first *balance.Decision) (*attempt, *engine.Error) {
+	l.markTried(first.Engine.GetName())
+	if !l.mayHedge() || l.quarantineRetry || r.Quarantine.Ends(l.call.hash) > 0 {
+		return r.sendOnce(ctx, l, first)
 	}
 	start := time.Now()
 	r.Hedges.Request(start)
@@ -34,9 +34,9 @@
 	var got *attempt
 	var err *engine.Error
 	if measured {
-		got, err = r.raceAfter(ctx, l, first, delay, start)
+		got, err = r.sendWithHedge(ctx, l, first, delay, start)
 	} else {
-		got, err = r.send(ctx, l, first)
+		got, err = r.sendOnce(ctx, l, first)
 	}
 	if err == nil {
 		r.Hedges.Answered(hedge.Answered{Kind: l.call.kind.GetName(), Latency: time.Since(start)})
@@ -44,16 +44,16 @@
 	return got, err
 }
 
-// mayHedge tells whether the rules allow a second copy at all.
+// mayHedge reports whether the rules allow hedging for this request.
 func (l *launch) mayHedge() bool {
 	return l.call.kind.GetHedge() && l.call.idempotent()
 }
 
-// raceAfter waits for the first attempt, and after the delay for a second one
-// too.
-func (r *Router) raceAfter(ctx context.Context, l *launch, first *balance.Decision, delay time.Duration, start time.Time) (*attempt, *engine.Error) {
-	results := make(chan sent, maxCopies)
-	cancels := []context.CancelFunc{r.sendAside(ctx, l, first, 0, results)}
+// sendWithHedge sends the first copy, and a second one if the first has not begun its
+// answer after the delay. It returns the first copy that begins its answer.
+func (r *Router) sendWithHedge(ctx context.Context, l *launch, first *balance.Decision, delay time.Duration, start time.Time) (*attempt, *engine.Error) {
+	results := make(chan sendResult, maxCopies)
+	cancels := []context.CancelFunc{r.sendAsync(ctx, l, first, 0, results)}
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	var failed *engine.Error
@@ -67,9 +67,9 @@
 			}
 			failed = l.combine(failed, result.err)
 		case <-timer.C:
-			if second, ok := r.secondEngine(l, delay, start); ok {
-				l.count(second.Engine.GetName())
-				cancels = append(cancels, r.sendAside(ctx, l, second, len(cancels), results))
+			if second, ok := r.hedgeEngine(l, delay, start); ok {
+				l.markTried(second.Engine.GetName())
+				cancels = append(cancels, r.sendAsync(ctx, l, second, len(cancels), results))
 				pending++
 			}
 		}
@@ -77,22 +77,22 @@
 	return nil, failed
 }
 
-// sendAside sends in a goroutine of its own. The function returned cancels it.
-func (r *Router) sendAside(ctx context.Context, l *launch, d *balance.Decision, number int, results chan<- sent) context.CancelFunc {
+// sendAsync sends a copy in its own goroutine. The returned function cancels it.
+func (r *Router) sendAsync(ctx context.Context, l *launch, d *balance.Decision, number int, results chan<- sendResult) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
-		got, err := r.send(ctx, l, d)
+		got, err := r.sendOnce(ctx, l, d)
 		if err != nil {
 			cancel()
 		}
-		results <- sent{number: number, attempt: got, err: err}
+		results <- sendResult{number: number, attempt: got, err: err}
 	}()
 	return cancel
 }
 
-// cancelLosers cancels all copies but the winner, and closes those that begin
-// their answer all the same. The winner's context ends with the request's.
-func (r *Router) cancelLosers(cancels []context.CancelFunc, winner int, results <-chan sent, pending int) {
+// cancelLosers cancels all copies but the winner, and closes those that begin their
+// answer nevertheless. The winner's context ends with that of the request.
+func (r *Router) cancelLosers(cancels []context.CancelFunc, winner int, results <-chan sendResult, pending int) {
 	for number, cancel := range cancels {
 		if number != winner {
 			cancel()
@@ -105,14 +105,14 @@
 		for range pending {
 			if loser := <-results; loser.err == nil {
 				loser.attempt.close()
-				r.failed(loser.attempt, &engine.Error{Kind: engine.Canceled})
+				r.reportFailed(loser.attempt, &engine.Error{Kind: engine.Canceled})
 			}
 		}
 	}()
 }
 
-// combine returns the later of two failures, and remembers of the earlier one
-// whether it may have run.
+// combine returns the later of two errors. It records in l.ran whether the earlier
+// attempt ran.
 func (l *launch) combine(earlier, later *engine.Error) *engine.Error {
 	if earlier != nil {
 		l.ran = worstRan(l.ran, earlier.Ran)
@@ -120,8 +120,8 @@
 	return later
 }
 
-// secondEngine decides on a hedge and its engine.
-func (r *Router) secondEngine(l *launch, delay time.Duration, start time.Time) (*balance.Decision, bool) {
+// hedgeEngine decides whether to hedge and chooses the engine for the second copy.
+func (r *Router) hedgeEngine(l *launch, delay time.Duration, start time.Time) (*balance.Decision, bool) {
 	second, f := r.chooseEngine(l, true)
 	if f != nil {
 		return nil, false
--- a/router/rechoose.go
+++ b/router/rechoose.go
@@ -8,11 +8,11 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// maxRechoices bounds the versions tried for one request beyond the first.
-const maxRechoices = 2
+// maxFallbacks bounds the number of versions tried for one request beyond the first.
+const maxFallbacks = 2
 
-// chooseAdmitted chooses a version and admits the request to it. When the
-// version has no room, the next one that reaches the target is tried.
+// chooseAdmitted chooses a version and admits the request to it. If the version has
+// no capacity, it tries the next one that meets the quality target.
 func (r *Router) chooseAdmitted(ctx context.Context, c *call) (selection.Decision, *grant, *failure.Error) {
 	decision, f := r.chooseVersion(ctx, c)
 	if f != nil {
@@ -23,7 +23,7 @@
 		if refused == nil {
 			return decision, g, nil
 		}
-		next, ok := r.chooseAgain(c, &decision, refused)
+		next, ok := r.chooseFallback(c, &decision, refused)
 		if !ok {
 			return decision, nil, refused
 		}
@@ -31,18 +31,19 @@
 	}
 }
 
-// chooseAgain chooses another version for a request that certainly did not run
-// for want of capacity. A conversation keeps its version, a version that the
-// caller named is not replaced, and none below the target is taken instead. Bulk
-// work does not move to dearer versions: it can come back later.
-func (r *Router) chooseAgain(c *call, d *selection.Decision, refused *failure.Error) (selection.Decision, bool) {
+// chooseFallback chooses another version for a request that was refused for lack of
+// capacity and certainly did not run. A conversation keeps its version, a version
+// that the caller named is not replaced, and no version below the quality target is
+// used instead. Bulk requests do not fall back to more expensive versions, since they
+// can be sent again later.
+func (r *Router) chooseFallback(c *call, d *selection.Decision, refused *failure.Error) (selection.Decision, bool) {
 	if refused.Code != failure.CodeNoCapacity || refused.Ran != failure.RanNo {
 		return selection.Decision{}, false
 	}
 	if c.priority == bronzeturnv1.Priority_PRIORITY_BULK {
 		return selection.Decision{}, false
 	}
-	if c.conversation != "" || c.chat.model == d.Version || len(c.tried) == maxRechoices {
+	if c.conversation != "" || c.chat.model == d.Version || len(c.tried) == maxFallbacks {
 		return selection.Decision{}, false
 	}
 	c.tried = append(c.tried, d.Version)
@@ -51,6 +52,6 @@
 	if f != nil || belowTarget {
 		return selection.Decision{}, false
 	}
-	with(r.Log.Info(), c).Strs("tried", c.tried).EmbedObject(&next).Msg("version chosen again")
+	withRequestFields(r.Log.Info(), c).Strs("tried", c.tried).EmbedObject(&next).Msg("version chosen again")
 	return next, true
 }
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -11,8 +11,8 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// writeFailure answers with the one JSON shape of failures. It must be called
-// before any byte of an answer was written.
+// writeFailure sends a failure in the JSON format common to all failures. It must be
+// called before any part of an answer is written.
 func writeFailure(w http.ResponseWriter, f *failure.Error) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -24,8 +24,8 @@
 	_, _ = w.Write(encodeFailure(f))
 }
 
-// encodeFailure returns the JSON body of f. Causes are not part of it, since
-// they may tell one organisation about another.
+// encodeFailure returns the JSON body of f. It omits the cause, which may disclose
+// information about another organisation.
 func encodeFailure(f *failure.Error) []byte {
 	body := callerapi.ErrorBody{Error: callerapi.ErrorDetail{
 		Code:             string(f.Code),
@@ -41,7 +41,7 @@
 	return data
 }
 
-// retryAfterSeconds rounds up to whole seconds, the unit of Retry-After.
+// retryAfterSeconds formats d for Retry-After, rounded up to whole seconds.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/router/request.go
+++ b/router/request.go
@@ -18,25 +18,26 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// Bounds on what callers send.
+// Limits and conventions for the requests of callers.
 const (
 	maxIdentifierBytes = 200
-	// bytesPerToken is the usual rough size of a token of English text. The
-	// engine's own count goes into the bill.
+	// bytesPerToken is the approximate size of a token of English text. It is used
+	// for estimates; bills use the token counts that the engine reports.
 	bytesPerToken = 4
-	// bearerPrefix precedes the key in the Authorization header.
+	// bearerPrefix precedes the caller's key in the Authorization header.
 	bearerPrefix = "Bearer "
-	// anyModel lets the router choose among all versions allowed.
+	// anyModel lets the router choose among all versions that the organisation may
+	// use.
 	anyModel = "auto"
 )
 
-// call is what one request asks for, after checks of form and identity.
+// call is one validated and authenticated request of a caller.
 type call struct {
 	tables       *Tables
 	organisation *bronzeturnv1.Organisation
 	kind         *bronzeturnv1.TaskKind
 	requestID    string
-	// idempotencyKey and conversation are empty when the caller sent none.
+	// idempotencyKey and conversation are empty if the caller sent none.
 	idempotencyKey string
 	conversation   string
 	priority       bronzeturnv1.Priority
@@ -49,7 +50,7 @@
 	hash    quarantine.Hash
 	service *bronzeturnv1.Service
 	chat    chatBody
-	// tried are the versions that had no room for the request.
+	// tried lists the versions that had no capacity for the request.
 	tried []string
 }
 
@@ -62,7 +63,7 @@
 	return *c.digest
 }
 
-// idempotent tells whether the request may run more than once.
+// idempotent reports whether the request may run more than once.
 func (c *call) idempotent() bool {
 	if c.service != nil {
 		return c.service.GetIdempotent()
@@ -70,11 +71,11 @@
 	return c.kind.GetIdempotent()
 }
 
-// chatBody is the part of a chat completion request that the router reads. The
-// other fields pass through unread.
+// chatBody holds the fields of a chat completion request that the router reads. The
+// other fields are passed on unread.
 type chatBody struct {
 	fields map[string]json.RawMessage
-	// size is the length of the body received.
+	// size is the length of the received body in bytes.
 	size          int
 	model         string
 	stream        bool
@@ -85,7 +86,8 @@
 	streamOptions map[string]json.RawMessage
 }
 
-// readBody reads a body that is within the limit and comes before the deadline.
+// readBody reads the body. It returns a failure if the body exceeds the size limit or
+// is not received before the deadline.
 func (r *Router) readBody(req *http.Request, a *answer, c *call) ([]byte, *failure.Error) {
 	tooLarge := failure.New(failure.CodeBodyTooLarge, failure.RanNo, "the body is over %d bytes", r.MaxBodyBytes)
 	if req.ContentLength > r.MaxBodyBytes {
@@ -107,7 +109,8 @@
 	return body.Bytes(), nil
 }
 
-// authenticate returns the organisation that the Authorization header names.
+// authenticate returns the organisation that the key in the Authorization header
+// belongs to.
 func authenticate(s *config.Snapshot, h http.Header) (*bronzeturnv1.Organisation, *failure.Error) {
 	value := h.Get("Authorization")
 	key, found := strings.CutPrefix(value, bearerPrefix)
@@ -119,7 +122,7 @@
 	return nil, failure.New(failure.CodeUnauthenticated, failure.RanNo, "the key is missing or not valid")
 }
 
-// identifier returns a header value after a check of its form.
+// identifier returns the value of a header after checking its length and characters.
 func identifier(h http.Header, name string) (string, *failure.Error) {
 	value := h.Get(name)
 	if len(value) > maxIdentifierBytes {
@@ -133,7 +136,7 @@
 	return value, nil
 }
 
-// deadlineOf returns the caller's deadline, bounded by the rule of the kind.
+// deadlineOf returns the caller's deadline, bounded by that of the task kind.
 func deadlineOf(h http.Header, kind *bronzeturnv1.TaskKind, now time.Time) (time.Time, *failure.Error) {
 	longest := kind.GetDeadline().AsDuration()
 	value := h.Get(callerapi.HeaderDeadline)
@@ -142,7 +145,8 @@
 	}
 	left, err := time.ParseDuration(value)
 	if err != nil {
-		// The error quotes the header, which is the caller's and unbounded.
+		// err is not passed on, since it quotes the header, whose content is
+		// arbitrary and unbounded.
 		return time.Time{}, failure.New(failure.CodeMalformedRequest, failure.RanNo, "%s is not a duration", callerapi.HeaderDeadline)
 	}
 	if left <= 0 {
@@ -151,14 +155,15 @@
 	return now.Add(min(left, longest)), nil
 }
 
-// priorities maps the header's values to the schema's.
+// priorities maps the values of the priority header to those of the schema.
 var priorities = map[string]bronzeturnv1.Priority{
 	"bulk":   bronzeturnv1.Priority_PRIORITY_BULK,
 	"normal": bronzeturnv1.Priority_PRIORITY_NORMAL,
 	"urgent": bronzeturnv1.Priority_PRIORITY_URGENT,
 }
 
-// priorityOf returns the kind's priority, or a lower one asked for.
+// priorityOf returns the priority of the task kind, or a lower one that the caller
+// asked for.
 func priorityOf(h http.Header, kind *bronzeturnv1.TaskKind) (bronzeturnv1.Priority, *failure.Error) {
 	granted := kind.GetPriority()
 	if granted == bronzeturnv1.Priority_PRIORITY_UNSPECIFIED {
@@ -207,7 +212,7 @@
 	return b, nil
 }
 
-// optionalField decodes fields[name] into dst when it is present.
+// optionalField decodes fields[name] into dst if it is present.
 func optionalField(fields map[string]json.RawMessage, name string, dst any) error {
 	raw, ok := fields[name]
 	if !ok {
@@ -231,7 +236,8 @@
 // Unwrap returns the cause.
 func (e *fieldError) Unwrap() error { return e.Cause }
 
-// malformedJSON gives the position of a JSON fault.
+// malformedJSON returns the failure for a body that cannot be decoded, with the field
+// or the position of the error.
 func malformedJSON(err error) *failure.Error {
 	var field *fieldError
 	if errors.As(err, &field) {
@@ -248,26 +254,27 @@
 	return failure.Wrap(err, failure.CodeMalformedRequest, failure.RanNo, "the body is not valid JSON")
 }
 
-// forwardBody returns the body for the engine: the version as model, and the
-// token counts asked for, since the bill needs them.
+// forwardBody returns the body for the engine. It names the version as the model, sets
+// the salt of the prefix cache, and asks for the token counts of a stream, which the
+// bill needs.
 func (b *chatBody) forwardBody(organisation, version string) ([]byte, error) {
 	model, err := json.Marshal(version)
 	if err != nil {
 		return nil, err
 	}
-	own := map[string]json.RawMessage{"model": model, "cache_salt": cacheSalt(organisation)}
+	routerFields := map[string]json.RawMessage{"model": model, "cache_salt": cacheSalt(organisation)}
 	if b.stream {
-		own["stream_options"] = includeUsage
+		routerFields["stream_options"] = includeUsage
 	}
-	body := make([]byte, 0, b.size+ownFieldBytes)
+	body := make([]byte, 0, b.size+routerFieldBytes)
 	body = append(body, '{')
-	for name, raw := range own {
+	for name, raw := range routerFields {
 		if body, err = appendField(body, name, raw); err != nil {
 			return nil, err
 		}
 	}
 	for name, raw := range b.fields {
-		if _, replaced := own[name]; replaced {
+		if _, replaced := routerFields[name]; replaced {
 			continue
 		}
 		if body, err = appendField(body, name, raw); err != nil {
@@ -278,14 +285,14 @@
 	return body, nil
 }
 
-// includeUsage asks an engine for the token counts at the end of a stream.
+// includeUsage asks an engine to report the token counts at the end of a stream.
 var includeUsage = json.RawMessage(`{"include_usage":true}`)
 
-// ownFieldBytes is the usual size of the fields that the router sets.
-const ownFieldBytes = 160
+// routerFieldBytes is the typical total size of the fields that the router sets.
+const routerFieldBytes = 160
 
-// appendField appends one field and a comma. The value was decoded as JSON
-// before, so it passes as it is.
+// appendField appends one field and a comma. The value is appended unchanged, since
+// it is known to be valid JSON.
 func appendField(body []byte, name string, raw json.RawMessage) ([]byte, error) {
 	quoted, err := json.Marshal(name)
 	if err != nil {
--- a/router/request_test.go
+++ b/router/request_test.go
@@ -47,7 +47,7 @@
 		text, err := engine.PromptText(body)
 		c.Assert(err, qt.IsNil)
 		var wanted uint64
-		if hashes := engine.PromptPrefixes(text, prefixBlocks); len(hashes) > 0 {
+		if hashes := engine.PromptPrefixes(text, maxPrefixBlocks); len(hashes) > 0 {
 			wanted = hashes[len(hashes)-1]
 		}
 		c.Assert(prefixHash("depot", messages), qt.Equals, wanted)
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,7 @@
-// Package router carries out the way of one request: it checks form and
-// identity, asks the decision packages for a version and an engine, forwards,
-// streams the answer back, bills and counts. It keeps no decision of its own.
+// Package router processes the requests of callers. It validates and authenticates
+// a request, has the policy packages choose a version and an engine, forwards the
+// request, streams the answer back, records the bill and updates the metrics. It
+// contains no policy itself.
 package router
 
 import (
@@ -28,18 +29,18 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// EngineClient sends one request to one engine.
+// EngineClient sends a request to one engine.
 type EngineClient interface {
 	Open(ctx context.Context, r engine.Request) (*engine.Stream, error)
 }
 
-// ServiceClient calls one instance of a plain service once.
+// ServiceClient calls one instance of a plain service, without retries.
 type ServiceClient interface {
 	Call(ctx context.Context, c plainservice.Call) (*plainservice.Response, error)
 }
 
-// Balancer chooses engines and follows what they do. Each Dispatched is
-// followed by exactly one Finished or Failed.
+// Balancer chooses engines and tracks their load. Each call of Dispatched is followed
+// by exactly one call of Finished or Failed.
 type Balancer interface {
 	Choose(p *balance.Plan, r *balance.Request, now time.Time, rng *rand.Rand) (balance.Decision, bool)
 	Dispatched(ev balance.Dispatched)
@@ -48,39 +49,38 @@
 	Failed(ev balance.Failed)
 }
 
-// Members tells about daemons and backend hosts.
+// Members describes the daemons and the backend hosts of the fleet.
 type Members interface {
-	// Entries returns the addresses that callers should use, best first, and
-	// how long they may keep them.
+	// Entries returns the addresses that callers should use, in order of
+	// preference, and how long callers may cache them.
 	Entries(rng *rand.Rand) ([]string, time.Duration)
-	// BackendLeaving tells whether a backend host gets no new work.
+	// BackendLeaving reports whether a backend host must get no new work.
 	BackendLeaving(host string) bool
 }
 
-// Raters takes samples of answers to be rated. It must not block.
+// Sampler selects answers for the rating service. Sample must not block.
 type Raters interface {
 	Sample(s AnswerSample)
 }
 
-// AnswerSample names one answer for the rating service.
+// AnswerSample identifies one answer for the rating service.
 type AnswerSample struct {
 	RequestID    string
 	Organisation string
 	Version      string
 	Kind         string
-	// Accepted tells that the check of a cascade let the answer pass.
+	// Accepted reports whether the answer passed the check of a cascade.
 	Accepted bool
 }
 
-// Options are what a Router needs. All fields are required unless they say
-// otherwise.
+// Options configures a Router. All fields are required unless stated otherwise.
 type Options struct {
 	DataCentre   string
 	MaxBodyBytes int64
-	// Tables returns the newest configuration, nil before the first one.
+	// Tables returns the newest configuration, or nil before the first one.
 	Tables func() *Tables
-	// Fresh returns a failure when this daemon's news is too old to take work. It may
-	// wait a little for news.
+	// CheckFresh returns a failure if what this daemon knows of the configuration is too
+	// old for it to accept work. It may wait briefly for an update.
 	Fresh func(now time.Time) *failure.Error
 
 	Versions  *selection.Policy
@@ -100,13 +100,13 @@
 	EngineClient  EngineClient
 	ServiceClient ServiceClient
 
-	// Seed feeds the random sources of the requests.
+	// Seed seeds the random number generators.
 	Seed       uint64
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
 }
 
-// Router serves callers.
+// Router serves the requests of callers.
 type Router struct {
 	Options
 	metrics *metrics
@@ -127,8 +127,8 @@
 // Handler returns the handler of the caller listener.
 func (r *Router) Handler() http.Handler {
 	mux := bunrouter.New(
-		bunrouter.WithNotFoundHandler(serveUnknown),
-		bunrouter.WithMethodNotAllowedHandler(serveUnknown),
+		bunrouter.WithNotFoundHandler(serveNotFound),
+		bunrouter.WithMethodNotAllowedHandler(serveNotFound),
 	)
 	mux.GET(callerapi.PathEntries, r.serveEntries)
 	mux.POST(callerapi.PathChatCompletions, r.serveChat)
@@ -138,41 +138,43 @@
 	return mux
 }
 
-// serveUnknown answers a path or a method that does not exist.
-func serveUnknown(w http.ResponseWriter, _ bunrouter.Request) error {
+// serveNotFound answers requests for an unknown path or method.
+func serveNotFound(w http.ResponseWriter, _ bunrouter.Request) error {
 	writeFailure(w, failure.New(failure.CodeNotFound, failure.RanNo, "no such path or method"))
 	return nil
 }
 
-// StopAdmitting makes every new request a refusal that names other addresses.
+// StopAdmitting makes the router refuse all new requests and name other addresses to
+// their callers.
 func (r *Router) StopAdmitting() { r.gate.close() }
 
-// Drain waits until the requests in progress have ended, or ctx ends. Call it
-// after StopAdmitting.
+// Drain waits until all requests in progress have ended, or until ctx ends. It must be
+// called after StopAdmitting.
 func (r *Router) Drain(ctx context.Context) error { return r.gate.wait(ctx) }
 
 // InProgress returns the number of requests in progress.
 func (r *Router) InProgress() int { return r.gate.inProgress() }
 
-// withRand lends a random source to f. Sources are not shared between
-// goroutines.
+// withRand calls f with a random number generator that no other goroutine uses
+// meanwhile. f must not retain it.
 func (r *Router) withRand(f func(rng *rand.Rand)) {
 	rng := r.rngs.Get().(*rand.Rand)
 	defer r.rngs.Put(rng)
 	f(rng)
 }
 
-// newRequestID returns an id that no other request has.
+// newRequestID returns a unique request id.
 func newRequestID() string { return uuid.NewString() }
 
-// serveEntries answers which addresses to use.
+// serveEntries answers with the addresses that callers should use.
 func (r *Router) serveEntries(w http.ResponseWriter, _ bunrouter.Request) error {
 	addresses, keep := r.otherEntries()
 	answer := callerapi.Entries{Addresses: addresses, KeepSeconds: int(keep.Seconds())}
 	return bunrouter.JSON(w, answer)
 }
 
-// otherEntries returns the addresses that callers should use.
+// otherEntries returns the addresses that callers should use and how long they may
+// cache them.
 func (r *Router) otherEntries() (addresses []string, keep time.Duration) {
 	r.withRand(func(rng *rand.Rand) {
 		addresses, keep = r.Members.Entries(rng)
--- a/router/serve.go
+++ b/router/serve.go
@@ -11,26 +11,28 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// leavingRetryAfter is what callers of a leaving daemon are told. The other
-// addresses can be used at once.
+// leavingRetryAfter is the Retry-After of a daemon that is shutting down. It is short
+// because the other addresses can be used at once.
 const leavingRetryAfter = 100 * time.Millisecond
 
-// startupRetryAfter is what callers are told before the first configuration.
+// startupRetryAfter is the Retry-After before the first configuration is loaded.
 const startupRetryAfter = time.Second
 
-// unknownKindLabel labels requests that failed before their kind was known.
+// unknownKindLabel is the label value of requests that failed before their task kind
+// was known.
 const unknownKindLabel = "none"
 
-// prepare reads the headers and the body of a request into the call.
-type prepare func(req *http.Request, a *answer, c *call) *failure.Error
+// prepareFunc reads the headers and the body of a request into the call.
+type prepareFunc func(req *http.Request, a *answer, c *call) *failure.Error
 
-// run carries out a request after the checks that all requests share. It
-// returns nil when the caller got a whole answer.
-type run func(ctx context.Context, a *answer, c *call) *failure.Error
+// runFunc processes a request after the checks common to all requests. It returns nil
+// if the caller got a complete answer.
+type runFunc func(ctx context.Context, a *answer, c *call) *failure.Error
 
-// serve does what all requests share: admission to this daemon, identity, the
-// answer to failures, metrics.
-func (r *Router) serve(w http.ResponseWriter, req bunrouter.Request, prepare prepare, run run) error {
+// serve processes one request. It does what is common to all requests: it checks that
+// the daemon accepts requests, authenticates the caller, sends failures and updates the
+// metrics.
+func (r *Router) serve(w http.ResponseWriter, req bunrouter.Request, prepare prepareFunc, run runFunc) error {
 	c := &call{requestID: newRequestID(), received: time.Now()}
 	a := newAnswer(w, c)
 	w.Header().Set(callerapi.HeaderRequestID, c.requestID)
@@ -39,7 +41,7 @@
 	if c.kind != nil {
 		kind = c.kind.GetName()
 	}
-	r.metrics.ended(kind, f, time.Since(c.received))
+	r.metrics.observeRequest(kind, f, time.Since(c.received))
 	if f == nil {
 		return nil
 	}
@@ -49,7 +51,7 @@
 }
 
 // process checks and runs one request.
-func (r *Router) process(req *http.Request, a *answer, c *call, prepare prepare, run run) *failure.Error {
+func (r *Router) process(req *http.Request, a *answer, c *call, prepare prepareFunc, run runFunc) *failure.Error {
 	if !r.gate.enter() {
 		return r.leavingFailure()
 	}
@@ -71,7 +73,7 @@
 	if c.tables == nil {
 		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").After(startupRetryAfter)
 	}
-	if f := r.stale(failure.RanNo); f != nil {
+	if f := r.checkFresh(failure.RanNo); f != nil {
 		return f
 	}
 	org, f := authenticate(c.tables.Snapshot, req.Header)
@@ -79,10 +81,10 @@
 	return f
 }
 
-// stale refuses work while the configuration may be out of date, and names
-// other addresses. It is asked for each request and again before each attempt;
-// ran is what is known of the attempts before.
-func (r *Router) stale(ran failure.Ran) *failure.Error {
+// checkFresh returns a failure that names other addresses while the configuration may
+// be out of date. It must be called for each request and again before each attempt. ran
+// says whether earlier attempts ran the request.
+func (r *Router) checkFresh(ran failure.Ran) *failure.Error {
 	f := r.Fresh(time.Now())
 	if f == nil {
 		return nil
@@ -93,7 +95,8 @@
 	return &refusal
 }
 
-// leavingFailure tells a caller which addresses to use instead.
+// leavingFailure returns the refusal of a daemon that is shutting down, with the
+// addresses to use instead.
 func (r *Router) leavingFailure() *failure.Error {
 	f := failure.New(failure.CodeLeaving, failure.RanNo, "this address takes no new requests").After(leavingRetryAfter)
 	f.Entries, _ = r.otherEntries()
--- a/router/service.go
+++ b/router/service.go
@@ -20,11 +20,11 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// serviceMethods are the methods that plain services may be called with.
+// serviceMethods are the HTTP methods that plain services may be called with.
 var serviceMethods = []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete}
 
-// serviceHeaders are the caller's headers that a plain service gets to see.
-// The caller's key is not among them.
+// serviceHeaders are the request headers that are passed on to a plain service. The
+// Authorization header, which holds the caller's key, must not be among them.
 var serviceHeaders = []string{"Accept", "Content-Type", "Accept-Language"}
 
 // serveService calls a plain service.
@@ -37,8 +37,9 @@
 	return r.serve(w, req, prepare, run)
 }
 
-// prepareService checks the right to call the service and reads the request.
-// An unknown service and one that is not allowed look alike.
+// prepareService checks that the organisation may call the service and reads the
+// request. The failure is the same for an unknown service and one that is not allowed,
+// so that it does not disclose which services exist.
 func (r *Router) prepareService(req *http.Request, a *answer, c *call, name string) *failure.Error {
 	f := r.prepareKind(req.Header, c, req.Header.Get(callerapi.HeaderKind))
 	if f != nil {
@@ -54,7 +55,7 @@
 	return f
 }
 
-// runService admits, claims and calls.
+// runService admits a call of a plain service, takes its claim and makes it.
 func (r *Router) runService(ctx context.Context, a *answer, c *call, req *http.Request) *failure.Error {
 	if f := c.requireKey(); f != nil {
 		return f
@@ -79,14 +80,14 @@
 	}
 	s := &settlement{router: r, call: c, claim: held, grant: g}
 	if f := r.answerService(ctx, a, c, req, s); f != nil {
-		s.abandon(f)
+		s.settleFailed(f)
 		return f
 	}
 	return nil
 }
 
-// answerService calls instances until one answers, and sends the answer after
-// the bill is recorded.
+// answerService calls instances until one answers, and sends the answer once the bill
+// is recorded.
 func (r *Router) answerService(ctx context.Context, a *answer, c *call, req *http.Request, s *settlement) *failure.Error {
 	response, f := r.callService(ctx, c, req)
 	if f != nil {
@@ -102,10 +103,10 @@
 	if f := s.settle(outcome); f != nil {
 		return f
 	}
-	a.stall = c.kind.GetProgressTimeout().AsDuration()
+	a.stallTimeout = c.kind.GetProgressTimeout().AsDuration()
 	a.begin(response.Status, contentType, s.version, len(response.Body))
 	if err := a.write(response.Body); err != nil {
-		return callerGone(err, failure.RanYes)
+		return callerWriteFailure(err, failure.RanYes)
 	}
 	return nil
 }
@@ -115,7 +116,7 @@
 	r.Budget.Request(time.Now())
 	ran := failure.RanNo
 	for number := 1; ; number++ {
-		if f := r.stale(ran); f != nil {
+		if f := r.checkFresh(ran); f != nil {
 			return nil, f
 		}
 		newest := r.Tables().Snapshot
@@ -131,14 +132,15 @@
 			return response, nil
 		}
 		ran = worstRan(ran, err.Ran)
-		if f := r.serviceAgain(ctx, c, err, number, ran); f != nil {
+		if f := r.retryServiceOrFail(ctx, c, err, number, ran); f != nil {
 			return nil, f
 		}
 	}
 }
 
-// chooseInstance picks the instance for the given attempt: one that is not
-// leaving and whose breaker lets calls through, the own data centre first.
+// chooseInstance chooses the instance for the given attempt: one whose host is not
+// leaving and whose circuit breaker allows calls. Instances in the router's data centre
+// come first.
 func (r *Router) chooseInstance(c *call, number int, ran failure.Ran) (*bronzeturnv1.ServiceInstance, *failure.Error) {
 	now := time.Now()
 	var usable []*bronzeturnv1.ServiceInstance
@@ -153,7 +155,7 @@
 	for offset := range usable {
 		instance := usable[(number-1+offset)%len(usable)]
 		if r.Breakers.Target(instance.GetAddress()).Allow(now) {
-			with(r.Log.Info(), c).Str("service", c.service.GetName()).Str("instance", instance.GetAddress()).
+			withRequestFields(r.Log.Info(), c).Str("service", c.service.GetName()).Str("instance", instance.GetAddress()).
 				Int("attempt", number).Int("candidates", len(usable)).Msg("instance chosen")
 			return instance, nil
 		}
@@ -161,7 +163,7 @@
 	return nil, failure.New(failure.CodeNoCapacity, ran, "no instance of the service takes calls").After(busyRetryAfter)
 }
 
-// callInstance calls one instance once and tells its breaker.
+// callInstance calls one instance once and reports the result to its circuit breaker.
 func (r *Router) callInstance(ctx context.Context, c *call, req *http.Request, i *bronzeturnv1.ServiceInstance) (*plainservice.Response, *plainservice.Error) {
 	header := http.Header{}
 	for _, name := range serviceHeaders {
@@ -192,7 +194,7 @@
 	return nil, typed
 }
 
-// servicePath is the path below the service's name, with the query.
+// servicePath returns the path below the service's name, with the query.
 func servicePath(req *http.Request) string {
 	rest := strings.TrimPrefix(req.URL.EscapedPath(), callerapi.PathServices)
 	_, below, _ := strings.Cut(rest, "/")
@@ -203,7 +205,7 @@
 	return path
 }
 
-// serviceKinds maps failures to those of the retry rules.
+// serviceKinds maps failures of plain services to those of the retry policy.
 var serviceKinds = map[plainservice.Kind]retry.Kind{
 	plainservice.Unreachable: retry.KindConnect,
 	plainservice.Refused:     retry.KindRefused,
@@ -212,13 +214,14 @@
 	plainservice.Canceled:    retry.KindCancelled,
 }
 
-// serviceAgain decides on another call and waits for its turn.
-func (r *Router) serviceAgain(ctx context.Context, c *call, err *plainservice.Error, number int, ran failure.Ran) *failure.Error {
+// retryServiceOrFail decides whether to retry a failed call, and waits for the backoff
+// if so. Otherwise it returns the failure that ends the request.
+func (r *Router) retryServiceOrFail(ctx context.Context, c *call, err *plainservice.Error, number int, ran failure.Ran) *failure.Error {
 	again, wait, reason := r.nextAttempt(retry.Attempt{
 		Kind: serviceKinds[err.Kind], Ran: err.Ran, Idempotent: c.idempotent(),
 		Number: number, Left: time.Until(c.deadline),
 	})
-	with(r.Log.Info(), c).Str("failure", string(err.Kind)).Str("ran", string(err.Ran)).
+	withRequestFields(r.Log.Info(), c).Str("failure", string(err.Kind)).Str("ran", string(err.Ran)).
 		Bool("again", again).Stringer("reason", reason).Int("attempt", number).Msg("attempt failed")
 	if again && backoff.Sleep(ctx, wait) == nil {
 		return nil
@@ -226,7 +229,7 @@
 	return serviceFailure(ctx, err, ran)
 }
 
-// serviceFailure is what the caller hears when no further call is made.
+// serviceFailure returns the failure for the caller if no further call is made.
 func serviceFailure(ctx context.Context, err *plainservice.Error, ran failure.Ran) *failure.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/router/settlement.go
+++ b/router/settlement.go
@@ -10,18 +10,18 @@
 	"github.com/bronzeturn/bronzeturn/ledger"
 )
 
-// tokensPerPriceUnit is the number of tokens that prices in the register are
-// given for.
+// tokensPerPriceUnit is the number of tokens to which the prices in the register apply.
 const tokensPerPriceUnit = 1_000_000
 
-// settlement collects what a request used and records its one bill and the
+// settlement adds up the usage of one request, and records its single bill and the
 // outcome of its claim.
 type settlement struct {
 	router *Router
 	call   *call
 	claim  claim
 	grant  *grant
-	// version answered last; the others are sums over all versions that ran.
+	// version is the version that answered last. The counts and the cost are sums over
+	// all versions that ran.
 	version          string
 	promptTokens     int64
 	completionTokens int64
@@ -29,14 +29,14 @@
 	billed           bool
 	// attempts counts the requests sent to engines.
 	attempts int
-	// settled tells that bill and outcome of a whole answer are recorded.
+	// settled is set once the bill of a complete answer is recorded.
 	settled bool
-	// accepted tells that the check of a cascade let the answer pass.
+	// accepted is set if the answer passed the check of a cascade.
 	accepted bool
 }
 
-// add counts the work of one version.
-func (s *settlement) add(version string, u engine.Usage) {
+// addUsage adds the tokens and the cost of one version.
+func (s *settlement) addUsage(version string, u engine.Usage) {
 	s.version = version
 	s.promptTokens += u.PromptTokens
 	s.completionTokens += u.CompletionTokens
@@ -49,9 +49,9 @@
 	return (tokens*perMillion + tokensPerPriceUnit - 1) / tokensPerPriceUnit
 }
 
-// settle records the bill of a whole answer, then its outcome. On a failure the
-// last byte of the answer must not go out. The outcome comes second, so that a
-// repeat never gets an answer that was not billed.
+// settle records the bill of a complete answer, then its outcome. If it fails, the end
+// of the answer must not be sent. The outcome is recorded second, so that a repeat never
+// gets an answer that was not billed.
 func (s *settlement) settle(outcome *ledger.Outcome) *failure.Error {
 	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
@@ -59,12 +59,12 @@
 		return f
 	}
 	s.settled = true
-	s.router.complete(ctx, s.call, s.claim, ledger.StateDone, outcome)
-	s.router.answered(s)
+	s.router.recordOutcome(ctx, s.call, s.claim, ledger.StateDone, outcome)
+	s.router.reportAnswered(s)
 	return nil
 }
 
-// bill records the one bill of the request.
+// bill records the bill of the request. It must be called at most once.
 func (s *settlement) bill(ctx context.Context) *failure.Error {
 	s.billed = true
 	s.grant.used.Tokens = s.promptTokens + s.completionTokens
@@ -83,26 +83,27 @@
 		s.router.metrics.billFailures.Inc()
 		return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanYes, "the bill could not be recorded")
 	}
-	s.router.billed(s, durability)
+	s.router.recordBilled(s, durability)
 	return nil
 }
 
-// interrupted bills an answer that ended early. An answer that the caller gave
-// up is billed for what was generated; one that the engine broke costs nothing.
-func (s *settlement) interrupted(p *pump, byCaller bool) {
+// addInterrupted adds the usage of an answer that ended early. An answer that the caller
+// abandoned is billed for the tokens generated; one that the engine broke off costs
+// nothing.
+func (s *settlement) addInterrupted(p *relay, byCaller bool) {
 	if s.settled {
 		return
 	}
 	if byCaller {
-		s.add(p.attempt.version, p.usage())
+		s.addUsage(p.attempt.version, p.usage())
 	}
 	s.version = p.attempt.version
 }
 
-// abandon records a request that got no whole answer: a bill if work was done
-// for it, and the state of its claim. A settled request keeps its outcome, also
-// when the caller did not read the end of its answer.
-func (s *settlement) abandon(f *failure.Error) {
+// settleFailed records a request that got no complete answer: a bill if a version ran
+// for it, and the state of its claim. A settled request keeps its outcome, even if the
+// caller did not read the end of its answer.
+func (s *settlement) settleFailed(f *failure.Error) {
 	if s.settled {
 		return
 	}
@@ -113,11 +114,11 @@
 			s.router.Log.Error().Err(err).Str("request", s.call.requestID).Msg("bill not recorded")
 		}
 	}
-	s.router.complete(ctx, s.call, s.claim, claimState(f), nil)
+	s.router.recordOutcome(ctx, s.call, s.claim, claimStateAfter(f), nil)
 }
 
-// usageOnlyMark is part of events that carry token counts and no content.
+// usageOnlyMark occurs in events that carry token counts and no content.
 var usageOnlyMark = []byte(`"choices":[]`)
 
-// isUsageOnly tells whether an event carries no content.
+// isUsageOnly reports whether an event carries no content.
 func isUsageOnly(data []byte) bool { return bytes.Contains(data, usageOnlyMark) }
--- a/router/tables.go
+++ b/router/tables.go
@@ -6,9 +6,9 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Tables is one configuration, compiled for the decisions. It is immutable and
-// swapped whole; a request keeps the tables that it started with, but checks
-// withdrawals against the newest ones at each dispatch.
+// Tables is one configuration, compiled for the choice of versions and engines. It is
+// immutable and replaced as a whole. A request uses the tables that it started with, but
+// checks withdrawals against the newest ones before each attempt.
 type Tables struct {
 	Snapshot *config.Snapshot
 	Versions *selection.Plan
