--- a/router/answer_test.go
+++ b/router/answer_test.go
@@ -21,23 +21,23 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// refusing is an engine that runs nothing.
+// refusing is the handler of an engine that refuses all requests without running them.
 func refusing(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(engine.HeaderNotRun, "true")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// silent is an engine that never answers.
+// silent is the handler of an engine that never answers.
 func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// modelOf returns the version that a request to an engine names.
+// modelOf returns the version that a request to an engine names as its model.
 func modelOf(c *qt.C, r *http.Request) string {
 	var body struct{ Model string }
 	c.Check(json.NewDecoder(r.Body).Decode(&body), qt.IsNil)
 	return body.Model
 }
 
-// reply writes a whole answer with three completion tokens.
+// reply writes a complete answer with three completion tokens.
 func reply(w http.ResponseWriter, content, finish string) {
 	fmt.Fprintf(w, `{"choices":[{"message":{"content":%q},"finish_reason":%q}],"usage":{"prompt_tokens":10,"completion_tokens":3}}`, content, finish)
 }
@@ -45,20 +45,20 @@
 func TestEngineGoneMidAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
+		s := newFixture(t)
 		for _, e := range s.engines {
 			e.SetFaults(standin.Faults{BreakAfterTokens: 2})
 		}
-		streamed := s.send(ask{stream: true})
-		c.Check(streamed.cut, qt.IsTrue, qt.Commentf("a broken stream must not end like a whole one"))
+		streamed := s.send(callerRequest{stream: true})
+		c.Check(streamed.cut, qt.IsTrue, qt.Commentf("a broken stream must not end like a complete one"))
 		c.Check(streamed.failure().Code, qt.Equals, string(failure.CodeAnswerBroken))
 		c.Check(streamed.failure().Ran, qt.Equals, "yes")
 		c.Check(streamed.Body.String(), qt.Not(qt.Contains), "[DONE]")
 		for _, b := range s.ledger.billsOf(streamed.id()) {
-			c.Check(b.CostMicros, qt.Equals, uint64(0), qt.Commentf("what an engine broke costs nothing"))
+			c.Check(b.CostMicros, qt.Equals, uint64(0), qt.Commentf("an answer that the engine broke off costs nothing"))
 		}
 
-		whole := s.send(ask{})
+		whole := s.send(callerRequest{})
 		c.Check(whole.cut, qt.IsFalse)
 		c.Check(whole.Code, qt.Equals, http.StatusBadGateway)
 		c.Check(whole.failure().Ran, qt.Not(qt.Equals), "no")
@@ -70,7 +70,7 @@
 	tests := []struct {
 		name    string
 		kind    string
-		handler http.HandlerFunc // of the first engine asked
+		handler http.HandlerFunc // of the engine that is tried first
 		sent    int
 		status  int
 		ran     string
@@ -85,16 +85,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
+				s := newFixture(t)
 				var asked atomic.Int32
-				s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if asked.Add(1) == 1 {
 						test.handler(w, r)
 						return
 					}
 					s.engines[0].ServeHTTP(w, r)
 				}))
-				g := s.send(ask{header: header(callerapi.HeaderKind, test.kind, callerapi.HeaderIdempotencyKey, "k")})
+				g := s.send(callerRequest{header: header(callerapi.HeaderKind, test.kind, callerapi.HeaderIdempotencyKey, "k")})
 				c.Check(g.Code, qt.Equals, test.status)
 				c.Check(g.failure().Ran, qt.Equals, test.ran)
 				c.Check(s.network.hosts(), qt.HasLen, test.sent)
@@ -107,22 +107,24 @@
 	}
 }
 
-// The number of a claim goes to the engines, which compare numbers of one
-// request id only: two keys have unrelated numbers, in either order.
-func TestFencingNumbersOfTwoKeysDoNotMeet(t *testing.T) {
+// TestFencingNumbersOfDifferentKeysAreIndependent checks that requests with different
+// idempotency keys do not fence each other. The fencing number of a claim is sent to the
+// engines, which must compare only numbers of the same request id: the numbers of different
+// keys are unrelated and may come in any order.
+func TestFencingNumbersOfDifferentKeysAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t, func(cfg *standin.EngineConfig) { cfg.CheckFencing = true })
+		s := newFixture(t, func(cfg *standin.EngineConfig) { cfg.CheckFencing = true })
 		var mu sync.Mutex
 		numbers := make(map[string]bool)
-		s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			numbers[r.Header.Get(engine.HeaderFencing)] = true
 			mu.Unlock()
 			s.engines[0].ServeHTTP(w, r)
 		}))
 		for i := range 40 {
-			tag := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, fmt.Sprint(i))}
+			tag := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, fmt.Sprint(i))}
 			c.Assert(s.send(tag).whole(tag), qt.IsTrue)
 		}
 		c.Assert(numbers[""], qt.IsFalse)
@@ -130,13 +132,13 @@
 	})
 }
 
-func TestCallerGoneFreesTheEngine(t *testing.T) {
+func TestDisconnectedCallerFreesTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 5000 })
+		s := newFixture(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 5000 })
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan got, 1)
-		go func() { ended <- s.send(ask{ctx: ctx, stream: true}) }()
+		ended := make(chan callerResponse, 1)
+		go func() { ended <- s.send(callerRequest{ctx: ctx, stream: true}) }()
 		time.Sleep(time.Second)
 		c.Assert(s.network.busy(), qt.Equals, 1)
 		cancel()
@@ -157,10 +159,10 @@
 	for _, kind := range []string{"default", "review"} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 400 })
+			s := newFixture(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 400 })
 			w := &slowWriter{header: make(http.Header), limit: 8 << 10}
 			start := time.Now()
-			cut := s.serveTo(w, ask{stream: true, header: header(callerapi.HeaderKind, kind)}.request())
+			cut := s.serveTo(w, callerRequest{stream: true, header: header(callerapi.HeaderKind, kind)}.request())
 			synctest.Wait()
 			c.Check(cut, qt.IsTrue)
 			c.Check(s.network.busy(), qt.Equals, 0)
@@ -171,26 +173,28 @@
 	}
 }
 
-// The caller sees the end of an answer only after its bill is recorded.
+// TestBillIsRecordedBeforeTheLastByte checks that the end of an answer is sent only after
+// its bill is recorded, and that the wait for the ledger neither delays earlier events nor
+// counts against the caller or the engine.
 func TestBillIsRecordedBeforeTheLastByte(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
+			s := newFixture(t)
 			release := make(chan struct{})
 			s.ledger.onBill = func(context.Context) error {
 				<-release
 				return nil
 			}
 			w := &slowWriter{header: make(http.Header)}
-			a := ask{stream: stream}
+			a := callerRequest{stream: stream}
 			ended := make(chan bool, 1)
 			go func() { ended <- s.serveTo(w, a.request()) }()
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			c.Check(w.text.String(), qt.Not(qt.Contains), "[DONE]")
-			c.Check(w.text.Len() > 0, qt.Equals, stream, qt.Commentf("what came before the end is not held back"))
-			c.Check(w.writeDeadline.IsZero(), qt.IsTrue, qt.Commentf("the caller is not blamed for the ledger"))
+			c.Check(w.text.Len() > 0, qt.Equals, stream, qt.Commentf("events before the last are sent without waiting for the bill"))
+			c.Check(w.writeDeadline.IsZero(), qt.IsTrue, qt.Commentf("the write deadline does not run while the bill is recorded"))
 			c.Check(s.balancer.check(), qt.Equals, "", qt.Commentf("the engine is free while the bill is recorded"))
 			close(release)
 			c.Check(<-ended, qt.IsFalse)
@@ -200,13 +204,13 @@
 	}
 }
 
-// A caller that loses the connection at the very end gets its answer by a
-// repeat with the same key.
+// TestRecordedAnswerOutlivesTheConnection checks that a caller whose connection breaks at
+// the end of the answer gets the answer by a repeat with the same key.
 func TestRecordedAnswerOutlivesTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
-		tag := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k")}
+		s := newFixture(t)
+		tag := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k")}
 		w := &slowWriter{header: make(http.Header), limit: 1}
 		c.Assert(s.serveTo(w, tag.request()), qt.IsTrue)
 		again := s.send(tag)
@@ -218,22 +222,23 @@
 	})
 }
 
-// The balancer learns no first-token latency from an answer that comes whole,
-// and the true generation time, without the time for bill and caller.
+// TestBalancerLearnsFromWholeAndStreamedAnswers checks that no first-token latency is
+// reported for non-streaming answers, and that the reported generation time excludes the
+// time to record the bill and to write to the caller.
 func TestBalancerLearnsFromWholeAndStreamedAnswers(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 200 })
+			s := newFixture(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 200 })
 			s.ledger.onBill = func(context.Context) error {
 				time.Sleep(5 * time.Second)
 				return nil
 			}
-			s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(50 * time.Millisecond)
 				s.engines[0].ServeHTTP(w, r)
 			}))
-			c.Assert(s.send(ask{stream: stream}).Code, qt.Equals, http.StatusOK)
+			c.Assert(s.send(callerRequest{stream: stream}).Code, qt.Equals, http.StatusOK)
 			first, last := s.balancer.first[0], s.balancer.finished[0]
 			c.Check(first.Latency > 0, qt.Equals, stream)
 			perToken := last.Generation / time.Duration(last.Tokens)
@@ -242,13 +247,13 @@
 	}
 }
 
-// hedged returns a site that hedges "quick" after 60 ms or so, with a first
-// engine that begins to answer only after the time given.
-func hedged(t *testing.T, late time.Duration, first http.HandlerFunc, change ...func(*standin.EngineConfig)) *site {
-	s := newSite(t, change...)
+// newHedgedFixture returns a fixture that hedges requests of kind "quick" after about 60 ms.
+// The engine that is tried first begins to answer only after the given delay.
+func newHedgedFixture(t *testing.T, late time.Duration, first http.HandlerFunc, change ...func(*standin.EngineConfig)) *fixture {
+	s := newFixture(t, change...)
 	s.measureHedges()
 	var asked atomic.Int32
-	s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if asked.Add(1) == 1 {
 			time.Sleep(late)
 			first(w, r)
@@ -260,12 +265,12 @@
 }
 
 func TestHedge(t *testing.T) {
-	quick := ask{stream: true, header: header(callerapi.HeaderKind, "quick")}
+	quick := callerRequest{stream: true, header: header(callerapi.HeaderKind, "quick")}
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		start := time.Now()
 		canceled := make(chan time.Duration, 1)
-		s := hedged(t, 0, func(w http.ResponseWriter, r *http.Request) {
+		s := newHedgedFixture(t, 0, func(w http.ResponseWriter, r *http.Request) {
 			silent(w, r)
 			canceled <- time.Since(start)
 		}, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 100 })
@@ -274,18 +279,18 @@
 		c.Check(time.Since(start) > 500*time.Millisecond, qt.IsTrue)
 		c.Check(<-canceled < 100*time.Millisecond, qt.IsTrue, qt.Commentf("the loser is canceled when the winner begins"))
 		c.Check(s.network.hosts(), qt.HasLen, 2)
-		c.Check(s.balancer.requests[1].NoProbe, qt.IsTrue, qt.Commentf("a hedge is no probe"))
+		c.Check(s.balancer.requests[1].NoProbe, qt.IsTrue, qt.Commentf("a hedge must not be used to probe an engine"))
 		c.Check(s.ledger.billsOf(g.id()), qt.HasLen, 1)
-		c.Check(s.balancer.failed, qt.HasLen, 0, qt.Commentf("a canceled copy tells nothing of its engine"))
+		c.Check(s.balancer.failed, qt.HasLen, 0, qt.Commentf("a canceled copy is not a failure of its engine"))
 		c.Check(s.balancer.check(), qt.Equals, "")
 	})
 	t.Run("both begin at once", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
+			s := newFixture(t)
 			s.measureHedges()
 			start := time.Now()
-			s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(200*time.Millisecond - time.Since(start))
 				s.engines[0].ServeHTTP(w, r)
 			}))
@@ -301,8 +306,8 @@
 	t.Run("both fail", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := hedged(t, 0, silent)
-			s.all(http.HandlerFunc(silent))
+			s := newHedgedFixture(t, 0, silent)
+			s.setEngines(http.HandlerFunc(silent))
 			g := s.send(quick)
 			c.Check(g.failure().Ran, qt.Equals, "unknown")
 			synctest.Wait()
@@ -311,15 +316,16 @@
 	})
 }
 
-// A copy that began its answer although it lost is closed, and reported once.
-func TestLoserThatBeganIsClosed(t *testing.T) {
+// TestLosingCopyThatBeganIsClosed checks that a copy that begins its answer after another
+// copy has won is closed, and that its end is reported to the balancer once.
+func TestLosingCopyThatBeganIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 5000 })
+		s := newFixture(t, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 5000 })
 		tables := s.current.Load()
 		kind, _ := tables.Snapshot.Kind("quick")
 		org, _ := tables.Snapshot.Organisation("depot")
-		chat, f := parseChat([]byte(ask{stream: true}.text()))
+		chat, f := parseChat([]byte(callerRequest{stream: true}.text()))
 		c.Assert(f == nil, qt.IsTrue)
 		call := &call{tables: tables, kind: kind, organisation: org, requestID: "r", chat: chat, deadline: time.Now().Add(time.Hour)}
 		body, err := chat.forwardBody("depot", cheap)
@@ -336,7 +342,7 @@
 		synctest.Wait()
 		winner := <-results
 		c.Assert(winner.err == nil, qt.IsTrue)
-		c.Assert(results, qt.HasLen, 1, qt.Commentf("the other began, too"))
+		c.Assert(results, qt.HasLen, 1, qt.Commentf("the other copy began its answer too"))
 		s.cancelLosers(cancels, winner.number, results, 1)
 		synctest.Wait()
 		c.Check(s.network.busy(), qt.Equals, 1)
@@ -350,24 +356,24 @@
 }
 
 func TestWithdrawalIsHonouredBeforeEachDispatch(t *testing.T) {
-	check := func(c *qt.C, g got, ran string) {
+	check := func(c *qt.C, g callerResponse, ran string) {
 		c.Check(g.failure().Code, qt.Equals, string(failure.CodeVersionWithdrawn))
 		c.Check(g.failure().Ran, qt.Equals, ran)
 	}
 	t.Run("after the choice of the version", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
-			// Admission waits for a slot; the withdrawal comes meanwhile.
+			s := newFixture(t)
+			// The version is withdrawn while the request waits for admission.
 			s.Admission.SetCapacity(cheap, 1)
-			slow := ask{model: cheap}
-			s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			slow := callerRequest{model: cheap}
+			s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				time.Sleep(500 * time.Millisecond)
 				s.engines[0].ServeHTTP(w, r)
 			}))
 			go s.send(slow)
 			time.Sleep(100 * time.Millisecond)
-			answer := make(chan got, 1)
+			answer := make(chan callerResponse, 1)
 			go func() { answer <- s.send(slow) }()
 			time.Sleep(100 * time.Millisecond)
 			s.withdraw(t, cheap)
@@ -378,50 +384,50 @@
 	t.Run("before a retry", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
-			s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s := newFixture(t)
+			s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				s.withdraw(t, cheap)
 				refusing(w, r)
 			}))
-			check(c, s.send(ask{model: cheap}), "no")
+			check(c, s.send(callerRequest{model: cheap}), "no")
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
 	t.Run("before a retry of what may have run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
-			s.all(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+			s := newFixture(t)
+			s.setEngines(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 				s.withdraw(t, cheap)
 				panic(http.ErrAbortHandler)
 			}))
-			check(c, s.send(ask{model: cheap}), "unknown")
+			check(c, s.send(callerRequest{model: cheap}), "unknown")
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
 	t.Run("before a hedge", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			var s *site
-			s = hedged(t, 0, func(w http.ResponseWriter, r *http.Request) {
+			var s *fixture
+			s = newHedgedFixture(t, 0, func(w http.ResponseWriter, r *http.Request) {
 				s.withdraw(t, cheap)
 				time.Sleep(time.Second)
 				s.engines[0].ServeHTTP(w, r)
 			})
-			quick := ask{model: cheap, header: header(callerapi.HeaderKind, "quick")}
-			c.Check(s.send(quick).whole(quick), qt.IsTrue, qt.Commentf("work that began is finished"))
+			quick := callerRequest{model: cheap, header: header(callerapi.HeaderKind, "quick")}
+			c.Check(s.send(quick).whole(quick), qt.IsTrue, qt.Commentf("a request that is running is completed"))
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
 	t.Run("before a cascade's second step", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
-			s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s := newFixture(t)
+			s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				s.withdraw(t, strong)
 				reply(w, "cut", "length")
 			}))
-			g := s.send(ask{header: header(callerapi.HeaderKind, "review")})
+			g := s.send(callerRequest{header: header(callerapi.HeaderKind, "review")})
 			c.Check(g.Code, qt.Equals, http.StatusOK)
 			c.Check(g.version(), qt.Equals, cheap)
 			c.Check(s.network.hosts(), qt.HasLen, 1)
@@ -432,7 +438,8 @@
 func TestCascade(t *testing.T) {
 	tests := []struct {
 		name string
-		// cheapText and cheapEnd are the first answer, strong serves the second.
+		// cheapText and cheapEnd are the text and the finish reason of the first answer.
+		// strong serves the second.
 		cheapText, cheapEnd string
 		strong              http.HandlerFunc
 		version             string
@@ -452,15 +459,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
-				s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				s := newFixture(t)
+				s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					if modelOf(c, r) == cheap {
 						reply(w, test.cheapText, test.cheapEnd)
 						return
 					}
 					test.strong(w, r)
 				}))
-				g := s.send(ask{header: header(callerapi.HeaderKind, "review")})
+				g := s.send(callerRequest{header: header(callerapi.HeaderKind, "review")})
 				c.Assert(g.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", g.Body))
 				c.Check(g.version(), qt.Equals, test.version)
 				c.Check(s.network.hosts(), qt.HasLen, test.sent)
@@ -477,17 +484,18 @@
 	}
 }
 
-// The path below the service's name reaches the service as it was sent.
+// TestServicePath checks that the path below the service's name is passed on unchanged,
+// including its escapes and the query.
 func TestServicePath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
+		s := newFixture(t)
 		for sent, wanted := range map[string]string{
 			"/v1/services/tickets/a/b?c=d":    "/a/b?c=d",
 			"/v1/services/tickets/":           "/",
 			"/v1/services/tickets/a%20b/c%2f": "/a%20b/c%2f",
 		} {
-			g := s.send(ask{path: sent, header: header(callerapi.HeaderIdempotencyKey, sent)})
+			g := s.send(callerRequest{path: sent, header: header(callerapi.HeaderIdempotencyKey, sent)})
 			c.Assert(g.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", g.Body))
 			var answer standin.ServiceAnswer
 			c.Assert(json.Unmarshal(g.Body.Bytes(), &answer), qt.IsNil)
@@ -497,14 +505,15 @@
 	})
 }
 
-// Streams that pass through one router in any order are never mixed.
-func TestConcurrentStreamsStayApart(t *testing.T) {
+// TestConcurrentAnswersAreNotMixed checks that each of many concurrent requests gets its own
+// answer.
+func TestConcurrentAnswersAreNotMixed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
+		s := newFixture(t)
 		var sending sync.WaitGroup
 		for i := range 30 {
 			sending.Go(func() {
-				a := ask{stream: i%2 == 0, prompt: strings.Repeat("word ", i+1)}
+				a := callerRequest{stream: i%2 == 0, prompt: strings.Repeat("word ", i+1)}
 				g := s.send(a)
 				qt.Check(t, g.whole(a), qt.IsTrue, qt.Commentf("%d: %s", i, g.Body))
 			})
--- a/router/answerchat.go
+++ b/router/answerchat.go
@@ -73,9 +73,9 @@
 // bill is recorded.
 func (r *Router) deliver(ctx context.Context, a *answer, c *call, t *attempt, s *settlement) *failure.Error {
 	defer t.close()
-	p := &relay{router: r, answer: a, call: c, attempt: t, settlement: s}
-	if err := p.run(); err != nil {
-		return p.handleError(ctx, err)
+	rl := &relay{router: r, answer: a, call: c, attempt: t, settlement: s}
+	if err := rl.run(); err != nil {
+		return rl.handleError(ctx, err)
 	}
 	return nil
 }
@@ -109,130 +109,130 @@
 
 // run forwards all events. The error is an *engine.Error, a *writeError or a
 // *failure.Error.
-func (p *relay) run() error {
-	event := p.attempt.first
+func (rl *relay) run() error {
+	event := rl.attempt.first
 	for {
 		if event.Last {
-			return p.finish(event.Data)
+			return rl.finish(event.Data)
 		}
-		if err := p.forward(event.Data); err != nil {
+		if err := rl.forward(event.Data); err != nil {
 			return err
 		}
 		var err error
-		if event, err = p.attempt.stream.Next(); err != nil {
+		if event, err = rl.attempt.stream.Next(); err != nil {
 			return err
 		}
 	}
 }
 
 // forward sends one event other than the last.
-func (p *relay) forward(data []byte) error {
-	if p.hidesUsage(data) {
+func (rl *relay) forward(data []byte) error {
+	if rl.hidesUsage(data) {
 		return nil
 	}
-	p.events++
-	p.record(data)
-	p.begin(-1)
-	if err := p.answer.write(data); err != nil {
+	rl.events++
+	rl.record(data)
+	rl.begin(-1)
+	if err := rl.answer.write(data); err != nil {
 		return &writeError{Cause: err}
 	}
-	if p.attempt.stream.Buffered() {
+	if rl.attempt.stream.Buffered() {
 		return nil
 	}
-	if err := p.answer.flush(); err != nil {
+	if err := rl.answer.flush(); err != nil {
 		return &writeError{Cause: err}
 	}
 	return nil
 }
 
 // finish records the bill and the outcome, then sends the last event.
-func (p *relay) finish(data []byte) error {
-	p.router.reportFinished(p.attempt, p.events)
-	if p.answer.started {
+func (rl *relay) finish(data []byte) error {
+	rl.router.reportFinished(rl.attempt, rl.events)
+	if rl.answer.started {
 		// Events that were forwarded must not be held up while the bill is recorded.
-		if err := p.answer.flush(); err != nil {
+		if err := rl.answer.flush(); err != nil {
 			return &writeError{Cause: err}
 		}
-		p.answer.clearDeadline()
+		rl.answer.clearDeadline()
 	}
-	p.record(data)
-	usage := p.usage()
+	rl.record(data)
+	usage := rl.usage()
 	contentType := contentTypeJSON
-	if p.call.chat.stream {
+	if rl.call.chat.stream {
 		contentType = contentTypeEvents
 	}
 	var outcome *ledger.Outcome
-	if p.settlement.claim.held {
-		outcome = ledger.NewOutcome(http.StatusOK, contentType, p.attempt.version, p.recorded)
+	if rl.settlement.claim.held {
+		outcome = ledger.NewOutcome(http.StatusOK, contentType, rl.attempt.version, rl.recorded)
 	}
-	p.settlement.addUsage(p.attempt.version, usage)
-	if f := p.settlement.settle(outcome); f != nil {
+	rl.settlement.addUsage(rl.attempt.version, usage)
+	if f := rl.settlement.settle(outcome); f != nil {
 		return f
 	}
 	length := -1
-	if !p.call.chat.stream {
+	if !rl.call.chat.stream {
 		length = len(data)
 	}
-	p.begin(length)
-	if err := p.answer.write(data); err != nil {
+	rl.begin(length)
+	if err := rl.answer.write(data); err != nil {
 		return &writeError{Cause: err}
 	}
-	if err := p.answer.flush(); err != nil {
+	if err := rl.answer.flush(); err != nil {
 		return &writeError{Cause: err}
 	}
 	return nil
 }
 
 // begin sends the status line unless it has been sent.
-func (p *relay) begin(length int) {
-	if p.answer.started {
+func (rl *relay) begin(length int) {
+	if rl.answer.started {
 		return
 	}
 	contentType := contentTypeJSON
-	if p.call.chat.stream {
+	if rl.call.chat.stream {
 		contentType = contentTypeEvents
 	}
-	p.answer.begin(http.StatusOK, contentType, p.attempt.version, length)
-	p.router.metrics.firstByte.WithLabelValues(p.call.kind.GetName()).Observe(p.answer.firstByte.Seconds())
+	rl.answer.begin(http.StatusOK, contentType, rl.attempt.version, length)
+	rl.router.metrics.firstByte.WithLabelValues(rl.call.kind.GetName()).Observe(rl.answer.firstByte.Seconds())
 }
 
 // record copies an event if the request is claimed.
-func (p *relay) record(data []byte) {
-	if p.settlement.claim.held {
-		p.recorded = append(p.recorded, data...)
+func (rl *relay) record(data []byte) {
+	if rl.settlement.claim.held {
+		rl.recorded = append(rl.recorded, data...)
 	}
 }
 
 // usage returns the token counts reported by the engine, or an estimate if it
 // reported none.
-func (p *relay) usage() engine.Usage {
-	if u, ok := p.attempt.stream.Usage(); ok {
+func (rl *relay) usage() engine.Usage {
+	if u, ok := rl.attempt.stream.Usage(); ok {
 		return u
 	}
-	return engine.Usage{PromptTokens: p.call.chat.promptTokens, CompletionTokens: max(p.events, 1)}
+	return engine.Usage{PromptTokens: rl.call.chat.promptTokens, CompletionTokens: max(rl.events, 1)}
 }
 
 // hidesUsage reports whether an event carries only token counts and the caller
 // did not ask for them.
-func (p *relay) hidesUsage(data []byte) bool {
-	if p.call.chat.wantsUsage {
+func (rl *relay) hidesUsage(data []byte) bool {
+	if rl.call.chat.wantsUsage {
 		return false
 	}
-	_, seen := p.attempt.stream.Usage()
+	_, seen := rl.attempt.stream.Usage()
 	return seen && isUsageOnly(data)
 }
 
 // handleError reports the end of an incomplete answer to the balancer and the
 // settlement, and returns the failure for the caller.
-func (p *relay) handleError(ctx context.Context, err error) *failure.Error {
+func (rl *relay) handleError(ctx context.Context, err error) *failure.Error {
 	switch e := err.(type) {
 	case *engine.Error:
-		p.router.reportFailed(p.attempt, e)
-		p.settlement.addInterrupted(p, e.Kind == engine.Canceled)
+		rl.router.reportFailed(rl.attempt, e)
+		rl.settlement.addInterrupted(rl, e.Kind == engine.Canceled)
 		return brokenAnswerFailure(ctx, e)
 	case *writeError:
-		p.router.reportFailed(p.attempt, &engine.Error{Kind: engine.Canceled})
-		p.settlement.addInterrupted(p, true)
+		rl.router.reportFailed(rl.attempt, &engine.Error{Kind: engine.Canceled})
+		rl.settlement.addInterrupted(rl, true)
 		return callerWriteFailure(e, failure.RanYes)
 	default:
 		return failure.From(err)
--- a/router/caller_test.go
+++ b/router/caller_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// slowWriter is the connection of a caller that neither reads nor sends: reads
-// and, after limit bytes, writes block until their deadlines.
+// slowWriter is the connection of a caller that sends no body and reads only limit bytes.
+// Further writes block until the write deadline. A limit of zero means no limit.
 type slowWriter struct {
 	header        http.Header
 	text          bytes.Buffer
@@ -31,28 +31,29 @@
 		return w.text.Write(p)
 	}
 	if w.writeDeadline.IsZero() {
-		select {} // Nothing would ever end this write.
+		select {} // Without a deadline, the write blocks forever.
 	}
 	time.Sleep(time.Until(w.writeDeadline))
 	return 0, os.ErrDeadlineExceeded
 }
 
-// FlushError implements the flushing of http.ResponseController.
+// FlushError implements flushing for http.ResponseController.
 func (w *slowWriter) FlushError() error { return nil }
 
-// SetWriteDeadline implements the deadlines of http.ResponseController.
+// SetWriteDeadline implements write deadlines for http.ResponseController.
 func (w *slowWriter) SetWriteDeadline(t time.Time) error {
 	w.writeDeadline = t
 	return nil
 }
 
-// SetReadDeadline implements the deadlines of http.ResponseController.
+// SetReadDeadline implements read deadlines for http.ResponseController.
 func (w *slowWriter) SetReadDeadline(t time.Time) error {
 	w.readDeadline = t
 	return nil
 }
 
-// Read implements io.Reader for the request's body.
+// Read implements io.Reader for the request body. It fails as if the read deadline had
+// passed.
 func (w *slowWriter) Read([]byte) (int, error) {
 	if w.readDeadline.IsZero() {
 		return 0, io.ErrNoProgress
--- a/router/cascade.go
+++ b/router/cascade.go
@@ -78,14 +78,14 @@
 // a stronger version replaces.
 func (r *Router) deliverBuffered(a *answer, c *call, t *attempt, buffered *bufferedAnswer, s *settlement) *failure.Error {
 	defer t.close()
-	p := &relay{router: r, answer: a, call: c, attempt: t, settlement: s, events: buffered.events}
+	rl := &relay{router: r, answer: a, call: c, attempt: t, settlement: s, events: buffered.events}
 	for _, event := range buffered.data[:len(buffered.data)-1] {
-		if err := p.forward(event); err != nil {
-			s.addInterrupted(p, true)
+		if err := rl.forward(event); err != nil {
+			s.addInterrupted(rl, true)
 			return callerWriteFailure(err, failure.RanYes)
 		}
 	}
-	if err := p.finish(buffered.data[len(buffered.data)-1]); err != nil {
+	if err := rl.finish(buffered.data[len(buffered.data)-1]); err != nil {
 		if f, ok := err.(*failure.Error); ok {
 			return f
 		}
--- a/router/crashing_test.go
+++ b/router/crashing_test.go
@@ -10,14 +10,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestChatRequestThatCrashesEnginesIsKeptAway guards against a repeated request crashing every
+// TestChatRequestThatCrashesEnginesIsQuarantined guards against a repeated request crashing every
 // engine of a pool. It may crash three engines before it is quarantined and three more
 // afterwards. The engines do not report their start time, so quarantine.StartTracker has to
-// distinguish their ends.
-func TestChatRequestThatCrashesEnginesIsKeptAway(t *testing.T) {
+// tell apart successive crashes of one engine.
+func TestChatRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const most, repeats = 3 + 3, 30
-		s := newSite(t)
+		s := newFixture(t)
 		var ended atomic.Int64
 		for i := range engineCount {
 			s.network.set(engineAddress(i), http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -26,7 +26,7 @@
 			}))
 		}
 		for range repeats {
-			s.send(ask{prompt: "crash"})
+			s.send(callerRequest{prompt: "crash"})
 			time.Sleep(time.Second)
 		}
 		qt.New(t).Check(ended.Load() <= most, qt.IsTrue, qt.Commentf("%d engines ended under %d requests", ended.Load(), repeats))
--- a/router/fuzz_test.go
+++ b/router/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/bronzeturn/bronzeturn/callerapi"
 )
 
-// FuzzRequest sends any body and headers. Whatever comes, the answer is a whole
-// one or the one JSON shape of failures, and nothing panics.
+// FuzzRequest sends arbitrary bodies and headers. The response must be a complete answer
+// or a failure in the common JSON format, and nothing may panic.
 func FuzzRequest(f *testing.F) {
 	const good = `{"messages":[{"role":"user","content":"battery of bike 7?"}],"stream":true}`
 	for _, body := range []string{
@@ -24,8 +24,8 @@
 	f.Add(good, "quick", "", "", "-1h", "urgent")
 	f.Add(good, "nonsense", "\x00", "\xff", "9999999h", "unspecified")
 	f.Add(good, "tag", "", "c", "1ns", "")
-	s := newSite(f)
-	s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := newFixture(f)
+	s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Content-Type") != "application/json" {
 			f.Error("content type of the caller was passed on")
 		}
@@ -37,16 +37,16 @@
 		if body == "" {
 			body = " "
 		}
-		g := s.send(ask{body: body, header: h})
+		g := s.send(callerRequest{body: body, header: h})
 		if g.cut {
-			t.Fatalf("a whole answer was cut: %s", g.Body)
+			t.Fatalf("connection aborted although the engine sent a complete answer: %s", g.Body)
 		}
 		if g.Code == http.StatusOK {
 			return
 		}
 		var shape callerapi.ErrorBody
 		if err := json.Unmarshal(g.Body.Bytes(), &shape); err != nil {
-			t.Fatalf("status %d without the shape of failures: %v", g.Code, err)
+			t.Fatalf("status %d without a failure in the common JSON format: %v", g.Code, err)
 		}
 		if shape.Error.Code == "" || shape.Error.Ran == "" || shape.Error.Code == "internal" {
 			t.Fatalf("incomplete failure: %s", g.Body)
--- a/router/network_test.go
+++ b/router/network_test.go
@@ -17,17 +17,17 @@
 	errCut     = errors.New("connection cut")
 )
 
-// network carries requests to handlers in this process, without sockets, so
-// that virtual time works. It tells attempts how far they got, as
-// *http.Transport does.
+// network is an http.RoundTripper that passes requests to handlers in this process. It uses
+// no sockets, so that it works with the virtual time of synctest. Like *http.Transport, it
+// calls the hooks of httptrace, from which package attempt derives how far a request got.
 type network struct {
 	mu       sync.Mutex
 	handlers map[string]http.Handler
-	// reached lists the hosts in the order in which requests came.
+	// reached lists the host of each request received, in order.
 	reached []string
-	// active counts the handlers that run.
+	// active counts the running handlers.
 	active int
-	// aborted is when a handler of a host last aborted its answer.
+	// aborted holds for each host when a handler last aborted its answer.
 	aborted map[string]time.Time
 }
 
@@ -39,14 +39,14 @@
 	return &network{handlers: make(map[string]http.Handler), aborted: make(map[string]time.Time)}
 }
 
-// set puts a handler at a host. Nil refuses connections.
+// set sets the handler of a host. A nil handler refuses connections.
 func (n *network) set(host string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[host] = h
 }
 
-// hosts returns the hosts that got requests so far.
+// hosts returns the host of each request received so far, in order.
 func (n *network) hosts() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// busy returns how many handlers run.
+// busy returns the number of running handlers.
 func (n *network) busy() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -99,7 +99,7 @@
 	case r := <-x.response:
 		return r, nil
 	case <-x.done:
-		// A short answer is complete by the time that it is looked for.
+		// Both channels are ready if the handler has already finished.
 		select {
 		case r := <-x.response:
 			return r, nil
@@ -112,7 +112,7 @@
 	}
 }
 
-// run lets the handler answer. An aborted handler cuts the connection.
+// run runs the handler. A handler that aborts breaks the connection.
 func (n *network) run(h http.Handler, x *exchange) {
 	n.count(1)
 	err := errCut
@@ -143,7 +143,7 @@
 	n.active += by
 }
 
-// exchange is one request at a handler. It implements http.ResponseWriter.
+// exchange is one request to a handler. It implements http.ResponseWriter.
 type exchange struct {
 	request  *http.Request
 	cancel   context.CancelFunc
@@ -169,7 +169,8 @@
 	}
 }
 
-// exchangeBody is the answer. Closing it tells the handler that the client left.
+// exchangeBody is the response body. Closing it cancels the handler's context, as when a
+// client disconnects.
 type exchangeBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
--- a/router/property_test.go
+++ b/router/property_test.go
@@ -16,17 +16,17 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// engineFault is how an engine behaves in one case of the property test.
+// engineFault is the behaviour of an engine in one case of the property test.
 type engineFault struct {
 	Faults standin.Faults
-	// Unreachable refuses connections, Silent never answers what runs, Busy
-	// answers 429, Late begins its answers late.
+	// Unreachable refuses connections. Silent runs requests and never answers. Busy
+	// answers with status 429. Late delays answers.
 	Unreachable, Silent, Busy bool
 	Late                      time.Duration
 }
 
-// place puts the behaviour in force at one engine of the site.
-func (f engineFault) place(s *site, number int) {
+// apply sets the behaviour of one engine of the fixture.
+func (f engineFault) apply(s *fixture, number int) {
 	e := s.engines[number]
 	e.SetFaults(f.Faults)
 	switch {
@@ -51,7 +51,7 @@
 	}
 }
 
-// discardWriter drops an answer and remembers its last bytes.
+// discardWriter discards an answer except for its last bytes.
 type discardWriter struct {
 	header http.Header
 	end    [16]byte
@@ -60,7 +60,7 @@
 // Flush implements http.Flusher.
 func (d *discardWriter) Flush() {}
 
-// ended tells whether a stream came to its end mark.
+// ended reports whether a stream ended with the [DONE] marker.
 func (d *discardWriter) ended() bool { return bytes.HasSuffix(d.end[:], []byte("data: [DONE]\n\n")) }
 
 // Header implements http.ResponseWriter.
@@ -102,15 +102,16 @@
 	}
 }
 
-// drawnAsk is one request of a case.
-type drawnAsk struct {
-	ask
+// drawnRequest is one request of a case of the property test.
+type drawnRequest struct {
+	callerRequest
 	kind string
-	// start is when it is sent, leaves when the caller goes away, zero for never.
+	// start is the delay before the request is sent. leaves is the time after which the
+	// caller disconnects; zero means never.
 	start, leaves time.Duration
 }
 
-func drawAsk(rt *rapid.T, number int) drawnAsk {
+func drawRequest(rt *rapid.T, number int) drawnRequest {
 	kind := rapid.SampledFrom([]string{"default", "tag", "quick", "review"}).Draw(rt, "kind")
 	h := header(callerapi.HeaderKind, kind)
 	if kind == "tag" || rapid.Bool().Draw(rt, "with key") {
@@ -119,7 +120,7 @@
 	if rapid.Bool().Draw(rt, "short deadline") {
 		h[callerapi.HeaderDeadline] = fmt.Sprint(rapid.IntRange(1, 2000).Draw(rt, "deadline"), "ms")
 	}
-	d := drawnAsk{kind: kind, ask: ask{stream: rapid.Bool().Draw(rt, "stream"), prompt: fmt.Sprint("prompt ", number), header: h}}
+	d := drawnRequest{kind: kind, callerRequest: callerRequest{stream: rapid.Bool().Draw(rt, "stream"), prompt: fmt.Sprint("prompt ", number), header: h}}
 	d.start = time.Duration(rapid.IntRange(0, 500).Draw(rt, "start")) * time.Millisecond
 	if rapid.IntRange(0, 3).Draw(rt, "leaves") == 0 {
 		d.leaves = time.Duration(rapid.IntRange(1, 1000).Draw(rt, "after")) * time.Millisecond
@@ -127,8 +128,8 @@
 	return d
 }
 
-// drive sends a request as drawn.
-func (d drawnAsk) drive(s *site) got {
+// send sends the request after its delay, with its disconnection.
+func (d drawnRequest) send(s *fixture) callerResponse {
 	time.Sleep(d.start)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -136,65 +137,66 @@
 		timer := time.AfterFunc(d.leaves, cancel)
 		defer timer.Stop()
 	}
-	a := d.ask
+	a := d.callerRequest
 	a.ctx = ctx
 	return s.send(a)
 }
 
-// violated returns the promise that an answer breaks, or "".
-func (d drawnAsk) violated(s *site, g got) string {
+// violation describes the guarantee that a response violates, or returns "".
+func (d drawnRequest) violation(s *fixture, g callerResponse) string {
 	runs, bills := s.executions(g.id()), len(s.ledger.billsOf(g.id()))
 	switch {
 	case bills > 1:
 		return "billed more than once"
 	case d.kind == "tag" && runs > 1:
 		return "a non-idempotent request ran more than once"
-	case g.whole(d.ask) && bills != 1:
-		return "a whole answer without a bill"
-	case !g.cut && g.Code == http.StatusOK && !g.whole(d.ask):
-		return "an answer that is not whole ended like a whole one"
-	case !g.whole(d.ask) && g.failure().Code == "":
+	case g.whole(d.callerRequest) && bills != 1:
+		return "a complete answer without a bill"
+	case !g.cut && g.Code == http.StatusOK && !g.whole(d.callerRequest):
+		return "an incomplete answer ended like a complete one"
+	case !g.whole(d.callerRequest) && g.failure().Code == "":
 		return "a failure without a code"
 	case g.failure().Ran == "no" && runs > 0:
-		return "a refusal that says not run, of a request that ran"
+		return "a failure that says the request did not run, although it ran"
 	case g.failure().Ran == "no" && bills > 0:
 		return "a bill for a request that did not run"
 	}
 	return ""
 }
 
-// Under any mix of failing engines and leaving callers every promise to callers
-// holds, and the balancer hears of exactly one end per request sent.
-func TestPromisesHoldUnderFailures(t *testing.T) {
+// TestGuaranteesHoldUnderFailures checks that all guarantees to callers hold under any
+// combination of failing engines and disconnecting callers, and that exactly one end is
+// reported to the balancer for each request sent.
+func TestGuaranteesHoldUnderFailures(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var faults []engineFault
 		for i := range engineCount {
 			faults = append(faults, drawFault(rt, engineName(i)))
 		}
-		var asks []drawnAsk
+		var requests []drawnRequest
 		for i := range rapid.IntRange(1, 6).Draw(rt, "requests") {
-			asks = append(asks, drawAsk(rt, i))
+			requests = append(requests, drawRequest(rt, i))
 		}
 		measured := rapid.Bool().Draw(rt, "hedging")
 		var problem string
 		synctest.Test(t, func(t *testing.T) {
-			s := newSite(t)
+			s := newFixture(t)
 			if measured {
 				s.measureHedges()
 			}
 			for i, f := range faults {
-				f.place(s, i)
+				f.apply(s, i)
 			}
-			answers := make([]got, len(asks))
+			answers := make([]callerResponse, len(requests))
 			var sending sync.WaitGroup
-			for i, d := range asks {
-				sending.Go(func() { answers[i] = d.drive(s) })
+			for i, d := range requests {
+				sending.Go(func() { answers[i] = d.send(s) })
 			}
 			sending.Wait()
-			time.Sleep(time.Minute) // Whatever still runs ends by then.
+			time.Sleep(time.Minute) // Longer than any request may run.
 			synctest.Wait()
-			for i, d := range asks {
-				if broken := d.violated(s, answers[i]); broken != "" && problem == "" {
+			for i, d := range requests {
+				if broken := d.violation(s, answers[i]); broken != "" && problem == "" {
 					problem = fmt.Sprintf("request %d (%s): %s: %d %s", i, d.kind, broken, answers[i].Code, answers[i].Body)
 				}
 			}
--- a/router/rechoose_test.go
+++ b/router/rechoose_test.go
@@ -17,30 +17,30 @@
 	tests := []struct {
 		name    string
 		full    string
-		ask     ask
+		request callerRequest
 		version string
 	}{
-		{"by the next that reaches the target", cheap, ask{}, strong},
-		{"not by one below the target", strong, ask{header: header(callerapi.HeaderKind, "report")}, ""},
-		{"not when the caller named it", cheap, ask{model: cheap}, ""},
-		{"not beyond the model that the caller named", cheap, ask{model: "small"}, ""},
-		{"not for bulk work", cheap, ask{header: header(callerapi.HeaderPriority, "bulk")}, ""},
-		{"not in a conversation", cheap, ask{model: "small", header: header(callerapi.HeaderConversation, "c1")}, ""},
+		{"by the next that reaches the target", cheap, callerRequest{}, strong},
+		{"not by one below the target", strong, callerRequest{header: header(callerapi.HeaderKind, "report")}, ""},
+		{"not when the caller named it", cheap, callerRequest{model: cheap}, ""},
+		{"not beyond the model that the caller named", cheap, callerRequest{model: "small"}, ""},
+		{"not for bulk work", cheap, callerRequest{header: header(callerapi.HeaderPriority, "bulk")}, ""},
+		{"not in a conversation", cheap, callerRequest{model: "small", header: header(callerapi.HeaderConversation, "c1")}, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
-				before := s.send(test.ask)
-				c.Assert(before.whole(test.ask), qt.IsTrue, qt.Commentf("%s", before.Body))
+				s := newFixture(t)
+				before := s.send(test.request)
+				c.Assert(before.whole(test.request), qt.IsTrue, qt.Commentf("%s", before.Body))
 				s.Admission.SetCapacity(test.full, 0)
 				if test.name == "not in a conversation" {
-					test.ask.model = "" // The conversation has its version by now.
+					test.request.model = "" // The conversation is pinned to its version already.
 				}
-				got := s.send(test.ask)
+				got := s.send(test.request)
 				if test.version != "" {
-					c.Assert(got.whole(test.ask), qt.IsTrue, qt.Commentf("%s", got.Body))
+					c.Assert(got.whole(test.request), qt.IsTrue, qt.Commentf("%s", got.Body))
 					c.Assert(got.version(), qt.Equals, test.version)
 					c.Assert(s.executions(got.id()), qt.Equals, 1)
 					return
@@ -57,7 +57,7 @@
 func TestVersionWithoutAnEngineNowIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
+		s := newFixture(t)
 		s.configure(t, func(r *bronzeturnv1.Register, _ *bronzeturnv1.Rules) {
 			for i, e := range r.GetEngines() {
 				e.Versions = []string{cheap}
@@ -69,15 +69,15 @@
 		for i := 1; i < engineCount; i++ {
 			s.leaving.Store("host-of-"+engineName(i), true)
 		}
-		got := s.send(ask{})
-		c.Assert(got.whole(ask{}), qt.IsTrue, qt.Commentf("%s", got.Body))
+		got := s.send(callerRequest{})
+		c.Assert(got.whole(callerRequest{}), qt.IsTrue, qt.Commentf("%s", got.Body))
 		c.Assert(got.version(), qt.Equals, strong)
 		c.Assert(s.executions(got.id()), qt.Equals, 1)
 		c.Assert(s.ledger.billsOf(got.id()), qt.HasLen, 1)
 	})
 }
 
-func TestStaleNewsIsHonouredBeforeEachAttempt(t *testing.T) {
+func TestStaleConfigurationIsRefusedBeforeEachAttempt(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer http.HandlerFunc
@@ -90,12 +90,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
-				s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				s := newFixture(t)
+				s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").After(time.Second))
 					test.answer(w, r)
 				}))
-				got := s.send(ask{})
+				got := s.send(callerRequest{})
 				c.Assert(got.failure().Code, qt.Equals, string(failure.CodeConfigurationStale))
 				c.Assert(got.failure().Ran, qt.Equals, test.ran)
 				c.Assert(got.failure().Entries, qt.Not(qt.HasLen), 0)
@@ -105,8 +105,8 @@
 	}
 }
 
-func TestChoiceKeepsToWhatIsLeftToSpend(t *testing.T) {
-	report := ask{header: header(callerapi.HeaderKind, "report")}
+func TestChoiceStaysWithinTheRemainingSpend(t *testing.T) {
+	report := callerRequest{header: header(callerapi.HeaderKind, "report")}
 	for _, test := range []struct {
 		name    string
 		limit   int64
@@ -119,7 +119,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
+				s := newFixture(t)
 				s.Admission.Update([]*bronzeturnv1.Limit{{Organisation: "depot", DailySpendMicros: test.limit}}, 1)
 				got := s.send(report)
 				if test.version != "" {
--- a/router/refusal_test.go
+++ b/router/refusal_test.go
@@ -26,61 +26,61 @@
 	return h
 }
 
-// Every refusal is sent at once, has the one JSON shape, and is true: nothing
-// reached an engine.
+// TestRefusals checks that each refusal is sent immediately and in the common JSON format,
+// and that no request that is said not to have run reached an engine.
 func TestRefusals(t *testing.T) {
 	tooLong := `{"messages":[{"role":"user","content":"` + strings.Repeat("x", maxBodyBytes) + `"}]}`
 	tests := []struct {
 		name    string
-		ask     ask
-		prepare func(t *testing.T, s *site)
+		request callerRequest
+		prepare func(t *testing.T, s *fixture)
 		code    failure.Code
 		status  int
-		// retry tells that Retry-After is expected.
+		// retry is set if Retry-After is expected.
 		retry bool
-		// message is part of the message.
+		// message is a part of the expected message.
 		message string
 	}{
-		{name: "no key", ask: ask{key: "none"}, code: failure.CodeUnauthenticated, status: 401},
-		{name: "wrong key", ask: ask{key: "key-of-nobody"}, code: failure.CodeUnauthenticated, status: 401},
-		{name: "another scheme", ask: ask{key: "none", header: header("Authorization", "Basic "+depotKey)}, code: failure.CodeUnauthenticated, status: 401},
-		{name: "version not allowed", ask: ask{model: secret}, code: failure.CodeVersionNotAllowed, status: 403},
-		{name: "unknown version", ask: ask{model: "no-such@1"}, code: failure.CodeVersionNotAllowed, status: 403},
-		{name: "withdrawn version", ask: ask{model: withdrawn}, code: failure.CodeVersionWithdrawn, status: 410},
-		{name: "unknown kind", ask: ask{header: header(callerapi.HeaderKind, "nonsense")}, code: failure.CodeUnknownKind, status: 400},
-		{name: "not JSON", ask: ask{body: `{"messages": [}`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 15"},
-		{name: "bytes after the body", ask: ask{body: `{"messages": []} x`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 18"},
-		{name: "not an object", ask: ask{body: `[1]`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 1"},
-		{name: "null", ask: ask{body: `null`}, code: failure.CodeMalformedRequest, status: 400, message: "JSON object"},
-		{name: "wrong type of a field", ask: ask{body: `{"messages": [], "stream": "yes"}`}, code: failure.CodeMalformedRequest, status: 400, message: "field stream"},
-		{name: "no messages", ask: ask{body: `{}`}, code: failure.CodeMalformedRequest, status: 400, message: "messages"},
-		{name: "negative max_tokens", ask: ask{body: `{"messages": [], "max_tokens": -1}`}, code: failure.CodeMalformedRequest, status: 400, message: "max_tokens"},
-		{name: "body over the limit", ask: ask{body: tooLong}, code: failure.CodeBodyTooLarge, status: 413},
-		{name: "no idempotency key", ask: ask{header: header(callerapi.HeaderKind, "tag")}, code: failure.CodeKeyRequired, status: 400},
-		{name: "idempotency key too long", ask: ask{header: header(callerapi.HeaderIdempotencyKey, strings.Repeat("k", 201))}, code: failure.CodeMalformedRequest, status: 400},
-		{name: "idempotency key not printable", ask: ask{header: header(callerapi.HeaderIdempotencyKey, "caf\xe9")}, code: failure.CodeMalformedRequest, status: 400},
-		{name: "deadline past", ask: ask{header: header(callerapi.HeaderDeadline, "-1s")}, code: failure.CodeDeadlinePassed, status: 504},
-		{name: "deadline not a duration", ask: ask{header: header(callerapi.HeaderDeadline, "soon")}, code: failure.CodeMalformedRequest, status: 400},
-		{name: "unknown priority", ask: ask{header: header(callerapi.HeaderPriority, "unspecified")}, code: failure.CodeMalformedRequest, status: 400},
-		{name: "unknown path", ask: ask{path: "/v1/other"}, code: failure.CodeNotFound, status: 404},
-		{name: "service not allowed", ask: ask{key: kioskKey, path: "/v1/services/tickets/x"}, code: failure.CodeServiceNotAllowed, status: 403},
-		{name: "unknown service", ask: ask{path: "/v1/services/none/x"}, code: failure.CodeServiceNotAllowed, status: 403},
-		{name: "service without key", ask: ask{path: "/v1/services/tickets/x"}, code: failure.CodeKeyRequired, status: 400},
-		{name: "no slots", ask: ask{model: cheap}, prepare: func(_ *testing.T, s *site) { s.Admission.SetCapacity(cheap, 0) },
+		{name: "no key", request: callerRequest{key: "none"}, code: failure.CodeUnauthenticated, status: 401},
+		{name: "wrong key", request: callerRequest{key: "key-of-nobody"}, code: failure.CodeUnauthenticated, status: 401},
+		{name: "another scheme", request: callerRequest{key: "none", header: header("Authorization", "Basic "+depotKey)}, code: failure.CodeUnauthenticated, status: 401},
+		{name: "version not allowed", request: callerRequest{model: secret}, code: failure.CodeVersionNotAllowed, status: 403},
+		{name: "unknown version", request: callerRequest{model: "no-such@1"}, code: failure.CodeVersionNotAllowed, status: 403},
+		{name: "withdrawn version", request: callerRequest{model: withdrawn}, code: failure.CodeVersionWithdrawn, status: 410},
+		{name: "unknown kind", request: callerRequest{header: header(callerapi.HeaderKind, "nonsense")}, code: failure.CodeUnknownKind, status: 400},
+		{name: "not JSON", request: callerRequest{body: `{"messages": [}`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 15"},
+		{name: "bytes after the body", request: callerRequest{body: `{"messages": []} x`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 18"},
+		{name: "not an object", request: callerRequest{body: `[1]`}, code: failure.CodeMalformedRequest, status: 400, message: "at byte 1"},
+		{name: "null", request: callerRequest{body: `null`}, code: failure.CodeMalformedRequest, status: 400, message: "JSON object"},
+		{name: "wrong type of a field", request: callerRequest{body: `{"messages": [], "stream": "yes"}`}, code: failure.CodeMalformedRequest, status: 400, message: "field stream"},
+		{name: "no messages", request: callerRequest{body: `{}`}, code: failure.CodeMalformedRequest, status: 400, message: "messages"},
+		{name: "negative max_tokens", request: callerRequest{body: `{"messages": [], "max_tokens": -1}`}, code: failure.CodeMalformedRequest, status: 400, message: "max_tokens"},
+		{name: "body over the limit", request: callerRequest{body: tooLong}, code: failure.CodeBodyTooLarge, status: 413},
+		{name: "no idempotency key", request: callerRequest{header: header(callerapi.HeaderKind, "tag")}, code: failure.CodeKeyRequired, status: 400},
+		{name: "idempotency key too long", request: callerRequest{header: header(callerapi.HeaderIdempotencyKey, strings.Repeat("k", 201))}, code: failure.CodeMalformedRequest, status: 400},
+		{name: "idempotency key not printable", request: callerRequest{header: header(callerapi.HeaderIdempotencyKey, "caf\xe9")}, code: failure.CodeMalformedRequest, status: 400},
+		{name: "deadline past", request: callerRequest{header: header(callerapi.HeaderDeadline, "-1s")}, code: failure.CodeDeadlinePassed, status: 504},
+		{name: "deadline not a duration", request: callerRequest{header: header(callerapi.HeaderDeadline, "soon")}, code: failure.CodeMalformedRequest, status: 400},
+		{name: "unknown priority", request: callerRequest{header: header(callerapi.HeaderPriority, "unspecified")}, code: failure.CodeMalformedRequest, status: 400},
+		{name: "unknown path", request: callerRequest{path: "/v1/other"}, code: failure.CodeNotFound, status: 404},
+		{name: "service not allowed", request: callerRequest{key: kioskKey, path: "/v1/services/tickets/x"}, code: failure.CodeServiceNotAllowed, status: 403},
+		{name: "unknown service", request: callerRequest{path: "/v1/services/none/x"}, code: failure.CodeServiceNotAllowed, status: 403},
+		{name: "service without key", request: callerRequest{path: "/v1/services/tickets/x"}, code: failure.CodeKeyRequired, status: 400},
+		{name: "no slots", request: callerRequest{model: cheap}, prepare: func(_ *testing.T, s *fixture) { s.Admission.SetCapacity(cheap, 0) },
 			code: failure.CodeNoCapacity, status: 503, retry: true},
-		{name: "all engines leaving", prepare: func(_ *testing.T, s *site) {
+		{name: "all engines leaving", prepare: func(_ *testing.T, s *fixture) {
 			for i := range engineCount {
 				s.leaving.Store("host-of-"+engineName(i), true)
 			}
 		}, code: failure.CodeNoCapacity, status: 503, retry: true},
-		{name: "no configuration", prepare: func(_ *testing.T, s *site) { s.current.Store(nil) },
+		{name: "no configuration", prepare: func(_ *testing.T, s *fixture) { s.current.Store(nil) },
 			code: failure.CodeNoConfiguration, status: 503, retry: true},
-		{name: "stale configuration", prepare: func(_ *testing.T, s *site) {
+		{name: "stale configuration", prepare: func(_ *testing.T, s *fixture) {
 			s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").After(time.Second))
 		}, code: failure.CodeConfigurationStale, status: 503, retry: true},
-		{name: "leaving", prepare: func(_ *testing.T, s *site) { s.StopAdmitting() },
+		{name: "leaving", prepare: func(_ *testing.T, s *fixture) { s.StopAdmitting() },
 			code: failure.CodeLeaving, status: 503, retry: true},
-		{name: "limit of the organisation", prepare: func(t *testing.T, s *site) {
+		{name: "limit of the organisation", prepare: func(t *testing.T, s *fixture) {
 			s.Admission.Update([]*bronzeturnv1.Limit{{Organisation: "depot", ConcurrentRequests: 1}}, 1)
 			_, err := s.Admission.Acquire(context.Background(), admission.Request{Organisation: "depot", Deadline: time.Now().Add(time.Second), Group: cheap})
 			qt.Assert(t, err, qt.IsNil)
@@ -90,12 +90,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
+				s := newFixture(t)
 				if test.prepare != nil {
 					test.prepare(t, s)
 				}
 				start := time.Now()
-				g := s.send(test.ask)
+				g := s.send(test.request)
 				c.Check(time.Since(start), qt.Equals, time.Duration(0))
 				c.Check(g.cut, qt.IsFalse)
 				c.Check(g.Code, qt.Equals, test.status)
@@ -103,7 +103,7 @@
 				c.Check(f.Code, qt.Equals, string(test.code))
 				c.Check(f.Ran, qt.Equals, "no")
 				c.Check(f.Message, qt.Contains, test.message)
-				if !strings.Contains(test.ask.path, "other") {
+				if !strings.Contains(test.request.path, "other") {
 					c.Check(g.Header().Get(callerapi.HeaderRan), qt.Equals, "no")
 				}
 				seconds, err := strconv.Atoi(g.Header().Get("Retry-After"))
@@ -117,11 +117,12 @@
 	}
 }
 
-// One can't learn from a refusal that another organisation's version exists.
-func TestNotAllowedAndUnknownLookAlike(t *testing.T) {
+// TestNotAllowedAndUnknownAreIndistinguishable guards against refusals that disclose that
+// a version or service of another organisation exists.
+func TestNotAllowedAndUnknownAreIndistinguishable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
-		for _, pair := range [][2]ask{
+		s := newFixture(t)
+		for _, pair := range [][2]callerRequest{
 			{{model: secret}, {model: "no-such@1"}},
 			{{model: "secret"}, {model: "no-such"}},
 			{{key: kioskKey, path: "/v1/services/tickets/x"}, {key: kioskKey, path: "/v1/services/none/x"}},
@@ -137,16 +138,16 @@
 func TestConversationIsNeverMoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
-		talk := ask{header: header(callerapi.HeaderConversation, "c1", callerapi.HeaderKind, "report")}
+		s := newFixture(t)
+		talk := callerRequest{header: header(callerapi.HeaderConversation, "c1", callerapi.HeaderKind, "report")}
 		c.Assert(s.send(talk).version(), qt.Equals, strong)
-		cheaper := ask{header: header(callerapi.HeaderConversation, "c1")}
+		cheaper := callerRequest{header: header(callerapi.HeaderConversation, "c1")}
 		c.Assert(s.send(cheaper).version(), qt.Equals, strong)
 
 		other := talk
 		other.model = cheap
 		c.Assert(s.send(other).failure().Code, qt.Equals, string(failure.CodeVersionNotAllowed))
-		ofKiosks := ask{key: kioskKey, header: header(callerapi.HeaderConversation, "c1")}
+		ofKiosks := callerRequest{key: kioskKey, header: header(callerapi.HeaderConversation, "c1")}
 		c.Assert(s.send(ofKiosks).version(), qt.Equals, cheap, qt.Commentf("conversations are scoped by organisation"))
 
 		s.withdraw(t, strong)
@@ -160,8 +161,8 @@
 func TestIdempotencyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
-		first := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
+		s := newFixture(t)
+		first := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
 		g := s.send(first)
 		c.Assert(g.whole(first), qt.IsTrue, qt.Commentf("%s", g.Body))
 		again := s.send(first)
@@ -182,15 +183,16 @@
 	})
 }
 
-// A repeat that waits for the first request must not take a place from others.
-func TestRepeatWaitsWithoutAPlace(t *testing.T) {
+// TestRepeatWaitsWithoutUsingCapacity guards against repeats that use up admission capacity
+// while they wait for the first request with their key.
+func TestRepeatWaitsWithoutUsingCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
+		s := newFixture(t)
 		s.Admission.SetCapacity(cheap, 2)
-		tag := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
-		answers := make(chan got, 2)
-		s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		tag := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
+		answers := make(chan callerResponse, 2)
+		s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(time.Second)
 			s.engines[0].ServeHTTP(w, r)
 		}))
@@ -198,7 +200,7 @@
 		time.Sleep(100 * time.Millisecond)
 		go func() { answers <- s.send(tag) }()
 		time.Sleep(100 * time.Millisecond)
-		other := ask{}
+		other := callerRequest{}
 		start := time.Now()
 		c.Check(s.send(other).whole(other), qt.IsTrue)
 		c.Check(time.Since(start) < 1200*time.Millisecond, qt.IsTrue)
@@ -208,14 +210,15 @@
 	})
 }
 
-// A repeat is told the truth when its own deadline comes first, and when the
-// first request turns out not to have run.
+// TestRepeatOfARequestThatStillRuns checks what a repeat is told about the first request:
+// that it may have run if the repeat's own deadline passes first, and that it did not run
+// once that is known.
 func TestRepeatOfARequestThatStillRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newSite(t)
+		s := newFixture(t)
 		refuse := make(chan struct{})
-		s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.setEngines(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-refuse:
 			case <-r.Context().Done():
@@ -223,11 +226,11 @@
 			w.Header().Set("X-Not-Run", "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
-		tag := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
-		answers := make(chan got, 2)
+		tag := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
+		answers := make(chan callerResponse, 2)
 		go func() { answers <- s.send(tag) }()
 		time.Sleep(100 * time.Millisecond)
-		hasty := ask{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1", callerapi.HeaderDeadline, "200ms")}
+		hasty := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1", callerapi.HeaderDeadline, "200ms")}
 		start := time.Now()
 		g := s.send(hasty)
 		c.Check(time.Since(start), qt.Equals, 200*time.Millisecond)
@@ -240,8 +243,8 @@
 			f := (<-answers).failure()
 			c.Check(f.Ran, qt.Equals, "no", qt.Commentf("%+v", f))
 		}
-		s.all(s.engines[0])
-		time.Sleep(time.Second) // The engines asked for a pause.
+		s.setEngines(s.engines[0])
+		time.Sleep(time.Second) // The refusals made the balancer avoid the engines for a while.
 		third := s.send(tag)
 		c.Check(third.whole(tag), qt.IsTrue, qt.Commentf("a request that did not run may be sent again: %s", third.Body))
 	})
@@ -265,10 +268,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newSite(t)
-				s.all(test.handler)
+				s := newFixture(t)
+				s.setEngines(test.handler)
 				start := time.Now()
-				g := s.send(ask{header: header(callerapi.HeaderKind, test.kind, callerapi.HeaderIdempotencyKey, "k", callerapi.HeaderDeadline, "400ms")})
+				g := s.send(callerRequest{header: header(callerapi.HeaderKind, test.kind, callerapi.HeaderIdempotencyKey, "k", callerapi.HeaderDeadline, "400ms")})
 				c.Check(time.Since(start) <= 400*time.Millisecond+recordPause, qt.IsTrue, qt.Commentf("%v", time.Since(start)))
 				c.Check(g.failure().Ran, qt.Equals, string(test.ran))
 				c.Check(g.Code >= http.StatusInternalServerError, qt.IsTrue)
@@ -278,15 +281,16 @@
 	}
 }
 
-// recordPause bounds the virtual time that the ledger takes for one record.
+// recordPause bounds the virtual time that the ledger takes to write one record.
 const recordPause = 200 * time.Millisecond
 
-// A body that does not come is not waited for beyond the deadline.
-func TestBodyThatNeverComes(t *testing.T) {
+// TestBodyReadEndsAtTheDeadline checks that the router does not wait for a body beyond the
+// deadline of the request, which the task kind bounds.
+func TestBodyReadEndsAtTheDeadline(t *testing.T) {
 	c := qt.New(t)
-	s := newSite(t)
+	s := newFixture(t)
 	w := &slowWriter{header: make(http.Header)}
-	r := ask{}.request()
+	r := callerRequest{}.request()
 	r.Body = w
 	r.ContentLength = -1
 	r.Header.Set(callerapi.HeaderDeadline, "1h")
@@ -297,7 +301,8 @@
 	c.Assert(w.text.String(), qt.Contains, string(failure.CodeDeadlinePassed))
 }
 
-// Neither keys nor prompts show in the log, whatever happens to the request.
+// TestLogsHoldNeitherKeysNorPrompts checks that neither keys nor prompts appear in the log,
+// also for requests that fail and for engine errors that quote the prompt.
 func TestLogsHoldNeitherKeysNorPrompts(t *testing.T) {
 	const prompt = "the-prompt-nobody-may-read"
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -305,8 +310,8 @@
 		_, _ = w.Write([]byte(`{"error":{"type":"invalid_request_error","message":"bad prompt: ` + prompt + `"}}`))
 	})
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t)
-		for _, a := range []ask{
+		s := newFixture(t)
+		for _, a := range []callerRequest{
 			{prompt: prompt}, {prompt: prompt, stream: true},
 			{prompt: prompt, key: "key-nobody-may-read"},
 			{body: `{"messages": "` + prompt + `}`}, {body: `{"stream": "` + prompt + `", "messages": []}`},
@@ -316,8 +321,8 @@
 		} {
 			s.send(a)
 		}
-		s.all(echo)
-		g := s.send(ask{prompt: prompt})
+		s.setEngines(echo)
+		g := s.send(callerRequest{prompt: prompt})
 		qt.Check(t, g.Code, qt.Equals, http.StatusBadRequest)
 		qt.Check(t, g.Body.String(), qt.Not(qt.Contains), prompt)
 		text := s.log.String()
@@ -328,15 +333,15 @@
 	})
 }
 
-// A bill that fails must not leave a recorded answer that a repeat would get
-// for nothing.
+// TestFailedBill guards against an outcome that is recorded although its bill is not: a
+// repeat would then get the answer for free.
 func TestFailedBill(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSite(t)
+			s := newFixture(t)
 			s.ledger.onBill = func(context.Context) error { return ledger.ErrStopped }
-			tag := ask{stream: stream, header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
+			tag := callerRequest{stream: stream, header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
 			g := s.send(tag)
 			c.Check(g.whole(tag), qt.IsFalse)
 			c.Check(g.cut, qt.Equals, stream)
--- a/router/request_test.go
+++ b/router/request_test.go
@@ -10,7 +10,8 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// The body for an engine is the caller's, with the fields that the router sets.
+// TestForwardBody checks that the body for an engine equals that of the caller except for
+// the fields that the router sets.
 func TestForwardBody(t *testing.T) {
 	c := qt.New(t)
 	for _, stream := range []bool{false, true} {
@@ -36,7 +37,8 @@
 	}
 }
 
-// Prompts without a whole block have no prefix, others have the engines' hash.
+// TestPrefixHash checks that prompts shorter than one block have no prefix hash, that other
+// prompts have the hash that engines compute, and that it differs between organisations.
 func TestPrefixHash(t *testing.T) {
 	c := qt.New(t)
 	for length := 1; length < 3*engine.PrefixBlockBytes; length += 7 {
--- a/router/settlement.go
+++ b/router/settlement.go
@@ -90,14 +90,14 @@
 // addInterrupted adds the usage of an answer that ended early. An answer that the caller
 // abandoned is billed for the tokens generated; one that the engine broke off costs
 // nothing.
-func (s *settlement) addInterrupted(p *relay, byCaller bool) {
+func (s *settlement) addInterrupted(rl *relay, byCaller bool) {
 	if s.settled {
 		return
 	}
 	if byCaller {
-		s.addUsage(p.attempt.version, p.usage())
+		s.addUsage(rl.attempt.version, rl.usage())
 	}
-	s.version = p.attempt.version
+	s.version = rl.attempt.version
 }
 
 // settleFailed records a request that got no complete answer: a bill if a version ran
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -42,7 +42,7 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// The configuration of the tests.
+// Names, keys and sizes in the configuration of the tests.
 const (
 	cheap        = "small@1"
 	strong       = "large@1"
@@ -52,15 +52,16 @@
 	kioskKey     = "key-of-the-kiosks"
 	engineCount  = 3
 	maxBodyBytes = 4 << 10
-	// serviceAddress is where the network finds the plain service.
+	// serviceAddress is the address of the plain service in the network.
 	serviceAddress = "127.0.0.1:100"
 )
 
-// earnedRequests fills the budgets of retries and hedges.
+// earnedRequests is a number of requests that is enough to fill the budgets of retries and
+// hedges.
 const earnedRequests = 200
 
-// register has two versions on every engine, a withdrawn one, and one that only
-// the kiosks may use.
+// register returns a register in which every engine serves a cheap and a strong version, a
+// withdrawn one, and one that only the organisation "kiosks" may use.
 func register() *bronzeturnv1.Register {
 	r := &bronzeturnv1.Register{
 		DataCentres: []*bronzeturnv1.DataCentre{{Name: "hall"}},
@@ -91,7 +92,7 @@
 
 func engineName(number int) string { return fmt.Sprintf("engine-%d", number+1) }
 
-// engineAddress is where the network finds an engine. Nothing listens there.
+// engineAddress returns the address of an engine in the network. It is not a real listener.
 func engineAddress(number int) string { return fmt.Sprintf("127.0.0.1:%d", number+1) }
 
 func digest(key string) string {
@@ -116,9 +117,9 @@
 	return r
 }
 
-// site is a router over real decisions, a real ledger over a store in memory,
-// and stand-in engines without sockets.
-type site struct {
+// fixture is a router with the real policies, a real ledger on an in-memory store, and
+// stand-in engines that are called without sockets.
+type fixture struct {
 	*Router
 	network  *network
 	engines  []*standin.Engine
@@ -126,15 +127,15 @@
 	ledger   *spyLedger
 	current  atomic.Pointer[Tables]
 	stale    atomic.Pointer[failure.Error]
-	leaving  sync.Map // of host
+	leaving  sync.Map // hosts that get no new work
 	samples  chan AnswerSample
 	log      *logBuffer
 	handler  http.Handler
 }
 
-func newSite(t testing.TB, change ...func(*standin.EngineConfig)) *site {
+func newFixture(t testing.TB, change ...func(*standin.EngineConfig)) *fixture {
 	c := qt.New(t)
-	s := &site{network: newNetwork(), log: &logBuffer{}, samples: make(chan AnswerSample, 1000)}
+	s := &fixture{network: newNetwork(), log: &logBuffer{}, samples: make(chan AnswerSample, 1000)}
 	state, err := balance.NewState(balance.DefaultOptions())
 	c.Assert(err, qt.IsNil)
 	s.balancer = newSpyBalancer(state)
@@ -155,8 +156,8 @@
 		Quality:  store, Engines: s.balancer, Hedges: hedges,
 		Retries: retry.DefaultPolicy(), Budget: retry.NewBudget(retry.DefaultBudgetOptions()),
 		Breakers:  retry.NewBreakers(retry.DefaultBreakerOptions()),
-		Admission: admitting, Ledger: s.ledger, Members: siteMembers{s}, Raters: s,
-		Quarantine:   newSiteQuarantine(t, s.network, s.log),
+		Admission: admitting, Ledger: s.ledger, Members: fixtureMembers{s}, Raters: s,
+		Quarantine:   newFixtureQuarantine(t, s.network, s.log),
 		EngineClient: engine.New(s.network), ServiceClient: plainservice.New(s.network),
 		Seed: 1, Log: zerolog.New(s.log), Registerer: prometheus.NewRegistry(),
 	})
@@ -181,15 +182,15 @@
 // answer.
 const maxProbeDuration = 2 * time.Second
 
-// siteQuarantine is the quarantine of a single daemon with an in-memory store.
-type siteQuarantine struct {
+// fixtureQuarantine is the quarantine of a single daemon with an in-memory store.
+type fixtureQuarantine struct {
 	*quarantine.Quarantine
-	// probeStarted is set once an answer broke off, so that cleanup waits for the probes.
+	// probeStarted is set once an answer has broken off, so that cleanup waits for the probes.
 	probeStarted atomic.Bool
 }
 
-func newSiteQuarantine(t testing.TB, n *network, log *logBuffer) *siteQuarantine {
-	q := &siteQuarantine{}
+func newFixtureQuarantine(t testing.TB, n *network, log *logBuffer) *fixtureQuarantine {
+	q := &fixtureQuarantine{}
 	q.Quarantine = quarantine.New(quarantine.Options{
 		Self: "daemon", Dial: n.dial, Store: memstore.New(), Starts: quarantine.NewStartTracker(),
 		Publish: func(*bronzeturnv1.CrashReport) {}, Place: func(quarantine.Hash) int { return 0 },
@@ -211,13 +212,13 @@
 }
 
 // Broke implements Quarantine.
-func (q *siteQuarantine) Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
+func (q *fixtureQuarantine) Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
 	q.probeStarted.Store(true)
 	q.Quarantine.Broke(e, h, now, blame)
 }
 
-// configure puts a changed configuration in force.
-func (s *site) configure(t testing.TB, change func(*bronzeturnv1.Register, *bronzeturnv1.Rules)) {
+// configure applies the configuration of the tests after a change.
+func (s *fixture) configure(t testing.TB, change func(*bronzeturnv1.Register, *bronzeturnv1.Rules)) {
 	reg, rule := register(), rules(t)
 	change(reg, rule)
 	snapshot, err := config.NewSnapshot(1, proto.CloneOf(reg), proto.CloneOf(rule))
@@ -228,38 +229,39 @@
 	s.current.Store(tables)
 }
 
-// measureHedges lets the kind "quick" be hedged after about 60 ms.
-func (s *site) measureHedges() {
+// measureHedges reports enough latencies that requests of kind "quick" are hedged after
+// about 60 ms.
+func (s *fixture) measureHedges() {
 	for range earnedRequests {
 		s.Hedges.Request(time.Now())
 		s.Hedges.Answered(hedge.Answered{Kind: "quick", Latency: 60 * time.Millisecond})
 	}
 }
 
-// withdraw takes a version out of service.
-func (s *site) withdraw(t testing.TB, version string) {
+// withdraw applies a configuration in which a version is withdrawn.
+func (s *fixture) withdraw(t testing.TB, version string) {
 	s.configure(t, func(_ *bronzeturnv1.Register, r *bronzeturnv1.Rules) {
 		r.Withdrawals = append(r.Withdrawals, &bronzeturnv1.Withdrawal{Version: version})
 	})
 }
 
-// all sets the handler of every engine.
-func (s *site) all(h http.Handler) {
+// setEngines sets the handler of every engine.
+func (s *fixture) setEngines(h http.Handler) {
 	for i := range engineCount {
 		s.network.set(engineAddress(i), h)
 	}
 }
 
-// Sample implements Raters. Those that nobody reads are dropped.
-func (s *site) Sample(a AnswerSample) {
+// Sample implements Sampler. It drops samples when the channel is full.
+func (s *fixture) Sample(a AnswerSample) {
 	select {
 	case s.samples <- a:
 	default:
 	}
 }
 
-// executions returns how often a request ran on all engines together.
-func (s *site) executions(requestID string) int {
+// executions returns how often a request ran, summed over all engines.
+func (s *fixture) executions(requestID string) int {
 	total := 0
 	for _, e := range s.engines {
 		total += e.Executions()[requestID]
@@ -267,21 +269,22 @@
 	return total
 }
 
-// siteMembers implements Members.
-type siteMembers struct{ s *site }
+// fixtureMembers implements Members.
+type fixtureMembers struct{ s *fixture }
 
 // Entries implements Members.
-func (m siteMembers) Entries(*rand.Rand) ([]string, time.Duration) {
+func (m fixtureMembers) Entries(*rand.Rand) ([]string, time.Duration) {
 	return []string{"other:1"}, time.Minute
 }
 
 // BackendLeaving implements Members.
-func (m siteMembers) BackendLeaving(host string) bool {
+func (m fixtureMembers) BackendLeaving(host string) bool {
 	_, leaving := m.s.leaving.Load(host)
 	return leaving
 }
 
-// spyBalancer counts what is reported per engine.
+// spyBalancer wraps the real balancer. It records the calls and counts the requests in
+// progress per engine.
 type spyBalancer struct {
 	*balance.State
 	mu       sync.Mutex
@@ -291,7 +294,7 @@
 	failed   []balance.Failed
 	first    []balance.FirstToken
 	requests []balance.Request
-	// chosen is called after each choice.
+	// chosen is called after each choice, unless it is nil.
 	chosen func()
 }
 
@@ -353,7 +356,8 @@
 	}
 }
 
-// check returns what is wrong once all requests have ended, or "".
+// check must be called once all requests have ended. It describes an engine whose reported
+// ends do not match the requests sent to it, or returns "".
 func (b *spyBalancer) check() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -365,30 +369,31 @@
 	return b.fault
 }
 
-// spyLedger is a real ledger of one daemon. Calls can be replaced.
+// spyLedger wraps the real ledger of a single daemon. It records bills and outcomes, and
+// can make bills fail or block.
 type spyLedger struct {
 	*ledger.Ledger
 	mu        sync.Mutex
 	bills     []ledger.Bill
 	completed []ledger.CompleteRequest
-	// instant drops bills at once, for measurements of the router alone.
+	// instant discards bills, so that only the router is measured.
 	instant bool
-	// onBill may fail a bill, or block.
+	// onBill is called before each bill, unless it is nil. It may return an error or block.
 	onBill func(context.Context) error
 }
 
-// self owns every key.
-type self struct{}
+// singleDaemon makes one daemon the owner of every key.
+type singleDaemon struct{}
 
 // Owner implements ledger.Owners.
-func (self) Owner(string) (string, bool) { return "daemon", true }
+func (singleDaemon) Owner(string) (string, bool) { return "daemon", true }
 
 // Dial implements ledger.Dialer.
-func (self) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
+func (singleDaemon) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
 
 func newSpyLedger(t testing.TB) *spyLedger {
 	l, err := ledger.New(ledger.Config{
-		Self: "daemon", Store: memstore.New(), Owners: self{}, Dialer: self{}, Log: zerolog.Nop(),
+		Self: "daemon", Store: memstore.New(), Owners: singleDaemon{}, Dialer: singleDaemon{}, Log: zerolog.Nop(),
 		Rand: rand.New(rand.NewPCG(1, 1)), Shards: 4, Slots: 16,
 	})
 	qt.Assert(t, err, qt.IsNil)
@@ -438,7 +443,7 @@
 	return found
 }
 
-// logBuffer keeps log lines.
+// logBuffer is a concurrency-safe buffer of log lines.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -457,8 +462,8 @@
 	return b.text.String()
 }
 
-// ask is one request of a caller. Zero fields take a usual value.
-type ask struct {
+// callerRequest is one request of a caller. Zero fields take a default value.
+type callerRequest struct {
 	ctx    context.Context
 	key    string // "none" for no Authorization header
 	body   string
@@ -470,7 +475,7 @@
 	header map[string]string
 }
 
-func (a ask) text() string {
+func (a callerRequest) text() string {
 	if a.body != "" {
 		return a.body
 	}
@@ -489,7 +494,7 @@
 	return string(data)
 }
 
-func (a ask) request() *http.Request {
+func (a callerRequest) request() *http.Request {
 	method, path, ctx := a.method, a.path, a.ctx
 	if method == "" {
 		method = http.MethodPost
@@ -514,20 +519,20 @@
 	return r
 }
 
-// got is what the caller received. cut tells that the connection was cut.
-type got struct {
+// callerResponse is what a caller received. cut is set if the connection was aborted.
+type callerResponse struct {
 	*httptest.ResponseRecorder
 	cut bool
 }
 
-// send carries out a request and waits for its end.
-func (s *site) send(a ask) got {
+// send sends a request and returns the complete response.
+func (s *fixture) send(a callerRequest) callerResponse {
 	w := httptest.NewRecorder()
-	return got{w, s.serveTo(w, a.request())}
+	return callerResponse{w, s.serveTo(w, a.request())}
 }
 
-// serveTo answers to w and tells whether the connection was cut.
-func (s *site) serveTo(w http.ResponseWriter, r *http.Request) (cut bool) {
+// serveTo serves a request and reports whether the connection was aborted.
+func (s *fixture) serveTo(w http.ResponseWriter, r *http.Request) (cut bool) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			if recovered != http.ErrAbortHandler {
@@ -540,28 +545,28 @@
 	return false
 }
 
-func (g got) id() string { return g.Result().Header.Get(callerapi.HeaderRequestID) }
+func (g callerResponse) id() string { return g.Result().Header.Get(callerapi.HeaderRequestID) }
 
-func (g got) version() string { return g.Result().Header.Get(callerapi.HeaderVersion) }
+func (g callerResponse) version() string { return g.Result().Header.Get(callerapi.HeaderVersion) }
 
-// failure is the error in the body, also of a broken stream.
-func (g got) failure() callerapi.ErrorDetail {
+// failure returns the error in the body, which may be the last event of a stream.
+func (g callerResponse) failure() callerapi.ErrorDetail {
 	var body callerapi.ErrorBody
 	text := g.Body.String()
 	if at := strings.LastIndex(text, "data: "); at >= 0 {
 		text = text[at+len("data: "):]
 	}
-	_ = json.Unmarshal([]byte(text), &body) // Without an error the detail is empty.
+	_ = json.Unmarshal([]byte(text), &body) // If the body holds no error, the detail is empty.
 	return body.Error
 }
 
-// content is the text of a whole or streamed answer.
-func (g got) content() string {
+// content returns the text of a streamed or non-streaming answer.
+func (g callerResponse) content() string {
 	var text strings.Builder
 	for line := range strings.Lines(g.Body.String()) {
 		var part completion
 		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &part) != nil {
-			continue // Blank lines and the end mark are not JSON.
+			continue // Blank lines and the [DONE] marker are not JSON.
 		}
 		for _, choice := range part.Choices {
 			text.WriteString(choice.Message.Content + choice.Delta.Content)
@@ -570,8 +575,8 @@
 	return text.String()
 }
 
-// whole tells whether the caller got the whole answer to its request.
-func (g got) whole(a ask) bool {
+// whole reports whether the caller got the complete answer to its request.
+func (g callerResponse) whole(a callerRequest) bool {
 	if g.cut || g.Code != http.StatusOK || (a.stream && !strings.HasSuffix(g.Body.String(), "data: [DONE]\n\n")) {
 		return false
 	}
--- a/router/socket_test.go
+++ b/router/socket_test.go
@@ -14,11 +14,12 @@
 	"github.com/bronzeturn/bronzeturn/callerapi"
 )
 
-// Over real connections: a body that never comes ends in a refusal, and the
-// bound on the body of one request does not outlast it.
+// TestBodyDeadlineOverSockets checks over a real connection that a body that never
+// arrives ends in a failure, and that the read deadline for the body of one request does
+// not affect the next one on the same connection.
 func TestBodyDeadlineOverSockets(t *testing.T) {
 	c := qt.New(t)
-	s := newSite(t)
+	s := newFixture(t)
 	server := httptest.NewServer(s.handler)
 	defer server.Close()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
@@ -33,7 +34,7 @@
 		c.Assert(err, qt.IsNil)
 		return response
 	}
-	body := ask{}.text()
+	body := callerRequest{}.text()
 	for range 2 {
 		response := send("20s", body, len(body))
 		c.Assert(response.StatusCode, qt.Equals, http.StatusOK)
