--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -1,6 +1,6 @@
-// Package attempt sends one HTTP request at most once and tells how far it got.
-// The adapters of the model engines and the plain services are built on it:
-// their promise "the request did not run" rests on Stage.
+// Package attempt sends an HTTP request at most once and reports how far it got. The
+// clients of the engines and of the plain services use it: they conclude from Stage
+// that a request did not run.
 package attempt
 
 import (
@@ -15,21 +15,24 @@
 	"time"
 )
 
-// Stage tells how far a request got before it failed.
+// Stage says how far a request got before it failed.
 type Stage int
 
-// The stages. NotSent is certain: no complete request left this process.
+// The stages. NotSent means that certainly no complete request left this process,
+// Sent that the peer may have received the request, and Answered that the header of
+// the answer was received.
 const (
 	NotSent Stage = iota
 	Sent
 	Answered
 )
 
-// Reason tells why an attempt ended without a whole answer.
+// Reason says why an attempt ended without a complete answer.
 type Reason int
 
-// The reasons. Silent means that the peer made no progress within the progress
-// timeout, Canceled that the caller's context ended or the exchange was closed.
+// The reasons. Network means that the connection failed, Silent that the peer made no
+// progress within the timeout, and Canceled that the caller's context ended or the
+// exchange was closed.
 const (
 	Network Reason = iota
 	Silent
@@ -54,28 +57,28 @@
 var (
 	errSilent       = errors.New("no progress within the timeout")
 	errClosed       = errors.New("exchange closed")
-	errNotRewinding = errors.New("nothing was written")
+	errNotReplayed = errors.New("connection failed before the request was written; request not repeated")
 )
 
-// Request is what one attempt sends. ProgressTimeout bounds the time without
-// any progress of the peer; zero means no bound. PauseTimeout replaces it once
-// the header has come, unless it is zero.
+// Request is the request of one attempt. ProgressTimeout bounds the time without
+// progress by the peer; zero means no bound. If PauseTimeout is not zero, it replaces
+// ProgressTimeout once the header of the answer has been received.
 type Request struct {
 	Method string
 	URL    string
-	// Host replaces that of the URL in the Host header, unless it is empty.
+	// Host is the value of the Host header. If it is empty, the host of the URL is sent.
 	Host            string
 	Header          http.Header
 	Body            []byte
 	ProgressTimeout time.Duration
 	PauseTimeout    time.Duration
-	// GiveUp is asked when one of these bounds is reached; the attempt goes on for
-	// as long again when it returns false. Nil gives up. It is called from another
-	// goroutine.
+	// GiveUp is called when one of these timeouts expires. If it returns false, the
+	// timeout starts again; otherwise, or if GiveUp is nil, the attempt is canceled.
+	// It is called from another goroutine.
 	GiveUp func() bool
 }
 
-// pause returns the bound after the header.
+// pause returns the timeout that applies after the header of the answer.
 func (r *Request) pause() time.Duration {
 	if r.PauseTimeout > 0 {
 		return r.PauseTimeout
@@ -83,12 +86,12 @@
 	return r.ProgressTimeout
 }
 
-// Exchange is an answered attempt whose body is still to be read. Read and
-// Close must be called from one goroutine at a time.
+// Exchange is an attempt whose answer has begun and whose body is still to be read.
+// Read and Close must not be called concurrently.
 type Exchange struct {
 	Status int
 	Header http.Header
-	// Length is the announced length of the body, or -1.
+	// Length is the content length of the answer, or -1 if it is unknown.
 	Length int64
 
 	transport http.RoundTripper
@@ -102,8 +105,8 @@
 	ended    bool
 }
 
-// progressTimer cancels with errSilent when it runs out and giveUp agrees. It is
-// nil for zero.
+// progressTimer returns a timer that cancels with errSilent when it expires, unless
+// giveUp returns false, which restarts it. It returns nil if d is zero.
 func progressTimer(d time.Duration, giveUp func() bool, cancel context.CancelCauseFunc) *time.Timer {
 	if d <= 0 {
 		return nil
@@ -122,7 +125,7 @@
 	return timer.Load()
 }
 
-// trace records how far the transport got.
+// trace records how far the transport got with a request.
 type trace struct {
 	started atomic.Bool
 	gotConn atomic.Bool
@@ -137,11 +140,11 @@
 	}
 }
 
-// stage derives the stage of a request that failed with err. A transport that
-// reports no trace gets the careful reading.
+// stage returns the stage of a request that failed with err. It returns Sent for a
+// transport that does not call the hooks, since the request may have been sent.
 func (t *trace) stage(err error, canceled bool) Stage {
 	switch {
-	case errors.Is(err, errNotRewinding):
+	case errors.Is(err, errNotReplayed):
 		return NotSent
 	case !t.started.Load():
 		return Sent
@@ -154,10 +157,10 @@
 	}
 }
 
-// Send sends the request once over transport and waits for the answer's
-// header. It never follows redirects and never repeats the request: the
-// transport may only try another connection when no byte was written, and is
-// kept from even that. The error is an *Error or a malformed request.
+// Send sends the request once over transport and waits for the header of the answer.
+// It never follows redirects and never repeats the request. It also prevents the
+// transport from trying another connection when no byte was written. The error is an
+// *Error, also for a malformed request.
 func Send(ctx context.Context, transport http.RoundTripper, r Request) (*Exchange, error) {
 	inner, cancel := context.WithCancelCause(ctx)
 	seen := &trace{}
@@ -196,15 +199,16 @@
 	DropIdle(host string)
 }
 
-// dropIdle closes the idle connections to a host that went silent, since what
-// lost track of one connection has often lost track of the others.
+// dropIdle closes the idle connections to a host that went silent. If the host or the
+// network between has lost the state of one connection, it has often lost that of the
+// others too.
 func dropIdle(transport http.RoundTripper, host string, reason Reason) {
 	if d, ok := transport.(idleDropper); ok && reason == Silent {
 		d.DropIdle(host)
 	}
 }
 
-// reasonOf reads why ctx ended; a live context means a network failure.
+// reasonOf returns the reason for which ctx ended, or Network if it has not ended.
 func reasonOf(ctx context.Context) Reason {
 	switch {
 	case ctx.Err() == nil:
@@ -216,9 +220,9 @@
 	}
 }
 
-// newRequest builds a request that net/http.Transport does not replay. Its
-// GetBody always fails, which stops the transport where it would otherwise
-// repeat a request of which nothing was written, and tells us so.
+// newRequest returns a request that http.Transport does not replay. Its GetBody always
+// fails with errNotReplayed: the transport calls it to repeat a request of which nothing
+// was written, and returns this error instead.
 func newRequest(ctx context.Context, r Request) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.URL, nil)
 	if err != nil {
@@ -228,27 +232,27 @@
 		req.Header[name] = values
 	}
 	req.Host = r.Host
-	hideKeys(req.Header)
+	hideIdempotencyKeys(req.Header)
 	if len(r.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(r.Body))
 		req.ContentLength = int64(len(r.Body))
 	}
-	if lacksBody(r.Method) {
-		// A body of unknown type makes the transport treat the request as one
-		// that cannot be replayed. It sends none when the body is empty.
+	if replayedByTransport(r.Method) {
+		// The transport does not replay requests that have a body but no GetBody. It
+		// sends no body if this one is empty.
 		if req.Body == nil {
 			req.Body = io.NopCloser(bytes.NewReader(nil))
 		}
 		return req, nil
 	}
 	if req.Body != nil {
-		req.GetBody = func() (io.ReadCloser, error) { return nil, errNotRewinding }
+		req.GetBody = func() (io.ReadCloser, error) { return nil, errNotReplayed }
 	}
 	return req, nil
 }
 
-// lacksBody names the methods that the transport replays by itself.
-func lacksBody(method string) bool {
+// replayedByTransport reports whether http.Transport replays requests of a method.
+func replayedByTransport(method string) bool {
 	switch method {
 	case "", http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
@@ -256,26 +260,27 @@
 	return false
 }
 
-// hideKeys writes the headers by which the transport takes a request for
-// replayable in lower case: the same header to the peer, none to the transport.
-func hideKeys(h http.Header) {
+// hideIdempotencyKeys writes in lower case the names of the headers that make
+// http.Transport replay a request. They are the same headers to the peer, but the
+// transport does not recognise them.
+func hideIdempotencyKeys(h http.Header) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		values, ok := h[name]
 		if !ok {
 			continue
 		}
 		delete(h, name)
-		h[lowerKeys[name]] = values
+		h[lowerCaseNames[name]] = values
 	}
 }
 
-var lowerKeys = map[string]string{
+var lowerCaseNames = map[string]string{
 	"Idempotency-Key":   "idempotency-key",
 	"X-Idempotency-Key": "x-idempotency-key",
 }
 
-// Read implements io.Reader over the body. It returns io.EOF only after a
-// complete body, otherwise an *Error of stage Answered.
+// Read implements io.Reader for the body. It returns io.EOF only after a complete body;
+// any other error is an *Error of stage Answered.
 func (x *Exchange) Read(p []byte) (int, error) {
 	if x.timer != nil {
 		x.timer.Reset(x.progress)
@@ -296,12 +301,11 @@
 	return n, &Error{Stage: Answered, Reason: reason, Cause: err}
 }
 
-// drainTimeout bounds how long Close waits for the end of a body, so that the
-// connection can be used again.
+// drainTimeout bounds how long Drain waits for the end of a body.
 const drainTimeout = 200 * time.Millisecond
 
-// Drain reads the few bytes that may follow the useful part of the body, so
-// that the connection can be reused. It gives up after a short while.
+// Drain reads the few bytes that may follow the part of the body that the caller needs,
+// so that the connection can be reused. It stops after drainTimeout.
 func (x *Exchange) Drain() {
 	timer := time.AfterFunc(drainTimeout, func() { x.cancel(errClosed) })
 	defer timer.Stop()
@@ -313,8 +317,8 @@
 	}
 }
 
-// Close ends the exchange. The connection of an unfinished body is closed, so
-// that the peer can stop its work.
+// Close ends the exchange. If the body has not been read to its end, the connection is
+// closed, so that the peer can stop its work.
 func (x *Exchange) Close() error {
 	if x.timer != nil {
 		x.timer.Stop()
--- a/attempt/attempt_test.go
+++ b/attempt/attempt_test.go
@@ -18,8 +18,8 @@
 	"github.com/bronzeturn/bronzeturn/attempt"
 )
 
-// dropSecond answers the first request of each connection and closes the
-// connection at the second, after having read it. It counts the requests.
+// dropSecond starts a server that answers the first request of each connection, and closes
+// the connection after it has read the second. received counts the requests.
 func dropSecond(c *qt.C) (address string, received *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -107,7 +107,7 @@
 	}
 }
 
-// failingConn fails writes without writing once broken is set.
+// failingConn fails all writes without writing anything once broken is set.
 type failingConn struct {
 	net.Conn
 	broken *atomic.Bool
@@ -150,12 +150,12 @@
 	c.Assert(stageOf(c, err), qt.Equals, attempt.NotSent)
 }
 
-// roundTripper is a transport that reports no trace.
+// roundTripper is a transport that does not call the hooks of httptrace.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (f roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func TestTransportWithoutTraceGetsCarefulReading(t *testing.T) {
+func TestRequestOverTransportWithoutTraceCountsAsSent(t *testing.T) {
 	c := qt.New(t)
 	transport := roundTripper(func(*http.Request) (*http.Response, error) { return nil, io.EOF })
 	err := send(transport, attempt.Request{Method: "POST", URL: "http://127.0.0.1:1"})
@@ -224,7 +224,7 @@
 				defer conn.Close()
 				_, _ = http.ReadRequest(bufio.NewReader(conn))
 				_, _ = io.WriteString(conn, test.answer)
-				_, _ = io.Copy(io.Discard, conn) // Until the peer gives up.
+				_, _ = io.Copy(io.Discard, conn) // Until the client closes the connection.
 			}()
 			err = send(newTransport(c), attempt.Request{
 				Method: "POST", URL: "http://" + l.Addr().String(), Body: []byte("x"),
--- a/attempt/dialer.go
+++ b/attempt/dialer.go
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// DialOptions set how soon a connection that carries nothing is given up. All
-// times are required.
+// DialOptions configures how soon a dead connection is detected. All fields are
+// required.
 type DialOptions struct {
-	// Connect bounds the opening of a connection.
+	// Connect bounds the time to open a connection.
 	Connect time.Duration
-	// Unacked is how long sent bytes may stay unacknowledged.
+	// Unacked bounds how long sent data may stay unacknowledged (TCP_USER_TIMEOUT).
 	Unacked time.Duration
-	// ProbeAfter is the silence after which the peer's host is probed, ProbeEvery
-	// the time between probes; ProbeCount probes without an answer end it.
+	// ProbeAfter is the idle time after which TCP keep-alive probes start, ProbeEvery
+	// the time between probes. The connection ends after ProbeCount unanswered probes.
 	ProbeAfter, ProbeEvery time.Duration
 	ProbeCount             int
 }
 
-// Dialer returns a dialer whose connections end when the other host is gone or
-// has lost track of them, rather than hang.
+// Dialer returns a dial function. Its connections fail instead of hanging if the other
+// host is unreachable or has lost their state.
 func (o DialOptions) Dialer() func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout: o.Connect,
@@ -36,7 +36,7 @@
 	return d.DialContext
 }
 
-// setUserTimeout bounds the time that sent bytes may stay unacknowledged.
+// setUserTimeout bounds how long sent data may stay unacknowledged.
 func setUserTimeout(c syscall.RawConn, d time.Duration) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
@@ -48,9 +48,9 @@
 	return failed
 }
 
-// FreshTransport returns a transport that opens a connection for each request
-// and closes it afterwards. So no answer can be that of an earlier request, and
-// no connection can have gone silent before it is used.
+// NewUnpooledTransport returns a transport that opens a connection for each request and
+// closes it afterwards. So an answer cannot belong to an earlier request, and a
+// connection cannot have gone silent before it is used.
 func FreshTransport(o DialOptions) *http.Transport {
 	return &http.Transport{
 		DialContext:            o.Dialer(),
@@ -65,22 +65,22 @@
 const (
 	// maxAnswerHeaderBytes bounds the header of an answer.
 	maxAnswerHeaderBytes = 64 << 10
-	// connectionBuffer is the buffer of one connection in each direction.
+	// connectionBuffer is the size of the read and the write buffer of a connection.
 	connectionBuffer = 4 << 10
 )
 
-// keptIdle bounds the life of an idle connection of KeptTransport, keptPerHost
-// their number.
+// Limits of NewPooledTransport: how long idle connections are kept, and how many per
+// host.
 const (
-	keptIdle    = 30 * time.Second
-	keptPerHost = 4
+	pooledIdleTimeout    = 30 * time.Second
+	pooledIdlePerHost = 4
 )
 
-// KeptTransport returns a transport that keeps a few connections open, for a
-// peer that is asked often.
+// NewPooledTransport returns a transport that keeps a few connections open, for a peer
+// that gets frequent requests.
 func KeptTransport(o DialOptions) *http.Transport {
 	return &http.Transport{
-		DialContext: o.Dialer(), DisableCompression: true, IdleConnTimeout: keptIdle,
-		MaxIdleConnsPerHost: keptPerHost, MaxResponseHeaderBytes: maxAnswerHeaderBytes,
+		DialContext: o.Dialer(), DisableCompression: true, IdleConnTimeout: pooledIdleTimeout,
+		MaxIdleConnsPerHost: pooledIdlePerHost, MaxResponseHeaderBytes: maxAnswerHeaderBytes,
 	}
 }
--- a/attempt/transports.go
+++ b/attempt/transports.go
@@ -5,27 +5,26 @@
 	"sync"
 )
 
-// Transports is an http.RoundTripper with one *http.Transport per host, so
-// that the idle connections to one host can be closed alone. It keeps the
-// transport of every host it has met; hosts must come from a bounded set, such
-// as the register.
+// Transports is an http.RoundTripper with one *http.Transport per host, so that the idle
+// connections to one host can be closed separately. It never removes the transport of a
+// host; hosts must come from a bounded set, such as the register.
 type Transports struct {
 	template *http.Transport
 	byHost   sync.Map // of string to *http.Transport
 }
 
-// NewTransports returns Transports that are clones of template.
+// NewTransports returns a Transports whose transports are clones of template.
 func NewTransports(template *http.Transport) *Transports {
 	return &Transports{template: template}
 }
 
 // RoundTrip implements http.RoundTripper.
 func (t *Transports) RoundTrip(r *http.Request) (*http.Response, error) {
-	return t.of(r.URL.Host).RoundTrip(r)
+	return t.forHost(r.URL.Host).RoundTrip(r)
 }
 
-// of returns the transport of a host.
-func (t *Transports) of(host string) *http.Transport {
+// forHost returns the transport of a host, and creates it if there is none.
+func (t *Transports) forHost(host string) *http.Transport {
 	if known, ok := t.byHost.Load(host); ok {
 		return known.(*http.Transport)
 	}
@@ -33,7 +32,7 @@
 	return known.(*http.Transport)
 }
 
-// DropIdle closes the idle connections to host, given as address and port.
+// DropIdle closes the idle connections to host, which includes the port.
 func (t *Transports) DropIdle(host string) {
 	if known, ok := t.byHost.Load(host); ok {
 		known.(*http.Transport).CloseIdleConnections()
--- a/attempt/transports_test.go
+++ b/attempt/transports_test.go
@@ -16,7 +16,8 @@
 	"github.com/bronzeturn/bronzeturn/attempt"
 )
 
-// muteConn delivers nothing that the peer sends once mute is set.
+// muteConn discards what the peer sends once mute is set, like a connection whose state the
+// peer or the network has lost. Reads then block until the connection is closed.
 type muteConn struct {
 	net.Conn
 	mute   *atomic.Bool
@@ -38,14 +39,14 @@
 	return m.Conn.Close()
 }
 
-func TestOneSilentConnectionDropsTheIdleOnesToItsHost(t *testing.T) {
+func TestSilentConnectionClosesTheIdleOnesToItsHost(t *testing.T) {
 	c := qt.New(t)
 	const together = 4
 	var arrived sync.WaitGroup
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/together" {
 			arrived.Done()
-			arrived.Wait() // Each request needs a connection of its own.
+			arrived.Wait() // Keeps all requests open, so that each uses its own connection.
 		}
 	}))
 	defer server.Close()
@@ -78,11 +79,11 @@
 	err := send(transport, r)
 	c.Assert(stageOf(c, err), qt.Equals, attempt.Sent)
 	r.ProgressTimeout = 5 * time.Second
-	c.Assert(send(transport, r), qt.IsNil) // Would time out on any of the old ones.
+	c.Assert(send(transport, r), qt.IsNil) // Would time out on any of the old connections.
 	c.Assert(dials.Load(), qt.Equals, int32(together+1))
 }
 
-func TestTransportsKeepHostsApart(t *testing.T) {
+func TestTransportsPoolConnectionsPerHost(t *testing.T) {
 	c := qt.New(t)
 	var received atomic.Int32
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
