--- a/attempt/dialer.go
+++ b/attempt/dialer.go
@@ -51,7 +51,7 @@
 // NewUnpooledTransport returns a transport that opens a connection for each request and
 // closes it afterwards. So an answer cannot belong to an earlier request, and a
 // connection cannot have gone silent before it is used.
-func FreshTransport(o DialOptions) *http.Transport {
+func NewUnpooledTransport(o DialOptions) *http.Transport {
 	return &http.Transport{
 		DialContext:            o.Dialer(),
 		DisableKeepAlives:      true,
--- a/entry/servers.go
+++ b/entry/servers.go
@@ -64,7 +64,7 @@
 		TimeToReady: func() time.Duration { return timeToReady(d.fleet.Depth(), time.Since(d.started)) },
 		Daemons:     d.fleet.Live, Misdirected: d.engines.Forget, Delayed: d.shared.sharer.Late,
 		Engines: d.shared, SlowStarts: d.slowStarts, Introductions: d.introductions, Quarantine: d.quarantine, Models: gateway.NewModelChoice(d.Models),
-		Transport: attempt.FreshTransport(engineDial), Budget: d.Settings.Budget,
+		Transport: attempt.NewUnpooledTransport(engineDial), Budget: d.Settings.Budget,
 		Seed: d.seed, Log: d.part("gateway"), Registerer: d.registry,
 	})
 }
