--- a/attempt/dialer.go
+++ b/attempt/dialer.go
@@ -78,7 +78,7 @@
 
 // NewPooledTransport returns a transport that keeps a few connections open, for a peer
 // that gets frequent requests.
-func KeptTransport(o DialOptions) *http.Transport {
+func NewPooledTransport(o DialOptions) *http.Transport {
 	return &http.Transport{
 		DialContext: o.Dialer(), DisableCompression: true, IdleConnTimeout: pooledIdleTimeout,
 		MaxIdleConnsPerHost: pooledIdlePerHost, MaxResponseHeaderBytes: maxAnswerHeaderBytes,
--- a/cmd/bronzeturn-entry/main.go
+++ b/cmd/bronzeturn-entry/main.go
@@ -77,7 +77,7 @@
 	defer log.Close()
 	d, err := entry.New(entry.Options{
 		Settings: settings.Entry, Documents: platform.Documents{}, Codec: platform.Codec{}, Models: models,
-		Store:     platform.NewStore(settings.StoreAddress, attempt.KeptTransport(entry.StoreDial)),
+		Store:     platform.NewStore(settings.StoreAddress, attempt.NewPooledTransport(entry.StoreDial)),
 		LogWriter: log,
 	})
 	if err != nil {
