--- a/attempt/attempt.go
+++ b/attempt/attempt.go
@@ -55,8 +55,8 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 var (
-	errSilent       = errors.New("no progress within the timeout")
-	errClosed       = errors.New("exchange closed")
+	errSilent      = errors.New("no progress within the timeout")
+	errClosed      = errors.New("exchange closed")
 	errNotReplayed = errors.New("connection failed before the request was written; request not repeated")
 )
 
--- a/attempt/dialer.go
+++ b/attempt/dialer.go
@@ -72,7 +72,7 @@
 // Limits of NewPooledTransport: how long idle connections are kept, and how many per
 // host.
 const (
-	pooledIdleTimeout    = 30 * time.Second
+	pooledIdleTimeout = 30 * time.Second
 	pooledIdlePerHost = 4
 )
 
