--- a/router/launch.go
+++ b/router/launch.go
@@ -106,7 +106,7 @@
 // engine for it. It must be called before each attempt. noProbe excludes engines
 // on probation.
 func (r *Router) chooseEngine(l *launch, noProbe bool) (balance.Decision, *failure.Error) {
-	if f := r.checkFresh(l.ran); f != nil {
+	if f := r.staleFailure(l.ran); f != nil {
 		return balance.Decision{}, f
 	}
 	newest := r.Tables()
--- a/router/serve.go
+++ b/router/serve.go
@@ -73,7 +73,7 @@
 	if c.tables == nil {
 		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").After(startupRetryAfter)
 	}
-	if f := r.checkFresh(failure.RanNo); f != nil {
+	if f := r.staleFailure(failure.RanNo); f != nil {
 		return f
 	}
 	org, f := authenticate(c.tables.Snapshot, req.Header)
@@ -81,10 +81,10 @@
 	return f
 }
 
-// checkFresh returns a failure that names other addresses while the configuration may
+// staleFailure returns a failure that names other addresses while the configuration may
 // be out of date. It must be called for each request and again before each attempt. ran
 // says whether earlier attempts ran the request.
-func (r *Router) checkFresh(ran failure.Ran) *failure.Error {
+func (r *Router) staleFailure(ran failure.Ran) *failure.Error {
 	f := r.Fresh(time.Now())
 	if f == nil {
 		return nil
--- a/router/service.go
+++ b/router/service.go
@@ -116,7 +116,7 @@
 	r.Budget.Request(time.Now())
 	ran := failure.RanNo
 	for number := 1; ; number++ {
-		if f := r.checkFresh(ran); f != nil {
+		if f := r.staleFailure(ran); f != nil {
 			return nil, f
 		}
 		newest := r.Tables().Snapshot
