--- a/decisions.go
+++ b/decisions.go
@@ -165,7 +165,7 @@
 		DataCentre:    d.settings.GetDataCentre(),
 		MaxBodyBytes:  d.settings.GetMaxBodyBytes(),
 		Tables:        d.tables.Load,
-		Fresh:         d.awaitFresh,
+		CheckFresh:    d.awaitFresh,
 		Versions:      n.versions,
 		Quality:       n.quality,
 		Engines:       n.engines,
--- a/router/router.go
+++ b/router/router.go
@@ -81,7 +81,7 @@
 	Tables func() *Tables
 	// CheckFresh returns a failure if what this daemon knows of the configuration is too
 	// old for it to accept work. It may wait briefly for an update.
-	Fresh func(now time.Time) *failure.Error
+	CheckFresh func(now time.Time) *failure.Error
 
 	Versions  *selection.Policy
 	Quality   *quality.Store
--- a/router/serve.go
+++ b/router/serve.go
@@ -85,7 +85,7 @@
 // be out of date. It must be called for each request and again before each attempt. ran
 // says whether earlier attempts ran the request.
 func (r *Router) staleFailure(ran failure.Ran) *failure.Error {
-	f := r.Fresh(time.Now())
+	f := r.CheckFresh(time.Now())
 	if f == nil {
 		return nil
 	}
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -151,7 +151,7 @@
 	store := quality.NewStore(quality.Options{})
 	s.Router = New(Options{
 		DataCentre: "hall", MaxBodyBytes: maxBodyBytes,
-		Tables: s.current.Load, Fresh: func(time.Time) *failure.Error { return s.stale.Load() },
+		Tables: s.current.Load, CheckFresh: func(time.Time) *failure.Error { return s.stale.Load() },
 		Versions: selection.NewPolicy(selection.Options{ExploreShare: -1}, store, rollout.NewController(rollout.Options{})),
 		Quality:  store, Engines: s.balancer, Hedges: hedges,
 		Retries: retry.DefaultPolicy(), Budget: retry.NewBudget(retry.DefaultBudgetOptions()),
