--- a/decisions.go
+++ b/decisions.go
@@ -176,7 +176,7 @@
 		Admission:     n.admission,
 		Ledger:        d.fleet.ledger,
 		Members:       routerMembers{members: d.fleet.members, dataCentre: d.settings.GetDataCentre(), longest: d.settings.GetEntriesKeep().AsDuration()},
-		Raters:        n.sampler,
+		Sampler:       n.sampler,
 		Quarantine:    d.quarantine,
 		EngineClient:  gatedEngines{gate: d.dispatchGate(), next: d.platform.engines},
 		ServiceClient: gatedServices{gate: d.dispatchGate(), next: d.platform.services},
--- a/feedback.go
+++ b/feedback.go
@@ -134,7 +134,7 @@
 	return &sampler{client: client, share: share, rng: rng, log: log, samples: make(chan router.AnswerSample, sampleQueue)}
 }
 
-// Sample implements router.Raters.
+// Sample implements router.Sampler.
 func (s *sampler) Sample(a router.AnswerSample) {
 	if s.client == nil || !s.chosen() {
 		return
--- a/router/log.go
+++ b/router/log.go
@@ -101,7 +101,7 @@
 func (r *Router) reportAnswered(s *settlement) {
 	kind := s.call.kind.GetName()
 	r.Quality.Answered(quality.Answered{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
-	r.Raters.Sample(AnswerSample{
+	r.Sampler.Sample(AnswerSample{
 		RequestID:    s.call.requestID,
 		Organisation: s.call.organisation.GetName(),
 		Version:      s.version,
--- a/router/router.go
+++ b/router/router.go
@@ -59,7 +59,7 @@
 }
 
 // Sampler selects answers for the rating service. Sample must not block.
-type Raters interface {
+type Sampler interface {
 	Sample(s AnswerSample)
 }
 
@@ -93,7 +93,7 @@
 	Admission *admission.Controller
 	Ledger    Ledger
 	Members   Members
-	Raters    Raters
+	Sampler   Sampler
 	// Quarantine blocks requests that crash engines.
 	Quarantine Quarantine
 
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -156,7 +156,7 @@
 		Quality:  store, Engines: s.balancer, Hedges: hedges,
 		Retries: retry.DefaultPolicy(), Budget: retry.NewBudget(retry.DefaultBudgetOptions()),
 		Breakers:  retry.NewBreakers(retry.DefaultBreakerOptions()),
-		Admission: admitting, Ledger: s.ledger, Members: fixtureMembers{s}, Raters: s,
+		Admission: admitting, Ledger: s.ledger, Members: fixtureMembers{s}, Sampler: s,
 		Quarantine:   newFixtureQuarantine(t, s.network, s.log),
 		EngineClient: engine.New(s.network), ServiceClient: plainservice.New(s.network),
 		Seed: 1, Log: zerolog.New(s.log), Registerer: prometheus.NewRegistry(),
