--- a/router/cascade.go
+++ b/router/cascade.go
@@ -150,10 +150,10 @@
 const dataPrefix = "data:"
 
 // describe returns the answer as input for the check.
-func (h *bufferedAnswer) describe(c *call) *cascade.Answer {
+func (b *bufferedAnswer) describe(c *call) *cascade.Answer {
 	var text strings.Builder
 	answer := &cascade.Answer{Kind: c.kind.GetName()}
-	for _, data := range h.data {
+	for _, data := range b.data {
 		var part completion
 		if json.Unmarshal(bytes.TrimPrefix(data, []byte(dataPrefix)), &part) != nil {
 			continue // The [DONE] marker of a stream is not JSON.
