--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -18,7 +18,9 @@
 // Quarantine decides which requests must not be sent because they crash engines. It is
 // notified of engines that end while they process requests.
 type Quarantine interface {
-	// CurrentStart returns e with its current start.
+	// CurrentStart returns e with Started set to identify its current run, which tells
+	// successive restarts of the engine apart, or e unchanged if engines report their start
+	// time.
 	CurrentStart(e inventory.Engine) inventory.Engine
 	// Admit reports whether a request may be sent now, after waiting for a pending verdict.
 	// isRetry is set if the request is held and this send uses up one of its retries.
@@ -70,7 +72,7 @@
 	return failure.New(failure.CodeQuarantined, l.ran, "the request crashes engines").After(record.RetryAfter())
 }
 
-// engineOf returns the chosen engine with its current start.
+// engineOf returns the chosen engine with the start of its current run.
 func (r *Router) engineOf(l *launch, d *balance.Decision) inventory.Engine {
 	return r.Quarantine.CurrentStart(inventory.Engine{ID: d.Engine.GetName(), Address: d.Engine.GetAddress(), Version: l.version})
 }
