--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -14,14 +14,12 @@
 }
 
 // setWriteDeadline makes writes to a caller that does not read fail writeGrace after the
-// deadline.
-func (w *writer) setWriteDeadline(deadline time.Time) {
-	_ = w.control.SetWriteDeadline(deadline.Add(writeGrace))
-}
+// given time.
+func (w *writer) setWriteDeadline(at time.Time) { _ = w.control.SetWriteDeadline(at.Add(writeGrace)) }
 
-// setReadDeadline makes reads of the caller's body fail at the deadline. The zero time
+// setReadDeadline makes reads of the caller's body fail after the given time. The zero time
 // removes the deadline.
-func (w *writer) setReadDeadline(deadline time.Time) { _ = w.control.SetReadDeadline(deadline) }
+func (w *writer) setReadDeadline(at time.Time) { _ = w.control.SetReadDeadline(at) }
 
 // flush sends buffered data to the caller.
 func (w *writer) flush() error { return w.control.Flush() }
--- a/gateway/pace.go
+++ b/gateway/pace.go
@@ -13,15 +13,13 @@
 	// paceTokens is the length with which every answer is reported to the balancer, which
 	// uses the time per token only.
 	paceTokens = 100
-	// referencePace represents the mean pace of each service and model, so that versions
+	// basePace represents the mean pace of each service and model, so that versions
 	// can be compared across models.
-	referencePace = 100 * time.Millisecond
+	basePace = 100 * time.Millisecond
 )
 
-// normalizedPace returns the pace that has the given ratio to referencePace.
-func normalizedPace(ratio float64) time.Duration {
-	return time.Duration(ratio * float64(referencePace))
-}
+// scaledPace returns the pace that has the given ratio to basePace.
+func scaledPace(ratio float64) time.Duration { return time.Duration(ratio * float64(basePace)) }
 
 // paceKind identifies times that can be compared: for a service and model, either the time
 // to the first event (first is set), or the time between events or to the end of a
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -86,7 +86,7 @@
 // reportStartLatency reports the time to the first event to the introduction of the version.
 func (g *Gateway) reportStartLatency(t *task, to *target, latency time.Duration) {
 	ratio := g.paceBaselines.ratio(paceKind{t.service, t.model, true}, latency)
-	g.Introductions.Observe(t.service, t.route.Name, to.engine.Version, false, normalizedPace(ratio))
+	g.Introductions.Observe(t.service, t.route.Name, to.engine.Version, false, scaledPace(ratio))
 }
 
 // forwardEvent sends one event to the caller.
@@ -117,7 +117,7 @@
 	}
 	pace := time.Since(firstAt) / time.Duration(got-1)
 	ratio := g.paceBaselines.ratio(paceKind{t.service, t.model, false}, pace)
-	g.Introductions.ObservePace(t.service, t.route.Name, to.engine.Version, normalizedPace(ratio))
+	g.Introductions.ObservePace(t.service, t.route.Name, to.engine.Version, scaledPace(ratio))
 	g.Engines.Finished(g.finished(t, to, ratio))
 }
 
