--- a/entry/entry.go
+++ b/entry/entry.go
@@ -193,7 +193,7 @@
 	o := balance.DefaultOptions()
 	o.RemoteThreshold = 5 * time.Millisecond
 	o.PrefillTokensPerSecond = 30000
-	o.PromptWeight = gateway.PromptPart
+	o.PromptWeight = gateway.PromptTokenWork
 	o.BatchSlowdown = 1
 	o.SampleSize = 4
 	o.BusyIsWait = true
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -105,8 +105,8 @@
 // WorkOf returns the work that an engine does in d, in tokens.
 func WorkOf(d time.Duration) int64 { return int64(engineRate * d.Seconds()) }
 
-// PromptPart is the work of one prompt token relative to a generated one.
-const PromptPart = 0.3
+// PromptTokenWork is the work of one prompt token relative to a generated one.
+const PromptTokenWork = 0.3
 
 // streamRate returns the share of engineRate of one stream.
 func streamRate(slots int) float64 { return engineRate / float64(max(slots, defaultSlots)) }
--- a/gateway/weight_test.go
+++ b/gateway/weight_test.go
@@ -112,7 +112,7 @@
 // newSimulation returns a simulation with idle engines.
 func newSimulation(c *qt.C, weight float64, seed uint64) *simulation {
 	options := balance.DefaultOptions()
-	options.PrefillTokensPerSecond, options.PromptWeight = 30000, PromptPart
+	options.PrefillTokensPerSecond, options.PromptWeight = 30000, PromptTokenWork
 	options.BatchSlowdown, options.SampleSize, options.WarmUp = 1, 4, 0
 	state, err := balance.NewState(options)
 	c.Assert(err, qt.IsNil)
--- a/gateway/work.go
+++ b/gateway/work.go
@@ -24,7 +24,7 @@
 		return 0
 	}
 	w := t.work(g.Models)
-	seconds := (PromptPart*float64(w.PromptTokens) + float64(w.ExpectedTokens)) / engineRate
+	seconds := (PromptTokenWork*float64(w.PromptTokens) + float64(w.ExpectedTokens)) / engineRate
 	return g.prefixLoads.add(t.prefixHash, seconds, g.Daemons(), time.Now())
 }
 
