--- a/gateway/codec.go
+++ b/gateway/codec.go
@@ -47,8 +47,8 @@
 	Priority int
 	// LastEvent makes the engine resume a stream after the event with this id.
 	LastEvent string
-	// Ranked is set if the engines of the service support priorities.
-	Ranked bool
+	// HasPriorities is set if the engines of the service support priorities.
+	HasPriorities bool
 }
 
 // Receipt is the metadata in the headers of an engine's answer.
