--- a/gateway/again.go
+++ b/gateway/again.go
@@ -60,7 +60,7 @@
 func (g *Gateway) takeBudget(t *task) bool {
 	budget := g.budgets.forService(t.service)
 	if g.Quarantine.Ends(t.hash) >= suspectCrashes {
-		return budget.TakeSpare(time.Now(), reservedBudgetShare)
+		return budget.TakeUnreserved(time.Now(), reservedBudgetShare)
 	}
 	return budget.Take(time.Now())
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -55,11 +55,11 @@
 }
 
 // Take takes the right to one retry and tells whether there was one.
-func (b *Budget) Take(now time.Time) bool { return b.TakeSpare(now, 0) }
+func (b *Budget) Take(now time.Time) bool { return b.TakeUnreserved(now, 0) }
 
-// TakeSpare takes the right to one retry only when a share of what may be saved up is left
+// TakeUnreserved takes the right to one retry only when a share of what may be saved up is left
 // after it, for retries that matter more.
-func (b *Budget) TakeSpare(now time.Time, share float64) bool {
+func (b *Budget) TakeUnreserved(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill(now)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -139,7 +139,7 @@
 	c.Check(b.Take(epoch), qt.IsTrue)
 	full := epoch.Add(time.Minute)
 	spare := 0
-	for b.TakeSpare(full, 0.5) {
+	for b.TakeUnreserved(full, 0.5) {
 		spare++
 	}
 	c.Check(spare, qt.Equals, 5)
