--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -70,8 +70,8 @@
 type Request struct {
 	Kind string
 	// Idempotent and Flagged are the kind's, by the rules.
-	Idempotent bool
-	Flagged    bool
+	Idempotent     bool
+	HedgingEnabled bool
 	// Delay is what Policy.Delay gave when the request was sent.
 	Delay time.Duration
 	// Elapsed is the time since the request was sent, Left the time to its
@@ -92,9 +92,9 @@
 // The reasons.
 const (
 	ReasonSlow          Reason = "slow"
-	ReasonNotFlagged    Reason = "kind_not_hedged"
+	ReasonNotEnabled    Reason = "kind_not_hedged"
 	ReasonNotIdempotent Reason = "not_idempotent"
-	ReasonStreamed      Reason = "answer_begun"
+	ReasonAnswerBegun   Reason = "answer_begun"
 	ReasonUnmeasured    Reason = "kind_unmeasured"
 	ReasonEarly         Reason = "before_delay"
 	ReasonDeadline      Reason = "deadline"
@@ -165,12 +165,12 @@
 // denied returns the reason against a hedge, or "".
 func (p *Policy) denied(r Request) Reason {
 	switch {
-	case !r.Flagged:
-		return ReasonNotFlagged
+	case !r.HedgingEnabled:
+		return ReasonNotEnabled
 	case !r.Idempotent:
 		return ReasonNotIdempotent
 	case r.BytesSent > 0:
-		return ReasonStreamed
+		return ReasonAnswerBegun
 	case r.Delay <= 0:
 		return ReasonUnmeasured
 	case r.Elapsed < r.Delay:
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -41,16 +41,16 @@
 }
 
 func TestNext(t *testing.T) {
-	slow := Request{Kind: kind, Idempotent: true, Flagged: true, Delay: 100 * time.Millisecond, Elapsed: time.Second, Left: time.Minute}
+	slow := Request{Kind: kind, Idempotent: true, HedgingEnabled: true, Delay: 100 * time.Millisecond, Elapsed: time.Second, Left: time.Minute}
 	tests := []struct {
 		name   string
 		change func(*Request)
 		reason Reason
 	}{
 		{"slow", func(*Request) {}, ReasonSlow},
-		{"not flagged", func(r *Request) { r.Flagged = false }, ReasonNotFlagged},
+		{"not flagged", func(r *Request) { r.HedgingEnabled = false }, ReasonNotEnabled},
 		{"not idempotent", func(r *Request) { r.Idempotent = false }, ReasonNotIdempotent},
-		{"answer begun", func(r *Request) { r.BytesSent = 1 }, ReasonStreamed},
+		{"answer begun", func(r *Request) { r.BytesSent = 1 }, ReasonAnswerBegun},
 		{"unmeasured kind", func(r *Request) { r.Delay = 0 }, ReasonUnmeasured},
 		{"early", func(r *Request) { r.Elapsed = 10 * time.Millisecond }, ReasonEarly},
 		{"no time left", func(r *Request) { r.SecondAnswer = time.Hour }, ReasonDeadline},
@@ -78,7 +78,7 @@
 		for range requests {
 			p.Request(epoch)
 			p.Answered(Answered{Kind: kind, Latency: 100 * time.Millisecond})
-			r := Request{Kind: kind, Idempotent: true, Flagged: true, Delay: time.Second, Elapsed: time.Minute, Left: time.Minute}
+			r := Request{Kind: kind, Idempotent: true, HedgingEnabled: true, Delay: time.Second, Elapsed: time.Minute, Left: time.Minute}
 			if hedge, _ := p.Next(r, epoch); hedge {
 				hedges++
 			}
--- a/hedge/measure_test.go
+++ b/hedge/measure_test.go
@@ -248,7 +248,7 @@
 	}
 	d := s.choose(s.plan.Name(r.attempts[0].engine))
 	hedge, _ := s.policy.Next(Request{
-		Kind: kind, Idempotent: true, Flagged: true, Delay: delay, Elapsed: s.now.Sub(r.sent), Left: time.Minute,
+		Kind: kind, Idempotent: true, HedgingEnabled: true, Delay: delay, Elapsed: s.now.Sub(r.sent), Left: time.Minute,
 		SecondWait: d.ExpectedWait, SecondAnswer: d.ExpectedAnswer,
 	}, s.now)
 	if hedge {
--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -56,7 +56,7 @@
 		return
 	}
 	granted, _ := r.daemon.hedges.Next(hedge.Request{
-		Kind: r.kind.GetName(), Idempotent: r.kind.GetIdempotent(), Flagged: r.kind.GetHedge(),
+		Kind: r.kind.GetName(), Idempotent: r.kind.GetIdempotent(), HedgingEnabled: r.kind.GetHedge(),
 		Delay: delay, Elapsed: s.now.Sub(f.sentAt), Left: r.deadline.Sub(s.now),
 		SecondWait: second.ExpectedWait, SecondAnswer: second.ExpectedAnswer,
 	}, s.now)
--- a/router/race.go
+++ b/router/race.go
@@ -128,14 +128,14 @@
 	}
 	now := time.Now()
 	granted, reason := r.Hedges.Next(hedge.Request{
-		Kind:         l.call.kind.GetName(),
-		Idempotent:   l.call.idempotent(),
-		Flagged:      l.call.kind.GetHedge(),
-		Delay:        delay,
-		Elapsed:      now.Sub(start),
-		Left:         l.call.deadline.Sub(now),
-		SecondWait:   second.ExpectedWait,
-		SecondAnswer: second.ExpectedAnswer,
+		Kind:           l.call.kind.GetName(),
+		Idempotent:     l.call.idempotent(),
+		HedgingEnabled: l.call.kind.GetHedge(),
+		Delay:          delay,
+		Elapsed:        now.Sub(start),
+		Left:           l.call.deadline.Sub(now),
+		SecondWait:     second.ExpectedWait,
+		SecondAnswer:   second.ExpectedAnswer,
 	}, now)
 	r.logHedge(l, &second, granted, reason)
 	return &second, granted
