--- a/retry/retry.go
+++ b/retry/retry.go
@@ -81,23 +81,23 @@
 	ReasonIdempotent
 	ReasonRejected
 	ReasonCancelled
-	ReasonStreamed
+	ReasonAnswerBegun
 	ReasonMayHaveRun
-	ReasonAttempts
+	ReasonAttemptsUsed
 	ReasonDeadline
 	ReasonBudget
 )
 
 var reasonNames = [...]string{
-	ReasonNotRun:     "not_run",
-	ReasonIdempotent: "idempotent",
-	ReasonRejected:   "request_rejected",
-	ReasonCancelled:  "caller_cancelled",
-	ReasonStreamed:   "answer_begun",
-	ReasonMayHaveRun: "may_have_run",
-	ReasonAttempts:   "attempts_used",
-	ReasonDeadline:   "deadline",
-	ReasonBudget:     "budget_empty",
+	ReasonNotRun:       "not_run",
+	ReasonIdempotent:   "idempotent",
+	ReasonRejected:     "request_rejected",
+	ReasonCancelled:    "caller_cancelled",
+	ReasonAnswerBegun:  "answer_begun",
+	ReasonMayHaveRun:   "may_have_run",
+	ReasonAttemptsUsed: "attempts_used",
+	ReasonDeadline:     "deadline",
+	ReasonBudget:       "budget_empty",
 }
 
 // String returns the name used in logs and metrics.
@@ -134,7 +134,7 @@
 		return false, 0, reason
 	}
 	if a.Number >= p.MaxAttempts {
-		return false, 0, ReasonAttempts
+		return false, 0, ReasonAttemptsUsed
 	}
 	wait = p.Backoff.Wait(a.Number, rng)
 	if wait+p.MinAttempt > a.Left {
@@ -155,7 +155,7 @@
 	case a.Kind == KindCancelled:
 		return ReasonCancelled, false
 	case a.BytesSent > 0:
-		return ReasonStreamed, false
+		return ReasonAnswerBegun, false
 	case a.Ran == failure.RanNo:
 		return ReasonNotRun, true
 	case a.Idempotent:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -32,10 +32,10 @@
 		{"unknown and idempotent", func(a *Attempt) { a.Ran, a.Idempotent = failure.RanUnknown, true }, true, ReasonIdempotent},
 		{"unknown and not idempotent", func(a *Attempt) { a.Ran = failure.RanUnknown }, false, ReasonMayHaveRun},
 		{"untold and not idempotent", func(a *Attempt) { a.Ran = "" }, false, ReasonMayHaveRun},
-		{"answer begun", func(a *Attempt) { a.Idempotent, a.BytesSent = true, 1 }, false, ReasonStreamed},
+		{"answer begun", func(a *Attempt) { a.Idempotent, a.BytesSent = true, 1 }, false, ReasonAnswerBegun},
 		{"request at fault", func(a *Attempt) { a.Kind = KindRejected }, false, ReasonRejected},
 		{"caller gone", func(a *Attempt) { a.Kind = KindCancelled }, false, ReasonCancelled},
-		{"attempts used", func(a *Attempt) { a.Number = 3 }, false, ReasonAttempts},
+		{"attempts used", func(a *Attempt) { a.Number = 3 }, false, ReasonAttemptsUsed},
 		{"no time left", func(a *Attempt) { a.Left = 10 * time.Millisecond }, false, ReasonDeadline},
 	}
 	for _, test := range tests {
