--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff waits between attempts: pauses with full jitter and sleeps that
-// end with a context.
+// Package backoff provides exponential backoff with full jitter, sleeps that end with a
+// context, and ticks that the periodic loops of a process share.
 package backoff
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Backoff gives the pauses between attempts: a random time up to a bound that
+// Backoff computes the pauses between attempts: a random time up to a bound that
 // doubles with each attempt (exponential backoff with full jitter). It is not
 // safe for concurrent use.
 type Backoff struct {
-	// Base bounds the first pause, Max every pause.
+	// Base is the upper bound of the first pause, Max that of all pauses.
 	Base, Max time.Duration
-	// Random must not be shared with another goroutine.
+	// Random must not be used by another goroutine.
 	Random  *rand.Rand
 	attempt int
 }
@@ -29,10 +29,10 @@
 	return time.Duration(b.Random.Int64N(int64(bound) + 1))
 }
 
-// Reset begins anew after a success.
+// Reset sets the bound back to Base. It is called after a success.
 func (b *Backoff) Reset() { b.attempt = 0 }
 
-// Sleep waits for d or until ctx ends, in which case it returns its error.
+// Sleep waits for d. It returns the cause of ctx if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,11 +1,11 @@
-// Package hedge decides whether a slow request is sent to a second engine, of
-// which the first whole answer counts and the other is cancelled. This is
-// replication with d = 2 of the paper cited in docs/design/0006: the second copy
-// cuts the tail because two engines are seldom slow at once. The paper's cheaper
+// Package hedge decides whether a slow request is also sent to a second engine. The
+// first complete answer is used and the other attempt is cancelled. This is
+// replication with d = 2 in the paper cited in docs/design/0006. It cuts the tail
+// latency because two engines are seldom slow at the same time. The paper's cheaper
 // alternative, coding across jobs, needs work that is linear in its input, which
-// generating text is not.
+// text generation is not.
 //
-// Nothing here does I/O, reads a clock or starts a goroutine.
+// Nothing in this package does I/O, reads a clock or starts a goroutine.
 package hedge
 
 import (
@@ -16,16 +16,18 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// Options sets when hedges are sent.
+// Options configures a Policy.
 type Options struct {
-	// Quantile of a kind's latency after which a request counts as slow.
+	// Quantile is the quantile of a kind's latency after which a request counts as
+	// slow.
 	Quantile float64
 	// MinDelay and MaxDelay bound the delay before a hedge.
 	MinDelay time.Duration
 	MaxDelay time.Duration
-	// MinSamples is the number of answers of a kind before it is hedged.
+	// MinSamples is the number of answers of a kind that must have been measured
+	// before its requests are hedged.
 	MinSamples int
-	// Budget bounds the hedges: their share of the requests that may be hedged.
+	// Budget bounds the hedges as a share of the requests that may be hedged.
 	Budget retry.BudgetOptions
 }
 
@@ -66,27 +68,27 @@
 	return nil
 }
 
-// Request is a request that waits for its answer.
+// Request describes a request in progress.
 type Request struct {
 	Kind string
-	// Idempotent and Flagged are the kind's, by the rules.
+	// Idempotent and HedgingEnabled are the settings of the kind in the rules.
 	Idempotent     bool
 	HedgingEnabled bool
-	// Delay is what Policy.Delay gave when the request was sent.
+	// Delay is the result of Policy.Delay when the request was sent.
 	Delay time.Duration
 	// Elapsed is the time since the request was sent, Left the time to its
 	// deadline.
 	Elapsed time.Duration
 	Left    time.Duration
-	// BytesSent is what the caller already received of the answer.
+	// BytesSent is the number of bytes of the answer already sent to the caller.
 	BytesSent int64
-	// SecondWait is the expected wait at the second engine, SecondAnswer the
-	// expected time to its whole answer.
+	// SecondWait is the expected queueing time at the second engine, SecondAnswer
+	// the expected time to its complete answer.
 	SecondWait   time.Duration
 	SecondAnswer time.Duration
 }
 
-// Reason says why a hedge is sent or not.
+// Reason is the reason why a hedge is sent or not.
 type Reason string
 
 // The reasons.
@@ -102,14 +104,14 @@
 	ReasonBudget        Reason = "budget_empty"
 )
 
-// Answered reports the latency of a request that may be hedged. With a hedge it
-// is that of the first answer.
+// Answered reports the latency of a request that may be hedged. If it was hedged,
+// that is the latency of the first answer.
 type Answered struct {
 	Kind    string
 	Latency time.Duration
 }
 
-// Policy decides on hedges for one daemon. It may be used concurrently; each
+// Policy decides on hedges for one daemon. It is safe for concurrent use; each
 // kind has its own lock.
 type Policy struct {
 	options Options
@@ -119,7 +121,7 @@
 	kinds map[string]*quantile
 }
 
-// New returns a Policy, or an OptionError.
+// New returns a Policy, or an OptionError if the options are invalid.
 func New(o Options) (*Policy, error) {
 	if err := o.Validate(); err != nil {
 		return nil, err
@@ -131,16 +133,16 @@
 	}, nil
 }
 
-// Request records that a request begins that may be hedged.
+// Request records the start of a request that may be hedged.
 func (p *Policy) Request(now time.Time) { p.budget.Request(now) }
 
-// Answered takes in a latency.
+// Answered records the latency of an answer.
 func (p *Policy) Answered(ev Answered) {
 	p.kind(ev.Kind).observe(ev.Latency.Seconds(), p.options.Quantile)
 }
 
-// Delay returns the time after which a request of the kind that begins now may
-// be hedged, or false while too few answers were measured.
+// Delay returns the time after which a request of the kind that starts now may
+// be hedged, or false if too few answers have been measured.
 func (p *Policy) Delay(kind string) (time.Duration, bool) {
 	value, samples := p.kind(kind).value()
 	if samples < p.options.MinSamples {
@@ -150,10 +152,10 @@
 	return min(max(delay, p.options.MinDelay), p.options.MaxDelay), true
 }
 
-// Next decides whether the request is sent to a second engine now, and why. A
-// hedge that is granted has taken its share of the budget.
+// Next decides whether the request is sent to a second engine now, and returns the
+// reason. A hedge that is granted has been taken from the budget.
 func (p *Policy) Next(r Request, now time.Time) (hedge bool, reason Reason) {
-	if reason := p.denied(r); reason != "" {
+	if reason := p.denyReason(r); reason != "" {
 		return false, reason
 	}
 	if !p.budget.Take(now) {
@@ -162,8 +164,8 @@
 	return true, ReasonSlow
 }
 
-// denied returns the reason against a hedge, or "".
-func (p *Policy) denied(r Request) Reason {
+// denyReason returns the reason against a hedge, or "".
+func (p *Policy) denyReason(r Request) Reason {
 	switch {
 	case !r.HedgingEnabled:
 		return ReasonNotEnabled
@@ -184,8 +186,8 @@
 	}
 }
 
-// kind returns the quantile of the kind, made on first use. Kinds come from
-// the rules, so there are few.
+// kind returns the latency quantile of the kind, created on first use. The map is
+// not bounded because kinds come from the rules, so there are few.
 func (p *Policy) kind(name string) *quantile {
 	p.mu.RLock()
 	q := p.kinds[name]
@@ -201,11 +203,12 @@
 	return p.kinds[name]
 }
 
-// quantileGain is the step of the estimate relative to its value.
+// quantileGain is the step size of the estimate relative to its value.
 const quantileGain = 0.05
 
-// quantile follows a quantile of a stream of values. Only whether a value is
-// above the estimate counts, so a latency that a hedge cut short serves as well.
+// quantile estimates a quantile of a stream of values by stochastic approximation.
+// It only uses whether a value is above the estimate, so latencies that were
+// shortened by a hedge can be used, too.
 type quantile struct {
 	mu       sync.Mutex
 	estimate float64
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -24,8 +24,8 @@
 
 const kind = "quick"
 
-// trained returns a policy that has seen answers of 100 ms and knows of a
-// budget for plenty of hedges.
+// trained returns a policy that has observed latencies of 100 ms and whose budget
+// allows many hedges.
 func trained(t testing.TB) *Policy {
 	o := DefaultOptions()
 	o.Budget = retry.BudgetOptions{Share: 1, Burst: 100}
@@ -48,7 +48,7 @@
 		reason Reason
 	}{
 		{"slow", func(*Request) {}, ReasonSlow},
-		{"not flagged", func(r *Request) { r.HedgingEnabled = false }, ReasonNotEnabled},
+		{"not enabled", func(r *Request) { r.HedgingEnabled = false }, ReasonNotEnabled},
 		{"not idempotent", func(r *Request) { r.Idempotent = false }, ReasonNotIdempotent},
 		{"answer begun", func(r *Request) { r.BytesSent = 1 }, ReasonAnswerBegun},
 		{"unmeasured kind", func(r *Request) { r.Delay = 0 }, ReasonUnmeasured},
@@ -94,7 +94,7 @@
 	p, err := New(DefaultOptions())
 	c.Assert(err, qt.IsNil)
 	rng := rand.New(rand.NewPCG(1, 2))
-	// The estimate wavers by design; its mean over many answers has to fit.
+	// The estimate fluctuates by design, so its mean over many answers is checked.
 	feed := func(scale time.Duration) float64 {
 		sum := 0.0
 		for i := range 10_000 {
--- a/hedge/measure_test.go
+++ b/hedge/measure_test.go
@@ -15,22 +15,21 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// The measured fleet: quick checks of about 0.6 s on engines with stragglers.
+// Parameters of the simulated fleet: requests of about 0.6 s on engines with stragglers.
 const (
 	simEngines = 12
 	simSlots   = 8
 	simTokens  = 24
 	simRate    = 40.0
-	// A share of the attempts takes stragglerFactor times as long.
+	// stragglerFactor is the slowdown of a share of the attempts.
 	stragglerFactor = 8
-	// One engine after the other is slower by stallFactor for stallFor, every
-	// stallEvery.
+	// Every stallEvery, the next engine in turn is slower by stallFactor for stallFor.
 	stallFactor = 4
 	stallFor    = 5 * time.Second
 	stallEvery  = 20 * time.Second
 )
 
-// simEvent happens at a virtual time.
+// simEvent is an event at a virtual time.
 type simEvent struct {
 	at  time.Time
 	seq int
@@ -52,7 +51,7 @@
 	return x
 }
 
-// simAttempt is one copy of a request at an engine.
+// simAttempt is an attempt of a request at an engine.
 type simAttempt struct {
 	engine  int
 	request *simRequest
@@ -67,8 +66,9 @@
 	answered bool
 }
 
-// scenario is what the fleet meets.
+// scenario is the load on the simulated fleet.
 type scenario struct {
+	// load is the utilization of the slots.
 	load float64
 	// stragglers is the share of slow attempts.
 	stragglers float64
@@ -76,7 +76,7 @@
 	seed       uint64
 }
 
-// sim is the fleet in virtual time.
+// sim simulates the fleet in virtual time.
 type sim struct {
 	scenario
 	now      time.Time
@@ -93,7 +93,7 @@
 
 	latencies []time.Duration
 	work      time.Duration // slot time used
-	tokens    float64       // generated, those of cancelled copies included
+	tokens    float64       // generated, including those of cancelled attempts
 	hedges    int
 }
 
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	s := &sim{scenario: sc, now: epoch, rng: rand.New(rand.NewPCG(sc.seed, 7)), state: state, plan: state.Plan(reg, nil)}
-	// The mean service time counts the stragglers, but not the stalls.
+	// The mean service time includes the stragglers, but not the stalls.
 	mean := simTokens / simRate * (1 + sc.stragglers*(stragglerFactor-1))
 	s.gap = mean / (simEngines * simSlots * sc.load)
 	if hedging != nil {
@@ -182,7 +182,7 @@
 	s.waiting[a.engine] = append(s.waiting[a.engine], a)
 }
 
-// start begins the service of an attempt.
+// start starts an attempt in a free slot.
 func (s *sim) start(a *simAttempt) {
 	s.running[a.engine]++
 	a.started = s.now
@@ -197,7 +197,7 @@
 	s.after(a.service, func() { s.finish(a) })
 }
 
-// stalled tells whether the engine is slower now.
+// stalled reports whether the engine is slower now.
 func (s *sim) stalled(engine int) bool {
 	since := s.now.Sub(epoch)
 	return int(since/stallEvery)%simEngines == engine && since%stallEvery < stallFor
@@ -222,7 +222,7 @@
 	}
 }
 
-// end frees the slot, or the place in the queue, of an attempt.
+// end removes an attempt from its slot or from the queue.
 func (s *sim) end(a *simAttempt, cancelled bool) {
 	a.done = true
 	s.state.Finished(balance.Finished{
@@ -261,7 +261,7 @@
 	return s.latencies[int(q*float64(len(s.latencies)-1))]
 }
 
-// measure runs the fleet and sorts the latencies.
+// measure runs a simulation and sorts the latencies.
 func measure(t testing.TB, sc scenario, hedging *Options) *sim {
 	s := newSim(t, sc, hedging)
 	s.run()
@@ -272,11 +272,11 @@
 	return s
 }
 
-// outcome compares a fleet with and without hedging, as means over seeds.
+// outcome compares a fleet with and without hedging, by means over seeds.
 type outcome struct {
-	// Seconds at p50, p95 and p99.
+	// plain and hedged are the latencies at p50, p95 and p99 in seconds.
 	plain, hedged [3]float64
-	// tokens is the cost: generated tokens relative to no hedging.
+	// tokens is the number of generated tokens relative to no hedging.
 	tokens float64
 	hedges float64
 }
@@ -303,7 +303,7 @@
 		o.plain[0], o.hedged[0], o.plain[1], o.hedged[1], o.plain[2], o.hedged[2], o.tokens, o.hedges)
 }
 
-// scenarios are the loads and shares of stragglers that are measured.
+// scenarios returns the combinations of load and share of stragglers to simulate.
 func scenarios(requests int) []scenario {
 	var list []scenario
 	for _, stragglers := range []float64{0.02, 0.06} {
@@ -324,8 +324,8 @@
 			c := qt.New(t)
 			o := compare(t, sc, 2)
 			c.Logf("%v", o)
-			// With less than 5% of stragglers p95 lies among the ordinary answers,
-			// which a hedge cannot speed up.
+			// With less than 5% of stragglers, p95 is the latency of an ordinary answer,
+			// which a hedge cannot reduce.
 			c.Assert(o.hedged[1] <= 1.01*o.plain[1], qt.IsTrue)
 			c.Assert(o.hedged[2] <= 0.97*o.plain[2], qt.IsTrue)
 			c.Assert(o.tokens <= 1.02, qt.IsTrue)
@@ -333,7 +333,7 @@
 	}
 }
 
-// BenchmarkHedging prints the table of the design note.
+// BenchmarkHedging logs the latencies and costs of hedging for each scenario.
 func BenchmarkHedging(b *testing.B) {
 	for _, sc := range scenarios(30_000) {
 		b.Run(sc.String(), func(b *testing.B) {
--- a/retry/breaker.go
+++ b/retry/breaker.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BreakerOptions sets the behaviour of a Breaker.
+// BreakerOptions configures a Breaker.
 type BreakerOptions struct {
-	// Failures in a row open the breaker.
+	// Failures is the number of consecutive failures that open the breaker.
 	Failures int
-	// OpenFor is the time before the first probe. It doubles with every probe
-	// that fails, up to MaxOpen.
+	// OpenFor is the time before the first probe. It doubles with each failed
+	// probe, up to MaxOpen.
 	OpenFor time.Duration
 	MaxOpen time.Duration
 	// ProbeTimeout is the time after which a probe without an outcome counts
@@ -20,7 +20,7 @@
 	ProbeTimeout time.Duration
 }
 
-// DefaultBreakerOptions suits targets inside the platform.
+// DefaultBreakerOptions returns options for targets inside the platform.
 func DefaultBreakerOptions() BreakerOptions {
 	return BreakerOptions{
 		Failures:     5,
@@ -45,8 +45,8 @@
 	return [...]string{"closed", "open", "half_open"}[s]
 }
 
-// Breaker stops calls to a target that fails and lets one probe through from
-// time to time. It may be used concurrently.
+// Breaker is a circuit breaker: it stops calls to a failing target and lets
+// single probes through. It is safe for concurrent use.
 type Breaker struct {
 	options BreakerOptions
 
@@ -54,7 +54,7 @@
 	state    BreakerState
 	failures int
 	openFor  time.Duration
-	// until is the end of Open, or of the wait for the probe in HalfOpen.
+	// until is the end of the Open state, or in HalfOpen the timeout of the probe.
 	until time.Time
 }
 
@@ -63,7 +63,7 @@
 	return &Breaker{options: o}
 }
 
-// Allow tells whether a call may go out. Every allowed call must be followed
+// Allow reports whether a call may be made. Every allowed call must be followed
 // by Success, Failure or Abandon.
 func (b *Breaker) Allow(now time.Time) bool {
 	b.mu.Lock()
@@ -83,8 +83,9 @@
 	return true
 }
 
-// Success records a call that the target answered. It closes the breaker
-// unless the breaker is open, where the answer belongs to an old call.
+// Success records a call that the target answered. It closes the breaker,
+// unless the breaker is open: the answer then belongs to a call made before it
+// opened.
 func (b *Breaker) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,8 +112,9 @@
 	}
 }
 
-// Abandon records a call that ended without telling anything of the target,
-// for example because the caller went away. A probe may be sent again.
+// Abandon records a call whose outcome says nothing about the target, for
+// example because the caller disconnected. If it was a probe, another one may be
+// sent at once.
 func (b *Breaker) Abandon(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,14 +124,14 @@
 	}
 }
 
-// State returns the state in force.
+// State returns the current state.
 func (b *Breaker) State() BreakerState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state
 }
 
-// reopen opens the breaker for twice the time of the last opening.
+// reopen opens the breaker for twice as long as the last time, at most MaxOpen.
 func (b *Breaker) reopen(now time.Time) {
 	b.openFor = min(max(2*b.openFor, b.options.OpenFor), b.options.MaxOpen)
 	b.state = Open
@@ -137,10 +139,10 @@
 	b.until = now.Add(b.openFor)
 }
 
-// breakerShards is the number of locks over the map of breakers.
+// breakerShards is the number of shards of the map of breakers, each with its own lock.
 const breakerShards = 16
 
-// Breakers holds one breaker per target, made on first use.
+// Breakers holds one breaker per target, created on first use.
 type Breakers struct {
 	options BreakerOptions
 	shards  [breakerShards]breakerShard
@@ -172,7 +174,7 @@
 	return b
 }
 
-// Keep drops the breakers of targets for which keep is false.
+// Keep removes the breakers of targets for which keep returns false.
 func (s *Breakers) Keep(keep func(name string) bool) {
 	for i := range s.shards {
 		s.shards[i].drop(keep)
--- a/retry/breaker_test.go
+++ b/retry/breaker_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestBreakerOldAnswerDoesNotCloseAnOpenOne(t *testing.T) {
+func TestLateSuccessDoesNotCloseOpenBreaker(t *testing.T) {
 	c := qt.New(t)
 	b := NewBreaker(DefaultBreakerOptions())
 	open(b, epoch)
@@ -64,7 +64,7 @@
 	c.Assert(b.Allow(now.Add(2*o.OpenFor)), qt.IsTrue)
 }
 
-func TestBreakerAlwaysAllowsAgain(t *testing.T) {
+func TestBreakerEventuallyAllowsCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := DefaultBreakerOptions()
 		b := NewBreaker(o)
@@ -83,7 +83,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 			}
 		}
-		// Whatever happened, two waits later a call goes out.
+		// A call is allowed after at most two waits of the maximum length.
 		now = now.Add(o.MaxOpen)
 		if !b.Allow(now) && !b.Allow(now.Add(o.MaxOpen)) {
 			t.Fatalf("stuck in %v", b.State())
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,18 +9,18 @@
 type BudgetOptions struct {
 	// Share is the number of retries that one request earns.
 	Share float64
-	// FloorPerSecond is earned whatever the traffic, so that a quiet daemon
-	// can retry at all.
+	// FloorPerSecond is the number of retries earned per second regardless of the
+	// traffic, so that a daemon with little traffic can retry at all.
 	FloorPerSecond float64
-	// Burst bounds the retries saved up.
+	// Burst bounds the number of retries saved up.
 	Burst float64
-	// BurstShare adds to Burst for each request of the last Window. Without it a
-	// daemon of a large fleet could save up less than one retry. In any window there
-	// are then at most Share retries for each request in it, BurstShare for each of
-	// the window before, and Burst.
+	// BurstShare is added to Burst for each request of the last Window. Without it a
+	// daemon of a large fleet could save up less than one retry. Besides the floor, the
+	// retries in any window are then at most Share for each request in it, plus
+	// BurstShare for each request of the window before, plus Burst.
 	BurstShare float64
-	// Window is the length of the window that requests are counted in. It is needed
-	// with BurstShare only.
+	// Window is the length of the sliding window in which requests are counted for
+	// BurstShare.
 	Window time.Duration
 }
 
@@ -34,36 +34,36 @@
 type Budget struct {
 	options BudgetOptions
 
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
-	recent slidingCount
+	mu       sync.Mutex
+	tokens   float64
+	refilled time.Time
+	recent   slidingCount
 }
 
-// NewBudget returns a budget that begins with one second's floor.
+// NewBudget returns a budget that starts with the floor of one second.
 func NewBudget(o BudgetOptions) *Budget {
 	return &Budget{options: o, tokens: min(o.FloorPerSecond, o.Burst), recent: slidingCount{width: o.Window / countBuckets}}
 }
 
-// Request records one request that begins.
+// Request records the start of one request, which earns its share of a retry.
 func (b *Budget) Request(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
+	b.refill(now)
 	b.recent.add(now)
 	b.add(b.options.Share)
 }
 
-// Take takes the right to one retry and tells whether there was one.
+// Take takes one retry from the budget and reports whether there was one.
 func (b *Budget) Take(now time.Time) bool { return b.TakeUnreserved(now, 0) }
 
-// TakeUnreserved takes the right to one retry only when a share of what may be saved up is left
-// after it, for retries that matter more.
+// TakeUnreserved takes one retry if the given share of the burst is left after it, which is
+// reserved for more important retries.
 func (b *Budget) TakeUnreserved(now time.Time, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
-	b.recent.move(now)
+	b.refill(now)
+	b.recent.advance(now)
 	b.tokens = min(b.tokens, b.burst())
 	if b.tokens < 1+share*b.burst() {
 		return false
@@ -72,23 +72,23 @@
 	return true
 }
 
-// Ready tells whether a retry could be taken now.
+// Ready reports whether Take would succeed now. It takes nothing.
 func (b *Budget) Ready(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now)
-	b.recent.move(now)
+	b.refill(now)
+	b.recent.advance(now)
 	return min(b.tokens, b.burst()) >= 1
 }
 
-// fill adds the floor for the time since the last call. A clock that steps
-// back earns nothing.
-func (b *Budget) fill(now time.Time) {
-	if !b.filled.IsZero() && now.After(b.filled) {
-		b.add(now.Sub(b.filled).Seconds() * b.options.FloorPerSecond)
+// refill adds the floor for the time since the last call. If the clock steps back, it adds
+// nothing.
+func (b *Budget) refill(now time.Time) {
+	if !b.refilled.IsZero() && now.After(b.refilled) {
+		b.add(now.Sub(b.refilled).Seconds() * b.options.FloorPerSecond)
 	}
-	if b.filled.IsZero() || now.After(b.filled) {
-		b.filled = now
+	if b.refilled.IsZero() || now.After(b.refilled) {
+		b.refilled = now
 	}
 }
 
@@ -96,7 +96,7 @@
 	b.tokens = min(b.tokens+tokens, b.burst())
 }
 
-// burst returns how many retries may be saved up now. The caller holds mu.
+// burst returns the number of retries that may be saved up now. The caller holds mu.
 func (b *Budget) burst() float64 {
 	return b.options.Burst + b.options.BurstShare*b.recent.sum
 }
--- a/retry/fleet_test.go
+++ b/retry/fleet_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a few daemons before engines of which half answer errors at once.
+// fleet simulates daemons that send requests to engines, half of which fail at once.
 type fleet struct {
 	daemons  []*fleetDaemon
 	attempts int
@@ -60,7 +60,7 @@
 	return f
 }
 
-// broken tells whether the engine answers errors: every second one.
+// broken reports whether the engine fails all requests, which is every second one.
 func broken(engine string) bool {
 	var i int
 	fmt.Sscanf(engine, "engine-%d", &i)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestRetriesDoNotAmplifyHalfTheEnginesFailing(t *testing.T) {
+func TestRetriesDoNotAmplifyLoadWhenHalfTheEnginesFail(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(c, 6, 12)
 	now := epoch()
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,7 +1,7 @@
-// Package retry decides whether a failed request is sent again and when. It
-// holds a budget that bounds the retries of one daemon, a backoff with full
-// jitter, and a circuit breaker per target. Nothing here does I/O, reads a
-// clock or starts a goroutine; callers pass the time and the random source.
+// Package retry decides whether and when a failed request is sent again. It
+// provides a retry budget for one daemon, exponential backoff with full jitter,
+// and a circuit breaker per target. Nothing in it does I/O, reads a clock or
+// starts a goroutine; callers pass the time and the random source.
 package retry
 
 import (
@@ -18,22 +18,26 @@
 const (
 	// KindConnect is a connection that could not be opened.
 	KindConnect Kind = iota + 1
-	// KindRefused is a target that refused the work, for example when full.
+	// KindRefused is a target that refused the request without running it, for
+	// example because it is full.
 	KindRefused
-	// KindMisdirected is a target that is not the one that was meant, and says so.
+	// KindMisdirected is a target that refused the request because it was meant for
+	// another instance.
 	KindMisdirected
 	// KindError is an error answer of the target.
 	KindError
 	// KindSilent is a connection without progress for the allowed time.
 	KindSilent
-	// KindBroken is a connection that ended before the answer did.
+	// KindBroken is a connection that was lost before the answer was complete.
 	KindBroken
-	// KindRejected is a failure of the request itself. Another target would
-	// answer the same.
+	// KindRejected is a failure caused by the request itself. Another target would
+	// give the same answer.
 	KindRejected
-	// KindCancelled is a caller that went away.
+	// KindCancelled is a request that was cancelled, for example because the caller
+	// disconnected.
 	KindCancelled
-	// KindDoubted is an answer that was dropped for that of a larger model.
+	// KindDoubted is an answer of low confidence that was dropped in favour of a
+	// larger model's.
 	KindDoubted
 )
 
@@ -60,15 +64,15 @@
 // Attempt describes a failed attempt.
 type Attempt struct {
 	Kind Kind
-	// Ran tells whether the attempt ran at the target.
+	// Ran tells whether the request has run at the target.
 	Ran failure.Ran
-	// Idempotent tells whether the request may run more than once.
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool
-	// Number counts the attempts made so far, this one included.
+	// Number is the number of attempts so far, including this one.
 	Number int
 	// Left is the time until the deadline of the request.
 	Left time.Duration
-	// BytesSent is what the caller already received of the answer.
+	// BytesSent is the number of bytes of the answer already sent to the caller.
 	BytesSent int64
 }
 
@@ -112,7 +116,7 @@
 type Policy struct {
 	// MaxAttempts bounds the attempts of one request, the first included.
 	MaxAttempts int
-	// MinAttempt is the least time worth starting an attempt with.
+	// MinAttempt is the minimum time to the deadline for another attempt.
 	MinAttempt time.Duration
 	Backoff    Backoff
 }
@@ -126,8 +130,8 @@
 	}
 }
 
-// Next decides whether the request is sent again, after which wait, and why.
-// A granted retry has taken one token from the budget.
+// Next decides whether the request is sent again, and returns the wait before it and
+// the reason. A granted retry has taken one token from the budget.
 func (p Policy) Next(a Attempt, b *Budget, now time.Time, rng *rand.Rand) (again bool, wait time.Duration, reason Reason) {
 	reason, safe := a.safe()
 	if !safe {
@@ -146,8 +150,8 @@
 	return true, wait, reason
 }
 
-// safe tells whether repeating the request can neither run non-idempotent work
-// twice nor mix two answers.
+// safe reports whether a retry can neither run a non-idempotent request twice nor mix
+// two answers.
 func (a Attempt) safe() (Reason, bool) {
 	switch {
 	case a.Kind == KindRejected:
@@ -183,7 +187,7 @@
 	return time.Duration(rng.Int64N(int64(bound) + 1))
 }
 
-// Bound returns the longest wait after the given number of attempts.
+// Bound returns the upper bound of the wait after the given number of attempts.
 func (b Backoff) Bound(attempts int) time.Duration {
 	bound := b.Base
 	for i := 1; i < attempts && bound < b.Max; i++ {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -31,7 +31,7 @@
 		{"ran and idempotent", func(a *Attempt) { a.Ran, a.Idempotent = failure.RanYes, true }, true, ReasonIdempotent},
 		{"unknown and idempotent", func(a *Attempt) { a.Ran, a.Idempotent = failure.RanUnknown, true }, true, ReasonIdempotent},
 		{"unknown and not idempotent", func(a *Attempt) { a.Ran = failure.RanUnknown }, false, ReasonMayHaveRun},
-		{"untold and not idempotent", func(a *Attempt) { a.Ran = "" }, false, ReasonMayHaveRun},
+		{"unset and not idempotent", func(a *Attempt) { a.Ran = "" }, false, ReasonMayHaveRun},
 		{"answer begun", func(a *Attempt) { a.Idempotent, a.BytesSent = true, 1 }, false, ReasonAnswerBegun},
 		{"request at fault", func(a *Attempt) { a.Kind = KindRejected }, false, ReasonRejected},
 		{"caller gone", func(a *Attempt) { a.Kind = KindCancelled }, false, ReasonCancelled},
@@ -90,12 +90,12 @@
 	c.Assert(low > 200 && high > 200, qt.IsTrue, qt.Commentf("%d low, %d high", low, high))
 }
 
-func TestBudgetGrantsAShareOfTheRequestsAndAFloor(t *testing.T) {
+func TestBudgetGrantsShareOfRequestsAndFloor(t *testing.T) {
 	c := qt.New(t)
 	b := NewBudget(DefaultBudgetOptions())
 	now := epoch
 	requests, granted := 0, 0
-	for range 10_000 { // 10 s at 1000 requests a second, each of which fails
+	for range 10_000 { // 10 s at 1000 requests per second, all of which fail
 		now = now.Add(time.Millisecond)
 		b.Request(now)
 		requests++
@@ -118,8 +118,8 @@
 	c.Assert(quiet, qt.Equals, int(DefaultBudgetOptions().Burst))
 }
 
-// TestReadyTellsWhatTakeWouldDo and takes nothing.
-func TestReadyTellsWhatTakeWouldDo(t *testing.T) {
+// TestReadyAgreesWithTake guards against Ready taking from the budget or differing from Take.
+func TestReadyAgreesWithTake(t *testing.T) {
 	c := qt.New(t)
 	b := NewBudget(BudgetOptions{Share: 0.5, Burst: 5})
 	now := time.Unix(1000, 0)
@@ -133,7 +133,8 @@
 	c.Check(b.Ready(now), qt.IsFalse)
 }
 
-func TestSpareIsLeftToOthers(t *testing.T) {
+// TestTakeUnreservedLeavesReserve guards against suspect requests using up the whole budget.
+func TestTakeUnreservedLeavesReserve(t *testing.T) {
 	c := qt.New(t)
 	b := NewBudget(BudgetOptions{FloorPerSecond: 10, Burst: 10})
 	c.Check(b.Take(epoch), qt.IsTrue)
--- a/retry/sliding_test.go
+++ b/retry/sliding_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSlidingCountIsNeverHigh compares it with a list of all events.
-func TestSlidingCountIsNeverHigh(t *testing.T) {
+// TestSlidingCountNeverOvercounts compares slidingCount with a list of all events.
+func TestSlidingCountNeverOvercounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const width, window = 500 * time.Millisecond, countBuckets * 500 * time.Millisecond
 		c := slidingCount{width: width}
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestBudgetSavesUpByTheRequestsOfTheLastWindow(t *testing.T) {
+func TestBurstGrowsWithRequestsOfLastWindow(t *testing.T) {
 	c := qt.New(t)
 	o := BudgetOptions{Share: 0.7, Burst: 1, BurstShare: 0.1, Window: 10 * time.Second}
 	b := NewBudget(o)
