--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -168,7 +168,7 @@
 }
 
 // StartLeaving makes each further answer ask the caller to close its connection.
-func (g *Gateway) StartLeaving() { g.gate.leaving.Store(true) }
+func (g *Gateway) StartLeaving() { g.gate.noKeepAlive.Store(true) }
 
 // StopStreams makes the gateway refuse new streams, which may outlast the rest of the
 // shutdown grace period. Requests with buffered answers are still accepted.
@@ -199,8 +199,9 @@
 
 // gate counts the requests in progress and holds the stages of a shutdown.
 type gate struct {
-	active  atomic.Int64
-	leaving atomic.Bool
+	active atomic.Int64
+	// noKeepAlive makes answers ask callers to close their connections.
+	noKeepAlive atomic.Bool
 	// noStreams refuses new streams, closed all new requests.
 	noStreams atomic.Bool
 	closed    atomic.Bool
@@ -212,7 +213,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.gate.active.Add(1)
 	defer g.gate.active.Add(-1)
-	if g.gate.leaving.Load() {
+	if g.gate.noKeepAlive.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	started := time.Now()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -33,8 +33,8 @@
 type task struct {
 	*request
 	answer *answer
-	// model is the model picked by the daemon, "" if the caller named one. sized is the
-	// input of that choice, nil if the caller named a model.
+	// model is the model picked by the daemon, and sized the input of that choice. They are
+	// "" and nil if the daemon does not pick the model.
 	model string
 	sized *sizedRequest
 	// replacedConfidence is the confidence of the answer that the model is to replace, or
