--- a/entry/entry.go
+++ b/entry/entry.go
@@ -274,7 +274,7 @@
 	d.leaving.Store(true)
 	d.log.Info().Int("in_progress", d.gateway.InProgress()).Msg("daemon leaves")
 	d.fleet.leave()
-	d.gateway.StartLeaving()
+	d.gateway.DisableKeepAlives()
 	grace := d.current.Load().StopGrace
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -167,8 +167,8 @@
 	f(rng)
 }
 
-// StartLeaving makes each further answer ask the caller to close its connection.
-func (g *Gateway) StartLeaving() { g.gate.noKeepAlive.Store(true) }
+// DisableKeepAlives makes each further answer ask the caller to close its connection.
+func (g *Gateway) DisableKeepAlives() { g.gate.noKeepAlive.Store(true) }
 
 // StopStreams makes the gateway refuse new streams, which may outlast the rest of the
 // shutdown grace period. Requests with buffered answers are still accepted.
