--- a/gateway/send.go
+++ b/gateway/send.go
@@ -75,11 +75,10 @@
 	return true
 }
 
-// Timeouts after which a silent engine may be abandoned for another one, relative to the
-// route's target.
+// Parameters of the timeouts after which a silent engine may be abandoned for another one.
 const (
-	// wholeAnswerTimeoutShare is the share of the target for buffered answers.
-	wholeAnswerTimeoutShare = 0.7
+	// bufferedTimeoutShare is the share of the target for buffered answers.
+	bufferedTimeoutShare = 0.7
 	// firstEventGrace is added to the target for the first event of a stream. An engine
 	// that is later than this is assumed to hang rather than to be busy. It is also the
 	// minimum timeout between two events.
@@ -95,7 +94,7 @@
 		return 0, 0
 	}
 	if t.route.Kind == route.Idempotent {
-		return time.Duration(wholeAnswerTimeoutShare * float64(t.route.Target)), 0
+		return time.Duration(bufferedTimeoutShare * float64(t.route.Target)), 0
 	}
 	first = t.route.Target + firstEventGrace
 	return first, max(time.Duration(pauseTimeoutFactor*float64(t.route.MaxPause)), firstEventGrace)
