--- a/entry/entry.go
+++ b/entry/entry.go
@@ -199,7 +199,7 @@
 	o := balance.DefaultOptions()
 	o.RemoteThreshold = 5 * time.Millisecond
 	o.PrefillTokensPerSecond = 30000
-	o.PromptWeight = gateway.PromptPart
+	o.PromptWeight = gateway.PromptTokenWork
 	o.BatchSlowdown = 1
 	o.SampleSize = 4
 	o.BusyIsWait = true
@@ -281,7 +281,7 @@
 	d.leaving.Store(true)
 	d.log.Info().Int("in_progress", d.gateway.InProgress()).Msg("daemon leaves")
 	d.fleet.leave()
-	d.gateway.StartLeaving()
+	d.gateway.DisableKeepAlives()
 	grace := d.current.Load().StopGrace
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-stopMargin))
 	defer cancel()
