--- a/entry/slowstart.go
+++ b/entry/slowstart.go
@@ -48,7 +48,7 @@
 func (d *Daemon) toldCold(told []inventory.Registration, now time.Time) {
 	var cold, warm []string
 	for _, r := range told {
-		if !d.slowStarts.Told(r.Engine.Key(), r.Engine.Service, r.ColdFor, now) {
+		if !d.slowStarts.SetCold(r.Engine.Key(), r.Engine.Service, r.ColdFor, now) {
 			continue
 		}
 		if r.ColdFor > 0 {
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -71,9 +71,9 @@
 	return p
 }
 
-// Told takes in that an engine says it is cold for so long, or warm if not above zero. It
+// SetCold takes in that an engine says it is cold for so long, or warm if not above zero. It
 // reports whether that is news.
-func (p *Pacer) Told(engine, service string, left time.Duration, now time.Time) bool {
+func (p *Pacer) SetCold(engine, service string, left time.Duration, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known, wasCold := p.engines[engine]
@@ -95,7 +95,7 @@
 // news.
 func (p *Pacer) Unreachable(engine, service string, now time.Time) bool {
 	cold := p.Limit(service).For
-	return cold > 0 && p.Told(engine, service, cold, now)
+	return cold > 0 && p.SetCold(engine, service, cold, now)
 }
 
 // Passed tells whether an engine is cold and this daemon may not send to it now.
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -69,7 +69,7 @@
 			sent := make(map[string][]time.Time)
 			for e := range test.engines {
 				for _, p := range fleet {
-					p.Told(fmt.Sprint(e), service, cold, start)
+					p.SetCold(fmt.Sprint(e), service, cold, start)
 				}
 			}
 			for now := start; now.Before(start.Add(cold)); now = now.Add(10 * tick) {
@@ -121,7 +121,7 @@
 		fleet := make([]*Pacer, size)
 		for i := range fleet {
 			fleet[i] = newPacer(seed+uint64(i), perSecond, func() int { return live })
-			fleet[i].Told("warm-before", service, time.Second, start)
+			fleet[i].SetCold("warm-before", service, time.Second, start)
 		}
 		// The daemons that are cut off see themselves alone from here on.
 		for i := range cutOff {
@@ -138,7 +138,7 @@
 					continue
 				}
 				if now.Sub(told) < tick {
-					p.Told("e", service, 3*time.Second, now)
+					p.SetCold("e", service, 3*time.Second, now)
 				}
 				if p.Take("e", now) {
 					sent = append(sent, now)
@@ -155,7 +155,7 @@
 	c := qt.New(t)
 	live := 0
 	p := newPacer(1, 29, func() int { return live })
-	p.Told("e", service, time.Hour, start)
+	p.SetCold("e", service, time.Hour, start)
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 		c.Check(p.Passed("e", now), qt.IsTrue)
 		c.Check(p.Take("e", now), qt.IsFalse)
@@ -178,8 +178,8 @@
 	c := qt.New(t)
 	// A huge fleet has next to no share.
 	p := newPacer(1, 29, func() int { return 1 << 30 })
-	c.Check(p.Told("e", service, 2*time.Second, start), qt.IsTrue)
-	c.Check(p.Told("e", service, time.Second, start.Add(time.Second)), qt.IsFalse)
+	c.Check(p.SetCold("e", service, 2*time.Second, start), qt.IsTrue)
+	c.Check(p.SetCold("e", service, time.Second, start.Add(time.Second)), qt.IsFalse)
 	c.Check(p.Passed("e", start.Add(1999*time.Millisecond)), qt.IsTrue)
 	c.Check(p.Passed("other", start), qt.IsFalse)
 	c.Check(p.Take("other", start), qt.IsTrue)
@@ -188,8 +188,8 @@
 	c.Check(p.Expire(start.Add(2*time.Second)), qt.DeepEquals, []string{"e"})
 	c.Check(p.Expire(start.Add(2*time.Second)), qt.HasLen, 0)
 
-	p.Told("e", service, 2*time.Second, start)
-	c.Check(p.Told("e", service, 0, start), qt.IsTrue)
+	p.SetCold("e", service, 2*time.Second, start)
+	c.Check(p.SetCold("e", service, 0, start), qt.IsTrue)
 	c.Check(p.Take("e", start), qt.IsTrue)
 }
 
@@ -204,7 +204,7 @@
 func TestServiceWithoutALimitIsNotPaced(t *testing.T) {
 	c := qt.New(t)
 	p := newPacer(1, 0, func() int { return 10 })
-	p.Told("e", service, time.Hour, start)
+	p.SetCold("e", service, time.Hour, start)
 	c.Check(p.Take("e", start), qt.IsTrue)
 	c.Check(p.Passed("e", start), qt.IsFalse)
 }
@@ -212,7 +212,7 @@
 func TestLimitThatComesAfterTheEngineHolds(t *testing.T) {
 	c := qt.New(t)
 	p := newPacer(1, 0, func() int { return 1 << 30 })
-	p.Told("e", service, time.Hour, start)
+	p.SetCold("e", service, time.Hour, start)
 	p.Limit = func(string) Limit { return Limit{PerSecond: 29} }
 	for range 10 {
 		c.Check(p.Take("e", start), qt.IsFalse)
@@ -226,7 +226,7 @@
 		b.Run(fmt.Sprintf("%d cold engines", cold), func(b *testing.B) {
 			p := newPacer(1, 29, func() int { return 75 })
 			for e := range cold {
-				p.Told(fmt.Sprint(e), service, time.Hour, start)
+				p.SetCold(fmt.Sprint(e), service, time.Hour, start)
 			}
 			for b.Loop() {
 				p.Passed("7", start)
