--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -96,8 +96,8 @@
 	return Decision{Version: p.Next, Reason: Escalated}
 }
 
-// Outlook is the expected result of a cascade of two versions.
-type Outlook struct {
+// Estimate is the expected result of a cascade of two versions.
+type Estimate struct {
 	// Cost is the expected cost, escalations included, in the unit of the input.
 	Cost float64
 	// Quality is the expected score of the answer that the caller gets.
@@ -107,8 +107,8 @@
 // Expect returns the outlook of a cheap version that costs cost and whose
 // accepted answers score accepted, when the share flagged of its answers goes
 // to a second version that costs nextCost and scores nextQuality.
-func Expect(cost, accepted, flagged, nextCost, nextQuality float64) Outlook {
-	return Outlook{
+func Expect(cost, accepted, flagged, nextCost, nextQuality float64) Estimate {
+	return Estimate{
 		Cost:    cost + flagged*nextCost,
 		Quality: (1-flagged)*accepted + flagged*nextQuality,
 	}
--- a/measure/truth.go
+++ b/measure/truth.go
@@ -74,7 +74,7 @@
 }
 
 // outlook is the true expected cost and quality of a cascade of two versions.
-func (t *truth) outlook(cheap, strong string, r *request, now time.Time) cascade.Outlook {
+func (t *truth) outlook(cheap, strong string, r *request, now time.Time) cascade.Estimate {
 	q := t.quality(cheap, r.kind.GetName(), now)
 	flagged := q*checkFalseAlarm + (1-q)*checkRecall
 	accepted := q * (1 - checkFalseAlarm) / max(1-flagged, 1e-9)
--- a/selection/choose.go
+++ b/selection/choose.go
@@ -294,7 +294,7 @@
 
 // outlook returns the expected cost of a cascade, and whether its quality is
 // credibly at the target.
-func (c *choice) outlook(first int, cost float64, next *option) (cascade.Outlook, bool) {
+func (c *choice) outlook(first int, cost float64, next *option) (cascade.Estimate, bool) {
 	cell := c.rows[first].accepted
 	accepted := cell.EstimateAt(c.nanos)
 	out := cascade.Expect(cost, accepted.Lower, cell.Flagged(), next.cost, next.estimate.Lower)
