--- a/compiler.go
+++ b/compiler.go
@@ -97,14 +97,14 @@
 	selected := c.selector.Choose(c.name, c.live, register.GetEngines(), c.subsetSize)
 	c.visible = nil
 	for _, e := range register.GetEngines() {
-		if selected.Sees(e) {
+		if selected.Contains(e) {
 			c.visible = append(c.visible, e)
 		}
 	}
 	tables := &router.Tables{
 		Snapshot: c.snapshot,
 		Versions: selection.NewPlan(register, rules),
-		Engines:  c.decisions.engines.Plan(register, selected.Sees),
+		Engines:  c.decisions.engines.Plan(register, selected.Contains),
 	}
 	c.decisions.versions.Use(tables.Versions)
 	c.decisions.admission.Update(rules.GetLimits(), len(c.live))
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -30,8 +30,8 @@
 	names map[string]struct{}
 }
 
-// Sees tells whether the daemon sees the engine.
-func (s Selection) Sees(e *bronzeturnv1.Engine) bool {
+// Contains tells whether the daemon sees the engine.
+func (s Selection) Contains(e *bronzeturnv1.Engine) bool {
 	if s.all {
 		return true
 	}
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -184,7 +184,7 @@
 	all := assignAll(daemons, engines, targetSize)
 	got := Choose("entry-7", daemons, engines, targetSize)
 	for _, e := range engines {
-		c.Assert(got.Sees(e), qt.Equals, all["entry-7"][e.GetName()])
+		c.Assert(got.Contains(e), qt.Equals, all["entry-7"][e.GetName()])
 	}
 	c.Assert(got.Len(), qt.Equals, len(all["entry-7"]))
 
