--- a/balance/among_test.go
+++ b/balance/among_test.go
@@ -17,7 +17,7 @@
 		s.OthersReported(OthersReported{Engine: engine, Requests: tokens / 100, Tokens: tokens, At: epoch})
 	}
 	r := newRequest()
-	r.Among = [MaxCandidates]string{"engine-1", "engine-2", "engine-3", "unknown"}
+	r.Candidates = [MaxCandidates]string{"engine-1", "engine-2", "engine-3", "unknown"}
 	for range 50 {
 		d, ok := s.Choose(p, r, epoch, newRand())
 		c.Assert(ok, qt.IsTrue)
@@ -29,7 +29,7 @@
 	d, _ := s.Choose(p, r, epoch, newRand())
 	c.Check(d.Engine.GetName(), qt.Equals, "engine-2")
 	// With none of them usable the choice is as without names.
-	r.Among = [MaxCandidates]string{"unknown"}
+	r.Candidates = [MaxCandidates]string{"unknown"}
 	d, ok := s.Choose(p, r, epoch, newRand())
 	c.Check(ok, qt.IsTrue)
 	c.Check(d.Compared(2)[0], qt.Equals, d.Engine.GetName())
@@ -44,7 +44,7 @@
 	r := newRequest()
 	r.Work.PromptTokens, r.PrefixHash = 10, 77 // read in no time
 	r.Homes[0] = "engine-0"
-	r.Among = [MaxCandidates]string{"engine-0", "engine-1"}
+	r.Candidates = [MaxCandidates]string{"engine-0", "engine-1"}
 	busy := func(tokens int64) string {
 		s.OthersReported(OthersReported{Engine: "engine-0", Requests: 4, Tokens: tokens, At: epoch})
 		d, ok := s.Choose(p, r, epoch, newRand())
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -112,13 +112,13 @@
 // among compares the engines that the request names.
 func (c *choice) among(served *candidates) estimate {
 	best := none
-	if c.req.Among[0] == "" {
+	if c.req.Candidates[0] == "" {
 		return best
 	}
 	if c.affine() {
 		c.holders = c.state.holders(c.req.PrefixHash, c.req.Homes, c.now)
 	}
-	for _, name := range c.req.Among {
+	for _, name := range c.req.Candidates {
 		index, known := c.plan.indexOf(c.state.engine(name))
 		if name == "" || !known || !served.member[index] || c.standing(index) != usable {
 			continue
--- a/balance/decision.go
+++ b/balance/decision.go
@@ -29,9 +29,9 @@
 	// Homes are engines that all daemons send requests with this prefix to, best
 	// first. They count as holding it. Empty names are none.
 	Homes [MaxHomes]string
-	// Among names the only engines to compare, unless none of them is usable. Empty
+	// Candidates names the only engines to compare, unless none of them is usable. Empty
 	// names are none; without any, the choice compares random ones.
-	Among [MaxCandidates]string
+	Candidates [MaxCandidates]string
 	// Exclude names engines already tried. Empty names exclude nothing.
 	Exclude [MaxExclude]string
 	// Leaving tells whether a backend host gets no new work. Nil means that
--- a/entry/load.go
+++ b/entry/load.go
@@ -59,7 +59,7 @@
 	}
 	again := *r
 	again.NoProbe = true
-	copy(again.Among[:], engines)
+	copy(again.Candidates[:], engines)
 	return b.State.Choose(p, &again, now, rng)
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -47,7 +47,7 @@
 	g.chooseGroup(t, engines, now)
 	r := t.balanceRequest(g.DataCentre, engines, g.Models)
 	if g.Quarantine.Ends(t.hash) > 0 {
-		r.Among[0] = engines.forSuspect(t.group, t.hash, t.tried)
+		r.Candidates[0] = engines.forSuspect(t.group, t.hash, t.tried)
 	}
 	decision, ok := g.askSure(t, engines, r, now)
 	if !ok && t.trial && t.runs == 0 {
