--- a/balance/among_test.go
+++ b/balance/among_test.go
@@ -14,7 +14,7 @@
 	s := newState(c)
 	p := s.Plan(newRegister(6), nil)
 	for engine, tokens := range map[string]int64{"engine-0": 0, "engine-1": 4000, "engine-2": 500, "engine-3": 9000} {
-		s.OthersReported(OthersReported{Engine: engine, Requests: tokens / 100, Tokens: tokens, At: epoch})
+		s.PeerLoadReported(PeerLoadReported{Engine: engine, Requests: tokens / 100, Tokens: tokens, At: epoch})
 	}
 	r := newRequest()
 	r.Candidates = [MaxCandidates]string{"engine-1", "engine-2", "engine-3", "unknown"}
@@ -25,7 +25,7 @@
 		c.Assert(d.Candidates(), qt.HasLen, 3)
 	}
 	// News that is older changes nothing.
-	s.OthersReported(OthersReported{Engine: "engine-2", Requests: 90, Tokens: 9000, At: epoch.Add(-time.Second)})
+	s.PeerLoadReported(PeerLoadReported{Engine: "engine-2", Requests: 90, Tokens: 9000, At: epoch.Add(-time.Second)})
 	d, _ := s.Choose(p, r, epoch, newRand())
 	c.Check(d.Engine.GetName(), qt.Equals, "engine-2")
 	// With none of them usable the choice is as without names.
@@ -46,7 +46,7 @@
 	r.Homes[0] = "engine-0"
 	r.Candidates = [MaxCandidates]string{"engine-0", "engine-1"}
 	busy := func(tokens int64) string {
-		s.OthersReported(OthersReported{Engine: "engine-0", Requests: 4, Tokens: tokens, At: epoch})
+		s.PeerLoadReported(PeerLoadReported{Engine: "engine-0", Requests: 4, Tokens: tokens, At: epoch})
 		d, ok := s.Choose(p, r, epoch, newRand())
 		c.Assert(ok, qt.IsTrue)
 		return d.Engine.GetName()
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// OthersReported takes in the other daemons' work at an engine.
-func (s *State) OthersReported(ev OthersReported) {
+// PeerLoadReported takes in the other daemons' work at an engine.
+func (s *State) PeerLoadReported(ev PeerLoadReported) {
 	e := s.engine(ev.Engine)
 	if e == nil || ev.Requests == 0 && ev.Tokens == 0 && e.active.Load() == nil {
 		return // An engine without an activity already counts as idle.
--- a/balance/event.go
+++ b/balance/event.go
@@ -96,9 +96,9 @@
 	AsOf     time.Time
 }
 
-// OthersReported tells of the work that the other daemons have in progress at an
+// PeerLoadReported tells of the work that the other daemons have in progress at an
 // engine.
-type OthersReported struct {
+type PeerLoadReported struct {
 	Engine   string
 	Requests int64
 	Tokens   int64
--- a/balance/load.go
+++ b/balance/load.go
@@ -100,7 +100,7 @@
 }
 
 // reportOthers takes in the others' work as of now.
-func (l *load) reportOthers(r OthersReported) {
+func (l *load) reportOthers(r PeerLoadReported) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := r.At.UnixNano()
