--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -116,7 +116,7 @@
 // what this daemon may send them, and those outside the request's homes.
 func (g *Gateway) skips(t *task, engines *Engines, now time.Time) func(engine string) bool {
 	return func(engine string) bool {
-		if g.SlowStarts.Passed(engine, now) {
+		if g.SlowStarts.Throttled(engine, now) {
 			return true
 		}
 		if !t.homes.Bound {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -41,8 +41,8 @@
 
 // SlowStarts bound what the fleet sends to engines that are cold.
 type SlowStarts interface {
-	// Passed tells whether an engine is cold and may not be sent to now.
-	Passed(engine string, now time.Time) bool
+	// Throttled tells whether an engine is cold and may not be sent to now.
+	Throttled(engine string, now time.Time) bool
 	// Take takes the right to send one request to an engine now, and tells whether there
 	// was one.
 	Take(engine string, now time.Time) bool
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -98,8 +98,8 @@
 	return cold > 0 && p.SetCold(engine, service, cold, now)
 }
 
-// Passed tells whether an engine is cold and this daemon may not send to it now.
-func (p *Pacer) Passed(engine string, now time.Time) bool {
+// Throttled tells whether an engine is cold and this daemon may not send to it now.
+func (p *Pacer) Throttled(engine string, now time.Time) bool {
 	if p.cold.Load() == 0 {
 		return false
 	}
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -76,7 +76,7 @@
 				for e := range test.engines {
 					name := fmt.Sprint(e)
 					for _, p := range fleet {
-						if !p.Passed(name, now) && p.Take(name, now) {
+						if !p.Throttled(name, now) && p.Take(name, now) {
 							sent[name] = append(sent[name], now)
 						}
 					}
@@ -157,12 +157,12 @@
 	p := newPacer(1, 29, func() int { return live })
 	p.SetCold("e", service, time.Hour, start)
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
-		c.Check(p.Passed("e", now), qt.IsTrue)
+		c.Check(p.Throttled("e", now), qt.IsTrue)
 		c.Check(p.Take("e", now), qt.IsFalse)
 	}
 	live = 10
 	now := start.Add(time.Minute)
-	c.Check(p.Passed("e", now), qt.IsFalse)
+	c.Check(p.Throttled("e", now), qt.IsFalse)
 	p.Take("e", now)
 	sent := 0
 	for range 60 {
@@ -180,10 +180,10 @@
 	p := newPacer(1, 29, func() int { return 1 << 30 })
 	c.Check(p.SetCold("e", service, 2*time.Second, start), qt.IsTrue)
 	c.Check(p.SetCold("e", service, time.Second, start.Add(time.Second)), qt.IsFalse)
-	c.Check(p.Passed("e", start.Add(1999*time.Millisecond)), qt.IsTrue)
-	c.Check(p.Passed("other", start), qt.IsFalse)
+	c.Check(p.Throttled("e", start.Add(1999*time.Millisecond)), qt.IsTrue)
+	c.Check(p.Throttled("other", start), qt.IsFalse)
 	c.Check(p.Take("other", start), qt.IsTrue)
-	c.Check(p.Passed("e", start.Add(2*time.Second)), qt.IsFalse)
+	c.Check(p.Throttled("e", start.Add(2*time.Second)), qt.IsFalse)
 	c.Check(p.Take("e", start.Add(2*time.Second)), qt.IsTrue)
 	c.Check(p.Expire(start.Add(2*time.Second)), qt.DeepEquals, []string{"e"})
 	c.Check(p.Expire(start.Add(2*time.Second)), qt.HasLen, 0)
@@ -197,8 +197,8 @@
 	c := qt.New(t)
 	p := newPacer(1, 29, func() int { return 1 << 30 })
 	c.Check(p.Unreachable("e", service, start), qt.IsTrue)
-	c.Check(p.Passed("e", start.Add(2999*time.Millisecond)), qt.IsTrue)
-	c.Check(p.Passed("e", start.Add(3*time.Second)), qt.IsFalse)
+	c.Check(p.Throttled("e", start.Add(2999*time.Millisecond)), qt.IsTrue)
+	c.Check(p.Throttled("e", start.Add(3*time.Second)), qt.IsFalse)
 }
 
 func TestServiceWithoutALimitIsNotPaced(t *testing.T) {
@@ -206,7 +206,7 @@
 	p := newPacer(1, 0, func() int { return 10 })
 	p.SetCold("e", service, time.Hour, start)
 	c.Check(p.Take("e", start), qt.IsTrue)
-	c.Check(p.Passed("e", start), qt.IsFalse)
+	c.Check(p.Throttled("e", start), qt.IsFalse)
 }
 
 func TestLimitThatComesAfterTheEngineHolds(t *testing.T) {
@@ -217,7 +217,7 @@
 	for range 10 {
 		c.Check(p.Take("e", start), qt.IsFalse)
 	}
-	c.Check(p.Passed("e", start), qt.IsTrue)
+	c.Check(p.Throttled("e", start), qt.IsTrue)
 }
 
 // BenchmarkPassed is what a choice pays for each engine that it looks at.
@@ -229,7 +229,7 @@
 				p.SetCold(fmt.Sprint(e), service, time.Hour, start)
 			}
 			for b.Loop() {
-				p.Passed("7", start)
+				p.Throttled("7", start)
 			}
 		})
 	}
