--- a/balance/activity.go
+++ b/balance/activity.go
@@ -7,7 +7,7 @@
 )
 
 // activityTTL is how long the activity of an idle engine is kept after its last event. It
-// is much longer than the failure share takes to decay and load reports take to arrive.
+// is much longer than the decay of the failure share and the delay of load reports.
 const activityTTL = 5 * time.Minute
 
 // activity is the health and load state of an engine. It is allocated on the engine's first
@@ -60,8 +60,8 @@
 	a := &activity{}
 	a.lastEventAt.Store(at.UnixNano())
 	a.health.warmFrom = &e.warmFrom
-	// A concurrent regroup stores poolConfig before it loads active. Holding health.mu until
-	// the pool is set orders its call of join after this initialization.
+	// A concurrent assignPools stores poolConfig before it loads active. Holding health.mu
+	// until the pool is set orders its call of setPool after this initialization.
 	a.health.mu.Lock()
 	defer a.health.mu.Unlock()
 	e.active.Store(a)
--- a/balance/activity_test.go
+++ b/balance/activity_test.go
@@ -107,15 +107,15 @@
 }
 
 // TestHistoryMatchesUnboundedReference guards against the growing ring buffer dropping
-// moments within historySpan.
+// samples within historySpan.
 func TestHistoryMatchesUnboundedReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
-		var all []moment
+		var all []loadSample
 		now := epoch.UnixNano()
-		for range rapid.IntRange(1, 400).Draw(t, "moments") {
+		for range rapid.IntRange(1, 400).Draw(t, "samples") {
 			now += int64(rapid.SampledFrom([]time.Duration{0, historyStep / 2, historyStep, time.Second, time.Minute}).Draw(t, "pause"))
-			m := moment{at: now, requests: int64(len(all))}
+			m := loadSample{at: now, requests: int64(len(all))}
 			if n := len(all); n > 0 && now-all[n-1].at < int64(historyStep) {
 				m.at = all[n-1].at
 				all[n-1] = m
@@ -124,15 +124,15 @@
 			}
 			h.record(m)
 		}
-		asked := now - rapid.Int64Range(0, int64(historySpan-historyStep)).Draw(t, "age")
-		var want moment
+		queried := now - rapid.Int64Range(0, int64(historySpan-historyStep)).Draw(t, "age")
+		var want loadSample
 		for _, m := range all {
-			if m.at <= asked {
+			if m.at <= queried {
 				want = m
 			}
 		}
-		if got := h.at(asked); got != want {
-			t.Fatalf("at %d: %v, want %v", asked, got, want)
+		if got := h.at(queried); got != want {
+			t.Fatalf("at %d: %v, want %v", queried, got, want)
 		}
 	})
 }
--- a/balance/affinity_test.go
+++ b/balance/affinity_test.go
@@ -8,7 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A prefix that many requests share spreads over the engines that hold it.
+// TestSharedPrefixHasSeveralHolders checks that requests with a shared prefix are
+// distributed over all engines that hold it.
 func TestSharedPrefixHasSeveralHolders(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
@@ -29,7 +30,7 @@
 	}
 }
 
-func TestOldestHolderIsForgottenFirst(t *testing.T) {
+func TestOldestHolderIsReplacedFirst(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(maxHolders+1), nil)
@@ -39,7 +40,7 @@
 	}
 	found := s.cache.lookup(9)
 	c.Assert(found.count, qt.Equals, maxHolders)
-	_, ok := found.of(p.engines[0])
+	_, ok := found.lastUpdate(p.engines[0])
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -61,9 +62,9 @@
 	c.Assert(others > 20, qt.IsTrue, qt.Commentf("%d", others))
 }
 
-// The saved reading of a short prompt does not pay for the way to another data
-// centre.
-func TestHolderElsewhereHasToSaveTheWay(t *testing.T) {
+// TestRemoteHolderMustSaveMoreThanRemoteThreshold checks that a holder in another data
+// centre is not chosen if the saved prefill time is less than RemoteThreshold.
+func TestRemoteHolderMustSaveMoreThanRemoteThreshold(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	s.options.RemoteThreshold = time.Second
@@ -75,12 +76,12 @@
 	c.Assert(d.Engine.GetDataCentre(), qt.Equals, "hall-0")
 }
 
-// A report loses its meaning when the work that it counted has ended, and
-// not before.
-func TestOldReportsFadeIntoTheUsualLoad(t *testing.T) {
+// TestOldReportsDecayToMeanPeerLoad checks that the estimate returns to the moving
+// average once the reported work has ended, and not before.
+func TestOldReportsDecayToMeanPeerLoad(t *testing.T) {
 	cases := []struct {
 		name      string
-		perWork   int64 // tokens left of each request
+		perWork   int64 // remaining tokens of each request
 		atOnce    float64
 		afterLong float64
 	}{
--- a/balance/among_test.go
+++ b/balance/among_test.go
@@ -7,9 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestChoiceAmongNamedEnginesGoesByFreshCounts: of the engines named, the one where
-// the other daemons have least is taken, and others are not looked at.
-func TestChoiceAmongNamedEnginesGoesByFreshCounts(t *testing.T) {
+// TestChoiceAmongCandidatesUsesNewestPeerLoad checks that only the engines in
+// Request.Candidates are compared, and that the one with the least work of the other
+// daemons by the newest report is chosen.
+func TestChoiceAmongCandidatesUsesNewestPeerLoad(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(6), nil)
@@ -24,25 +25,25 @@
 		c.Assert(d.Engine.GetName(), qt.Equals, "engine-2")
 		c.Assert(d.Candidates(), qt.HasLen, 3)
 	}
-	// News that is older changes nothing.
+	// Older reports are ignored.
 	s.PeerLoadReported(PeerLoadReported{Engine: "engine-2", Requests: 90, Tokens: 9000, At: epoch.Add(-time.Second)})
 	d, _ := s.Choose(p, r, epoch, newRand())
 	c.Check(d.Engine.GetName(), qt.Equals, "engine-2")
-	// With none of them usable the choice is as without names.
+	// If no candidate is usable, engines are chosen as without candidates.
 	r.Candidates = [MaxCandidates]string{"unknown"}
 	d, ok := s.Choose(p, r, epoch, newRand())
 	c.Check(ok, qt.IsTrue)
 	c.Check(d.Compared(2)[0], qt.Equals, d.Engine.GetName())
 }
 
-// TestPrefixIsWorthAWait: an engine that holds the prefix is taken though it is
-// busier, up to what the request says that is worth.
-func TestPrefixIsWorthAWait(t *testing.T) {
+// TestPrefixWorthOutweighsWait checks that a busier engine that holds the prefix is
+// chosen as long as the difference is below the request's PrefixWorth.
+func TestPrefixWorthOutweighsWait(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(3), nil)
 	r := newRequest()
-	r.Work.PromptTokens, r.PrefixHash = 10, 77 // read in no time
+	r.Work.PromptTokens, r.PrefixHash = 10, 77 // negligible prefill time
 	r.Homes[0] = "engine-0"
 	r.Candidates = [MaxCandidates]string{"engine-0", "engine-1"}
 	busy := func(tokens int64) string {
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,8 +1,9 @@
-// Package balance chooses the engine for a request. It keeps the work in
-// flight and the health of every visible engine, fed by one typed event each,
-// and compares the expected wait of two random engines per data centre.
-// Nothing here does I/O, reads a clock, starts a goroutine or waits for
-// anything but short locks; callers pass the time and the random source.
+// Package balance chooses the engine for a request. It tracks the work in flight
+// and the health of every visible engine from typed events, and compares the
+// expected cost of a request at a few random engines of a data centre, two by
+// default (power of two choices). The package does no I/O, reads no clock, starts
+// no goroutine and blocks only on short critical sections; callers pass the time
+// and the random source.
 package balance
 
 import (
@@ -13,15 +14,16 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// State is the running state of the engines of one daemon. It outlives
-// configurations and may be used concurrently. Each engine has its own locks.
+// State is the runtime state of the engines that one daemon sees. It is kept
+// across configuration changes and is safe for concurrent use. Each engine has
+// its own locks.
 type State struct {
 	options Options
 	cache   *prefixCache
 	table   engineTable
 	active  activeEngines
 
-	// mu guards what changes with a configuration or a host's state.
+	// mu guards the fields that change with the configuration or a host's state.
 	mu    sync.Mutex
 	hosts map[string]HostState
 	// plan is the newest plan; generation is incremented with each plan.
@@ -37,7 +39,7 @@
 	changes   []Change
 }
 
-// engine is the running state of one engine.
+// engine is the runtime state of one engine.
 type engine struct {
 	name string
 	// active is nil until the first event.
@@ -47,9 +49,9 @@
 	// warmFrom is the start of the warm-up in Unix nanoseconds, 0 before the first choice
 	// that considers the engine.
 	warmFrom atomic.Int64
-	// closed is set while the host is leaving or gone.
+	// closed is set while the engine's host is leaving or gone.
 	closed atomic.Bool
-	// cacheEpoch rises when the engine's prefix cache was cleared.
+	// cacheEpoch is incremented when the engine's prefix cache is cleared.
 	cacheEpoch atomic.Uint32
 	// cacheGapAt is the time of the last gap in cache events in Unix nanoseconds.
 	cacheGapAt atomic.Int64
@@ -74,9 +76,9 @@
 	return s, nil
 }
 
-// adopt fills in the running state of the engines in a plan, creating it where missing,
+// attachEngines sets the runtime state of the engines in a plan, creating it where missing,
 // and removes the state of idle engines that left the plan. The caller holds mu.
-func (s *State) adopt(p *Plan) {
+func (s *State) attachEngines(p *Plan) {
 	previous := s.plan
 	if previous == nil {
 		previous = &Plan{}
@@ -92,7 +94,7 @@
 		case pos+1 < len(previous.specs) && previous.specs[pos+1] == spec:
 			e, pos = previous.engines[pos+1], pos+2
 		default:
-			e = s.adoptEngine(spec, previous)
+			e = s.getOrCreateEngine(spec, previous)
 		}
 		e.generation = s.generation
 		p.engines[i] = e
@@ -101,14 +103,14 @@
 	s.plan = p
 }
 
-// adoptEngine returns the running state of an engine, creating it if necessary. The caller
-// holds mu.
-func (s *State) adoptEngine(spec *bronzeturnv1.Engine, previous *Plan) *engine {
+// getOrCreateEngine returns the runtime state of an engine, creating it if necessary. The
+// caller holds mu.
+func (s *State) getOrCreateEngine(spec *bronzeturnv1.Engine, previous *Plan) *engine {
 	e := s.engine(spec.GetName())
 	if e == nil {
 		e = &engine{name: spec.GetName(), id: s.allocateID()}
 		if len(previous.engines) == 0 {
-			e.warmFrom.Store(warmAlready)
+			e.warmFrom.Store(noWarmUp)
 		}
 		s.table.add(e)
 	}
@@ -147,9 +149,9 @@
 	return s.nextID - 1
 }
 
-// regroup assigns the engines to the pools of a new configuration and counts
-// those that are out again.
-func regroup(specs []*bronzeturnv1.Engine, list []*engine) {
+// assignPools assigns the engines to the pools of a new configuration and counts
+// the ejected engines of each pool anew.
+func assignPools(specs []*bronzeturnv1.Engine, list []*engine) {
 	pools := make(map[string]*pool)
 	configs := make(map[poolConfig]*poolConfig)
 	for i, spec := range specs {
@@ -169,20 +171,20 @@
 	}
 	for _, e := range list {
 		if a := e.active.Load(); a != nil {
-			a.health.join(e.poolConfig.Load())
+			a.health.setPool(e.poolConfig.Load())
 		}
 	}
 }
 
-// join moves the engine into a pool and takes its place among those out along.
-func (h *health) join(config *poolConfig) {
+// setPool moves the engine to a pool and counts it there if it is ejected.
+func (h *health) setPool(config *poolConfig) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p := config.pool
 	h.pool, h.nominal = p, config.nominal
 	if kind := phase(h.phase.Load()); kind != admitted {
 		p.mu.Lock()
-		p.count(kind, 1)
+		p.add(kind, 1)
 		p.mu.Unlock()
 	}
 }
@@ -191,14 +193,14 @@
 	return s.table.get(name)
 }
 
-// work returns the tokens of a request's prompt and answer in the unit of
-// generated tokens.
+// work returns the work of a request's prompt and answer in units of generated
+// tokens.
 func (s *State) work(w Work) (prompt, answer int64) {
 	prompt = int64(s.options.PromptWeight * float64(max(0, w.PromptTokens)))
 	return prompt, max(1, w.ExpectedTokens)
 }
 
-// Dispatched takes in that a request was sent to an engine.
+// Dispatched records that a request was sent to an engine.
 func (s *State) Dispatched(ev Dispatched) {
 	e := s.engine(ev.Engine)
 	if e == nil {
@@ -206,12 +208,12 @@
 	}
 	prompt, answer := s.work(ev.Work)
 	s.changeLoad(e, ev.Work, 1, prompt+answer, ev.At)
-	if ev.PrefixHash != 0 && s.options.affine(ev.Work.PromptTokens) {
+	if ev.PrefixHash != 0 && s.options.affinityApplies(ev.Work.PromptTokens) {
 		s.cache.store(ev.PrefixHash, e, ev.At.UnixNano())
 	}
 }
 
-// FirstToken takes in that an answer began.
+// FirstToken records the first token of an answer.
 func (s *State) FirstToken(ev FirstToken) {
 	e := s.engine(ev.Engine)
 	if e == nil {
@@ -222,42 +224,42 @@
 	s.active.getOrCreate(e, ev.At).health.observeFirstToken(ev.Latency, ev.Expected, ev.At)
 }
 
-// Finished takes in that an answer ended.
+// Finished records the end of an answer.
 func (s *State) Finished(ev Finished) {
 	e := s.engine(ev.Engine)
 	if e == nil {
 		return
 	}
-	s.end(e, ev.Work, ev.FirstTokenSeen, ev.At)
+	s.removeRequest(e, ev.Work, ev.FirstTokenSeen, ev.At)
 	if ev.Cancelled {
 		return
 	}
 	h := &s.active.getOrCreate(e, ev.At).health
 	h.observeGeneration(ev.Tokens, ev.Generation, ev.At, s.options.SpeedPrior)
 	if h.succeeded(ev.At, &s.options) {
-		s.note(e, 0, ev.At)
+		s.recordChange(e, 0, ev.At)
 	}
 }
 
-// Failed takes in that a request got no answer.
+// Failed records that an engine did not answer a request.
 func (s *State) Failed(ev Failed) {
 	e := s.engine(ev.Engine)
 	if e == nil {
 		return
 	}
-	s.end(e, ev.Work, ev.FirstTokenSeen, ev.At)
+	s.removeRequest(e, ev.Work, ev.FirstTokenSeen, ev.At)
 	h := &s.active.getOrCreate(e, ev.At).health
 	if ev.Kind == FailureBusy {
 		h.refused(ev.At, ev.RetryAfter)
 		return
 	}
 	if h.failed(ev.At, &s.options) {
-		s.note(e, 0, ev.At)
+		s.recordChange(e, 0, ev.At)
 	}
 }
 
-// end removes a request from the work in flight.
-func (s *State) end(e *engine, w Work, firstTokenSeen bool, at time.Time) {
+// removeRequest removes a request from the work in flight.
+func (s *State) removeRequest(e *engine, w Work, firstTokenSeen bool, at time.Time) {
 	prompt, answer := s.work(w)
 	if firstTokenSeen {
 		prompt = 0
@@ -272,7 +274,7 @@
 	}
 }
 
-// InFlight calls f for every engine at which this daemon has work.
+// InFlight calls f for every engine at which this daemon has requests in flight.
 func (s *State) InFlight(f func(engine string, requests, tokens int64)) {
 	for _, e := range s.active.list() {
 		l := &e.activity().load
@@ -282,23 +284,24 @@
 	}
 }
 
-// LoadReported takes in an engine's load report.
+// LoadReported handles an engine's load report.
 func (s *State) LoadReported(ev LoadReported) {
 	if e := s.engine(ev.Engine); e != nil {
 		s.active.getOrCreate(e, ev.AsOf).load.report(ev)
 	}
 }
 
-// PeerLoadReported takes in the other daemons' work at an engine.
+// PeerLoadReported handles a report of the other daemons' work at an engine.
 func (s *State) PeerLoadReported(ev PeerLoadReported) {
 	e := s.engine(ev.Engine)
 	if e == nil || ev.Requests == 0 && ev.Tokens == 0 && e.active.Load() == nil {
 		return // An engine without an activity already counts as idle.
 	}
-	s.active.getOrCreate(e, ev.At).load.reportOthers(ev)
+	s.active.getOrCreate(e, ev.At).load.reportPeerLoad(ev)
 }
 
-// OwnLoad returns the work of this daemon at an engine.
+// OwnLoad returns the requests and tokens that this daemon has in flight at an
+// engine.
 func (s *State) OwnLoad(engine string) (requests, tokens int64) {
 	e := s.engine(engine)
 	if e == nil {
@@ -308,7 +311,7 @@
 	return sum(&l.requests), sum(&l.tokens)
 }
 
-// MembershipChanged takes in the state of a backend host.
+// MembershipChanged handles a change of a backend host's state.
 func (s *State) MembershipChanged(ev MembershipChanged) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -320,8 +323,9 @@
 	s.hosts[ev.Host] = ev.State
 }
 
-// markHost opens or closes the engines of the host and tells whether there are
-// any. An engine that was closed warms up when it comes back. The caller holds mu.
+// markHost opens or closes the engines of the host and reports whether there are
+// any. A closed engine starts a warm-up when its host is live again. The caller
+// holds mu.
 func (s *State) markHost(ev MembershipChanged) bool {
 	known := false
 	s.table.each(func(e *engine) {
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// BenchmarkChooseParallel runs the choice alone on several cores; compare
-// -cpu 1 with -cpu 8.
+// BenchmarkChooseParallel runs Choose alone on several cores; compare -cpu 1 with
+// -cpu 8.
 func BenchmarkChooseParallel(b *testing.B) {
 	s := newState(b)
 	p := s.Plan(newRegister(65), nil)
@@ -39,8 +39,8 @@
 	})
 }
 
-// BenchmarkChooseAndReport runs the choice and all events of a request on
-// several cores; compare -cpu 1 with -cpu 8.
+// BenchmarkChooseAndReport runs Choose and all events of a request on several
+// cores; compare -cpu 1 with -cpu 8.
 func BenchmarkChooseAndReport(b *testing.B) {
 	s := newState(b)
 	p := s.Plan(newRegister(65), nil)
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -6,38 +6,42 @@
 	"time"
 )
 
-// Bounds of the advice given with a refusal.
+// Bounds of Decision.RetryAfter.
 const (
 	minRetryAfter     = 100 * time.Millisecond
 	defaultRetryAfter = time.Second
 	maxRetryAfter     = 30 * time.Second
 )
 
-// The choice draws at most sampleDraws times for each engine that it compares,
-// to find usable ones. defaultSample is how many are compared by default.
+// A sample draws at most sampleDraws random engines for each engine to compare,
+// as some drawn engines may be unusable. defaultSample is the default number of
+// engines to compare.
 const (
 	sampleDraws   = 3
 	defaultSample = 2
 )
 
-// minWarmShare is the share of its full work that a new engine begins with.
+// minWarmShare is the fraction of its full share of requests that a new engine
+// starts with.
 const minWarmShare = 0.1
 
-// standing tells whether an engine may be used.
-type standing uint8
+// eligibility says whether an engine may be used for a request.
+type eligibility uint8
 
 const (
-	usable standing = iota
-	// warming engines are usable but were passed over this time.
+	usable eligibility = iota
+	// warming engines are usable, but skipped for this request to limit their
+	// share of requests during the warm-up.
 	warming
-	// probing engines are on probation and due for a single request.
+	// probing engines are ejected and due for a probe, which is a single request.
 	probing
-	// slowOut engines are out for slowness, usable when no other is left.
-	slowOut
+	// ejectedSlow engines are ejected for slowness; they are used only if no
+	// other engine is usable.
+	ejectedSlow
 	unusable
 )
 
-// choice is one run of Choose.
+// choice is the state of one call of Choose.
 type choice struct {
 	state *State
 	plan  *Plan
@@ -45,18 +49,19 @@
 	now   int64
 	rng   *rand.Rand
 	d     Decision
-	// priority is the class of the request.
+	// priority is the index of the request's priority.
 	priority int
-	// holders are the engines that probably hold the prefix, and cached is the
-	// plan index of the one that is compared, or -1.
-	holders holders
-	cached  int32
-	// probe is set when an engine on probation takes the request.
+	// holders are the engines that probably hold the prefix. comparedHolder is
+	// the plan index of the one compared last, or -1.
+	holders        holders
+	comparedHolder int32
+	// probe is the plan index of the ejected engine that the request probes, or -1.
 	probe int32
 }
 
-// Choose picks the engine for a request, or reports false with the reason and
-// when to come back. The caller reports Dispatched when the request goes out.
+// Choose picks the engine for a request. If there is none it returns false, with
+// Reason and RetryAfter set in the decision. The caller must call Dispatched when
+// it sends the request.
 func (s *State) Choose(p *Plan, r *Request, now time.Time, rng *rand.Rand) (Decision, bool) {
 	served, ok := p.versions[r.Version]
 	if !ok {
@@ -64,7 +69,7 @@
 	}
 	c := choice{
 		state: s, plan: p, req: *r, now: now.UnixNano(), rng: rng, d: Decision{Index: -1},
-		priority: priorityIndex(r.Work.Priority), cached: -1, probe: -1,
+		priority: priorityIndex(r.Work.Priority), comparedHolder: -1, probe: -1,
 	}
 	best := c.pick(served)
 	if best.index < 0 {
@@ -81,9 +86,10 @@
 	return c.d, true
 }
 
-// pick compares engines in the data centre, then in others, then all.
+// pick compares engines in the local data centre, then in the other data centres,
+// then all engines.
 func (c *choice) pick(served *candidates) estimate {
-	if best := c.among(served); best.index >= 0 {
+	if best := c.compareNamed(served); best.index >= 0 {
 		return best
 	}
 	local, remote := served.split(c.req.DataCentre)
@@ -94,7 +100,7 @@
 	threshold := c.state.options.RemoteThreshold.Seconds()
 	wait := best.wait
 	if c.state.options.BusyIsWait {
-		wait += best.busy
+		wait += best.backlog
 	}
 	if c.probe < 0 && (best.index < 0 || wait > threshold) {
 		best = c.sample(remote, best, threshold, ReasonRemote)
@@ -109,18 +115,18 @@
 	return c.scan(served)
 }
 
-// among compares the engines that the request names.
-func (c *choice) among(served *candidates) estimate {
-	best := none
+// compareNamed compares the engines in Request.Candidates.
+func (c *choice) compareNamed(served *candidates) estimate {
+	best := noEstimate
 	if c.req.Candidates[0] == "" {
 		return best
 	}
-	if c.affine() {
+	if c.affinityApplies() {
 		c.holders = c.state.holders(c.req.PrefixHash, c.req.Homes, c.now)
 	}
 	for _, name := range c.req.Candidates {
 		index, known := c.plan.indexOf(c.state.engine(name))
-		if name == "" || !known || !served.member[index] || c.standing(index) != usable {
+		if name == "" || !known || !served.member[index] || c.eligibility(index) != usable {
 			continue
 		}
 		est, reason := c.consider(index), ReasonLeastWait
@@ -128,7 +134,7 @@
 			est.cost += c.state.options.RemoteThreshold.Seconds()
 			reason = ReasonRemote
 		}
-		if _, holds := c.holders.of(c.plan.engines[index]); holds {
+		if _, holds := c.holders.lastUpdate(c.plan.engines[index]); holds {
 			reason = ReasonAffinity
 		}
 		if est.cost < best.cost {
@@ -138,43 +144,44 @@
 	return best
 }
 
-// affinity considers a random one of the engines that probably hold the
-// prompt's prefix, if reading the prompt takes long enough to matter.
+// affinity considers the home engines of the prompt's prefix or, if none of them
+// is usable, a random holder. It considers none if the prefill is too short for a
+// cached prefix to matter.
 func (c *choice) affinity(served *candidates) estimate {
-	if !c.affine() {
-		return none
+	if !c.affinityApplies() {
+		return noEstimate
 	}
 	c.holders = c.state.holders(c.req.PrefixHash, c.req.Homes, c.now)
-	if home, ok := c.home(served); ok {
+	if home, ok := c.bestHome(served); ok {
 		return home
 	}
 	if c.holders.count == 0 {
-		return none
+		return noEstimate
 	}
 	index, ok := c.plan.indexOf(c.holders.list[c.rng.IntN(c.holders.count)].engine)
 	if !ok || !served.member[index] {
-		return none
+		return noEstimate
 	}
 	return c.considerHolder(index)
 }
 
-// affine tells whether an engine that holds the prefix is worth looking for.
-func (c *choice) affine() bool {
-	return c.req.PrefixHash != 0 && (c.req.PrefixWorth > 0 || c.state.options.affine(c.req.Work.PromptTokens))
+// affinityApplies reports whether to look for engines that hold the prefix.
+func (c *choice) affinityApplies() bool {
+	return c.req.PrefixHash != 0 && (c.req.PrefixWorth > 0 || c.state.options.affinityApplies(c.req.Work.PromptTokens))
 }
 
-// home considers the homes of the prefix that are usable, and returns the
-// better one.
-func (c *choice) home(served *candidates) (best estimate, ok bool) {
-	best = none
+// bestHome considers the usable home engines of the prefix and returns the
+// cheapest one.
+func (c *choice) bestHome(served *candidates) (best estimate, ok bool) {
+	best = noEstimate
 	for _, name := range c.req.Homes {
 		index, known := c.plan.indexOf(c.state.engine(name))
-		if !known || !served.member[index] || c.standing(index) != usable {
+		if !known || !served.member[index] || c.eligibility(index) != usable {
 			continue
 		}
 		est := c.considerHolder(index)
 		if c.probe >= 0 {
-			return none, true
+			return noEstimate, true
 		}
 		best = cheaper(best, est)
 		ok = true
@@ -185,15 +192,15 @@
 // considerHolder considers an engine that probably holds the prefix.
 func (c *choice) considerHolder(index int32) estimate {
 	o := &c.state.options
-	switch c.standing(index) {
+	switch c.eligibility(index) {
 	case usable:
 	case probing:
 		c.probe = index
-		return none
+		return noEstimate
 	default:
-		return none
+		return noEstimate
 	}
-	c.cached = index
+	c.comparedHolder = index
 	c.d.Reason = ReasonAffinity
 	est := c.consider(index)
 	if c.plan.specs[index].GetDataCentre() != c.req.DataCentre {
@@ -202,8 +209,8 @@
 	return est
 }
 
-// sample compares the best so far with two random engines of the group. They
-// have to be better by the threshold, in seconds.
+// sample compares the best engine so far with up to SampleSize random engines of
+// the group. These must be better by the threshold, in seconds.
 func (c *choice) sample(group []int32, best estimate, threshold float64, reason Reason) estimate {
 	n := len(group)
 	if n == 0 {
@@ -225,10 +232,10 @@
 		if !all || n <= defaultSample {
 			index = group[c.rng.IntN(n)]
 		}
-		if index == first || index == c.cached {
+		if index == first || index == c.comparedHolder {
 			continue
 		}
-		switch c.standing(index) {
+		switch c.eligibility(index) {
 		case usable:
 		case probing:
 			c.probe = index
@@ -248,29 +255,29 @@
 	return best
 }
 
-// scan looks at every engine from a random one on. Warm-up is ignored; engines
-// out for slowness are used when no other is left.
+// scan compares all engines, starting at a random one. Warm-up is ignored.
+// Engines ejected for slowness are used if no other engine is usable.
 func (c *choice) scan(served *candidates) estimate {
-	best, slowest := none, none
+	best, bestSlow := noEstimate, noEstimate
 	n := len(served.all)
 	offset := c.rng.IntN(n)
 	for i := range n {
 		index := served.all[(offset+i)%n]
-		switch c.standing(index) {
+		switch c.eligibility(index) {
 		case usable, warming:
 			best = cheaper(best, c.estimate(index))
 		case probing:
 			c.d.Reason = ReasonProbe
 			c.probe = index
 			return c.estimate(index)
-		case slowOut:
-			slowest = cheaper(slowest, c.estimate(index))
+		case ejectedSlow:
+			bestSlow = cheaper(bestSlow, c.estimate(index))
 		}
 	}
 	c.d.Reason = ReasonScan
 	if best.index < 0 {
 		c.d.Reason = ReasonSlowOnly
-		best = slowest
+		best = bestSlow
 	}
 	return best
 }
@@ -282,25 +289,25 @@
 	return a
 }
 
-// standing tells whether the engine may be used by this request.
-func (c *choice) standing(index int32) standing {
+// eligibility returns whether the engine may be used for this request.
+func (c *choice) eligibility(index int32) eligibility {
 	e := c.plan.engines[index]
 	h := &e.activity().health
-	if c.barred(e, index) || h.busyUntil.Load() > c.now {
+	if c.excluded(e, index) || h.busyUntil.Load() > c.now {
 		return unusable
 	}
 	if kind := phase(h.phase.Load()); kind != admitted {
-		return c.probation(h, kind)
+		return c.ejectedEligibility(h, kind)
 	}
-	if c.cold(e) {
+	if c.skippedInWarmUp(e) {
 		return warming
 	}
 	return usable
 }
 
-// barred tells whether the engine must not get the request at all: its host is
-// leaving or gone, it was tried before, or the request skips it.
-func (c *choice) barred(e *engine, index int32) bool {
+// excluded reports whether the engine must not get the request at all: its host
+// is leaving or gone, it was tried before, or the request skips it.
+func (c *choice) excluded(e *engine, index int32) bool {
 	if e.closed.Load() || c.req.Skip != nil && c.req.Skip(e.name) {
 		return true
 	}
@@ -312,25 +319,26 @@
 	return c.req.Leaving != nil && c.req.Leaving(c.plan.specs[index].GetHost())
 }
 
-// probation tells the standing of an engine that is out. A due probe is taken
-// by this request: no other gets it until the next one is due.
-func (c *choice) probation(h *health, kind phase) standing {
+// ejectedEligibility returns the eligibility of an ejected engine. If a probe is
+// due, this request claims it, so that no other request is a probe until the next
+// one is due.
+func (c *choice) ejectedEligibility(h *health, kind phase) eligibility {
 	last := h.probeAt.Load()
 	due := c.now >= h.until.Load() && c.now-last >= int64(c.state.options.TrickleEvery)
 	if due && !c.req.NoProbe && h.probeAt.CompareAndSwap(last, c.now) {
 		return probing
 	}
 	if kind == slow {
-		return slowOut
+		return ejectedSlow
 	}
 	return unusable
 }
 
-// cold tells whether a warming engine is passed over this time. Its share
-// grows with the time since it was first seen.
-func (c *choice) cold(e *engine) bool {
+// skippedInWarmUp reports whether the engine is warming up and skipped for this
+// request. The probability of not being skipped grows linearly over the warm-up.
+func (c *choice) skippedInWarmUp(e *engine) bool {
 	from := e.warmFrom.Load()
-	if from == warmAlready {
+	if from == noWarmUp {
 		return false
 	}
 	if from == 0 {
@@ -339,14 +347,15 @@
 	}
 	age := c.now - from
 	if age >= int64(c.state.options.WarmUp) {
-		e.warmFrom.CompareAndSwap(from, warmAlready)
+		e.warmFrom.CompareAndSwap(from, noWarmUp)
 		return false
 	}
 	share := float64(age) / float64(c.state.options.WarmUp)
 	return c.rng.Float64() >= max(minWarmShare, share)
 }
 
-// consider estimates the engine and lists it among the candidates.
+// consider estimates the cost at the engine and adds the engine to the
+// decision's candidates.
 func (c *choice) consider(index int32) estimate {
 	est := c.estimate(index)
 	if c.d.count < MaxCandidates {
@@ -364,19 +373,19 @@
 	c.d.Index = int(best.index)
 	c.d.Engine = c.plan.specs[best.index]
 	c.d.ExpectedWait = seconds(best.wait)
-	c.d.ExpectedFirstToken = seconds(best.first)
+	c.d.ExpectedFirstToken = seconds(best.firstToken)
 	c.d.ExpectedAnswer = seconds(best.answer)
-	c.d.Backlog = seconds(best.busy)
+	c.d.Backlog = seconds(best.backlog)
 }
 
-// refuse completes the decision when no engine may be used. The advice is the
-// time at which the first of those that are out may be tried again.
+// refuse completes the decision when no engine may be used. RetryAfter is the
+// time until the first busy or ejected engine may be tried again.
 func (c *choice) refuse(served *candidates) {
 	c.d.Reason = ReasonNoEngine
 	earliest := int64(math.MaxInt64)
 	for _, index := range served.all {
 		e := c.plan.engines[index]
-		if c.barred(e, index) {
+		if c.excluded(e, index) {
 			continue
 		}
 		h := &e.activity().health
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestChooseStaysInTheDataCentreUntilTheWaitPaysForTheHop(t *testing.T) {
+func TestChooseStaysInDataCentreUntilWaitExceedsRemoteThreshold(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	p := s.Plan(newRegister(6), nil)
@@ -60,7 +60,7 @@
 	c.Assert(n.ExpectedWait > 20*u.ExpectedWait, qt.IsTrue, qt.Commentf("%v %v", n.ExpectedWait, u.ExpectedWait))
 }
 
-func TestReportsAreCorrectedForWhatWasSentAndEndedSince(t *testing.T) {
+func TestReportsExcludeOwnWorkAtReportTime(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(1), nil)
@@ -71,15 +71,15 @@
 
 	send(s, "engine-0", 3, at(0))
 	send(s, "engine-0", 5, at(1000))
-	// The report of time 500 arrives at 2000: 3 of the 4 are the daemon's own.
+	// Of the 4 requests reported for time 500, 3 are the daemon's own.
 	s.LoadReported(LoadReported{Engine: "engine-0", Requests: 4, Tokens: 900, AsOf: at(500)})
 	c.Assert(own(), qt.Equals, 9.0)
 	s.Finished(Finished{Engine: "engine-0", Work: work, At: at(1500)})
 	c.Assert(own(), qt.Equals, 8.0)
-	// An older report that comes late changes nothing.
+	// A report older than the last one is ignored.
 	s.LoadReported(LoadReported{Engine: "engine-0", Requests: 90, Tokens: 9000, AsOf: at(100)})
 	c.Assert(own(), qt.Equals, 8.0)
-	// Work of others fades when the reports stop.
+	// The weight of the other daemons' work falls to zero when the reports stop.
 	later := e.activity().load.view(0, at(500).Add(15*time.Second).UnixNano(), 5*time.Second, 40)
 	c.Assert(later.requests, qt.Equals, 7.0)
 }
@@ -89,7 +89,7 @@
 	s := newState(c)
 	s.Plan(newRegister(4), nil)
 	send(s, "engine-3", 2, epoch)
-	p := s.Plan(newRegister(3), nil) // engine-3 leaves with work in flight
+	p := s.Plan(newRegister(3), nil) // engine-3 is removed with work in flight
 	c.Assert(p.Engines(), qt.Equals, 3)
 	p = s.Plan(newRegister(4), nil)
 	c.Assert(sum(&p.engines[3].activity().load.requests), qt.Equals, int64(2))
@@ -113,14 +113,14 @@
 	c.Assert(d.Engine.GetName(), qt.Not(qt.Equals), "engine-6")
 }
 
-func TestCacheNewsThatIsLateOrMissing(t *testing.T) {
+func TestCacheEventsThatAreLateOrMissing(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(3), nil)
 	e := p.engines[0]
 	holds := func() bool {
 		found := s.cache.lookup(9)
-		_, ok := found.of(e)
+		_, ok := found.lastUpdate(e)
 		return ok
 	}
 	event := func(kind CacheEventKind, at time.Time) {
@@ -133,14 +133,14 @@
 	c.Assert(holds(), qt.IsFalse)
 	event(CacheStored, epoch.Add(2*time.Second))
 	now := epoch.Add(2 * time.Second).UnixNano()
-	before := s.options.belief(e, now, now)
+	before := s.options.hitProbability(e, now, now)
 	event(CacheGap, epoch.Add(3*time.Second))
-	c.Assert(s.options.belief(e, now, now), qt.Equals, before/2)
+	c.Assert(s.options.hitProbability(e, now, now), qt.Equals, before/2)
 	event(CacheCleared, epoch.Add(4*time.Second))
 	c.Assert(holds(), qt.IsFalse)
 }
 
-func TestRefusalSaysWhy(t *testing.T) {
+func TestRefusalHasReasonAndRetryAfter(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	p := s.Plan(newRegister(2), nil)
@@ -214,6 +214,7 @@
 	})
 }
 
+// checkChosen fails the test if the decision violates an exclusion of the request.
 func checkChosen(t *rapid.T, s *State, r *Request, d Decision) {
 	e := d.Engine
 	for _, name := range r.Exclude {
--- a/balance/decision.go
+++ b/balance/decision.go
@@ -10,66 +10,66 @@
 // MaxExclude is the number of engines that a Request can exclude.
 const MaxExclude = 4
 
-// MaxHomes is the number of engines that a Request can name as homes of its
-// prefix.
+// MaxHomes is the number of home engines of its prefix that a Request can name.
 const MaxHomes = 2
 
-// Request is what the choice needs to know of a request.
+// Request describes a request for Choose.
 type Request struct {
 	Version string
-	// DataCentre is the daemon's own.
+	// DataCentre is the data centre of the daemon.
 	DataCentre string
 	Work       Work
-	// PrefixHash names the prompt's prefix within its organisation, zero for none.
+	// PrefixHash identifies the prompt's prefix within its organisation; zero means none.
 	PrefixHash uint64
-	// PrefixWorth is the time that a request may wait longer at an engine that holds
-	// its prefix, besides what reading the prefix takes: reading costs the engine and
-	// its other requests something too.
+	// PrefixWorth is the extra wait that is acceptable at an engine that holds the
+	// prefix, in addition to the prefill time saved. A prefill also costs the engine
+	// and its other requests time.
 	PrefixWorth time.Duration
-	// Homes are engines that all daemons send requests with this prefix to, best
-	// first. They count as holding it. Empty names are none.
+	// Homes are the engines to which all daemons send requests with this prefix, the
+	// preferred one first. They count as holders. Empty names are ignored.
 	Homes [MaxHomes]string
 	// Candidates names the only engines to compare, unless none of them is usable. Empty
-	// names are none; without any, the choice compares random ones.
+	// names are ignored; if all are empty, random engines are compared.
 	Candidates [MaxCandidates]string
-	// Exclude names engines already tried. Empty names exclude nothing.
+	// Exclude names engines already tried. Empty names are ignored.
 	Exclude [MaxExclude]string
-	// Leaving tells whether a backend host gets no new work. Nil means that
-	// MembershipChanged events tell all.
+	// Leaving reports whether a backend host must get no new work. Nil means that
+	// the hosts' states are known from MembershipChanged events alone.
 	Leaving func(host string) bool
-	// Skip tells whether an engine gets nothing now for a reason that the balancer does
-	// not know, as slow start. Nil means that none is skipped.
+	// Skip reports whether an engine must not get the request for a reason outside this
+	// package, such as slow start. Nil means that no engine is skipped.
 	Skip func(engine string) bool
-	// NoProbe keeps the request away from engines on probation. Set it for
-	// requests that may run only once.
+	// NoProbe prevents the use of the request as a probe of an ejected engine. Set
+	// it for requests that must run only once.
 	NoProbe bool
-	// MaxWait refuses the request when the expected wait is longer. Zero means
-	// no bound.
+	// MaxWait is the expected wait above which the request is refused. Zero means
+	// no limit.
 	MaxWait time.Duration
 }
 
-// Reason says why an engine was chosen or none was.
+// Reason says why an engine was chosen, or why none was.
 type Reason uint8
 
-// The reasons. Those from ReasonNotServed on come with a refusal.
+// The values of Reason. ReasonNotServed and those after it are refusals.
 const (
-	// ReasonLeastWait is the best of the engines compared in the data centre.
+	// ReasonLeastWait means the cheapest of the engines compared in the data centre.
 	ReasonLeastWait Reason = iota + 1
-	// ReasonAffinity is the engine that probably holds the prompt's prefix.
+	// ReasonAffinity means an engine that probably holds the prompt's prefix.
 	ReasonAffinity
-	// ReasonRemote is an engine in another data centre with a lower wait.
+	// ReasonRemote means a cheaper engine in another data centre.
 	ReasonRemote
-	// ReasonProbe is an engine on probation that gets a single request.
+	// ReasonProbe means an ejected engine that gets a single request as a probe.
 	ReasonProbe
-	// ReasonScan is the best of all engines, when the random ones were unusable.
+	// ReasonScan means the cheapest of all engines, as no engine of the random
+	// samples was usable.
 	ReasonScan
-	// ReasonSlowOnly is an engine out for slowness, when no other is left.
+	// ReasonSlowOnly means an engine ejected for slowness, as no other was usable.
 	ReasonSlowOnly
 	// ReasonNotServed means that no visible engine serves the version.
 	ReasonNotServed
-	// ReasonNoEngine means that no engine may be used now.
+	// ReasonNoEngine means that no engine may be used at present.
 	ReasonNoEngine
-	// ReasonWait means that the expected wait is above MaxWait.
+	// ReasonWait means that the expected wait exceeds MaxWait.
 	ReasonWait
 )
 
@@ -99,34 +99,36 @@
 // Candidate is an engine that was compared.
 type Candidate struct {
 	Engine string
-	// Cost is the time by which engines are compared: wait, reading the
-	// prompt, generation, penalties, less what a cached prefix saves.
+	// Cost is the quantity by which engines are compared: the sum of wait,
+	// prefill, generation and penalties, less the time that a cached prefix saves.
 	Cost time.Duration
 }
 
-// Decision is the outcome of a choice.
+// Decision is the result of Choose.
 type Decision struct {
-	// Engine is the chosen engine, nil with a refusal.
+	// Engine is the chosen engine, nil in a refusal.
 	Engine *bronzeturnv1.Engine
-	// Index is the position of the engine in the plan, -1 with a refusal.
+	// Index is the position of the engine in the plan, -1 in a refusal.
 	Index  int
 	Reason Reason
-	// ExpectedWait is the time until the engine begins with the request.
+	// ExpectedWait is the time until the engine starts the request.
 	ExpectedWait time.Duration
-	// ExpectedFirstToken adds the time to read the prompt.
+	// ExpectedFirstToken is ExpectedWait plus the prefill time.
 	ExpectedFirstToken time.Duration
 	// Backlog is the time that the engine needs for the work in progress, whether
 	// or not it has free slots, times BatchSlowdown.
 	Backlog time.Duration
-	// ExpectedAnswer adds the time to generate the expected tokens.
+	// ExpectedAnswer is ExpectedFirstToken plus the time to generate the expected
+	// tokens.
 	ExpectedAnswer time.Duration
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the time after which a refused caller should retry.
 	RetryAfter time.Duration
 	candidates [MaxCandidates]Candidate
 	count      int
 }
 
-// Compared returns up to n of the engines compared, the chosen one first.
+// Compared returns the names of up to n of the compared engines, the chosen one
+// first.
 func (d *Decision) Compared(n int) []string {
 	names := []string{d.Engine.GetName()}
 	for _, c := range d.Candidates() {
@@ -137,7 +139,7 @@
 	return names
 }
 
-// Candidates returns the engines compared, in the order of comparison.
+// Candidates returns the compared engines, in the order of comparison.
 func (d *Decision) Candidates() []Candidate {
 	return d.candidates[:d.count]
 }
--- a/balance/event.go
+++ b/balance/event.go
@@ -6,23 +6,24 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Work is the size of one request as it was estimated when it was sent. All
-// events of one request carry the same Work.
+// Work is the estimated size of a request at the time it was sent. All events of
+// one request carry the same Work.
 type Work struct {
 	Priority       bronzeturnv1.Priority
 	PromptTokens   int64
 	ExpectedTokens int64
-	// PrefixTokens is the part of the prompt that other requests share, and that
-	// an engine may hold already. Zero means that any part may be.
+	// PrefixTokens is the length of the prefix that other requests share and that an
+	// engine may hold in its cache. Zero means that the length is unknown and any
+	// part of the prompt may be cached.
 	PrefixTokens int64
 }
 
-// Dispatched reports a request sent to an engine. Exactly one Finished or
-// Failed has to follow.
+// Dispatched reports a request sent to an engine. Exactly one Finished or Failed
+// must follow.
 type Dispatched struct {
 	Engine string
 	Work   Work
-	// PrefixHash names the prompt's prefix within its organisation, zero for none.
+	// PrefixHash identifies the prompt's prefix within its organisation; zero means none.
 	PrefixHash uint64
 	At         time.Time
 }
@@ -31,28 +32,28 @@
 type FirstToken struct {
 	Engine string
 	Work   Work
-	// Latency is the time since the request was sent, Expected what the
-	// Decision said of it. Zero Latency means that it was not measured, as for
-	// an answer that comes whole.
+	// Latency is the time since the request was sent, Expected the estimate of it
+	// in the Decision. Zero Latency means that it was not measured, as for an
+	// answer that is not streamed.
 	Latency  time.Duration
 	Expected time.Duration
 	At       time.Time
 }
 
-// Finished reports a whole answer, or one that the caller or a hedge
-// cancelled.
+// Finished reports a complete answer, or one cancelled by the caller or by a
+// hedged request.
 type Finished struct {
 	Engine string
 	Work   Work
-	// FirstTokenSeen tells whether FirstToken was reported.
+	// FirstTokenSeen reports whether FirstToken was reported.
 	FirstTokenSeen bool
-	// Tokens is the number of tokens generated, Generation the time from the
-	// first to the last of them, zero when it was not measured. For an answer
-	// that comes whole, the time since it was sent less the expected time to the
-	// first token is a fair value.
+	// Tokens is the number of generated tokens, Generation the time from the first
+	// to the last of them, zero if it was not measured. For an answer that is not
+	// streamed, the time since the request was sent less the expected time to the
+	// first token is a good approximation of Generation.
 	Tokens     int64
 	Generation time.Duration
-	// Cancelled answers tell nothing of the engine's health.
+	// Cancelled answers do not affect the engine's health.
 	Cancelled bool
 	At        time.Time
 }
@@ -62,14 +63,14 @@
 
 // The kinds of failure.
 const (
-	// FailureError is an error answer or a broken connection.
+	// FailureError is an error response or a broken connection.
 	FailureError FailureKind = iota + 1
 	// FailureUnreachable is a connection that could not be opened.
 	FailureUnreachable
 	// FailureSilent is an answer that stopped making progress.
 	FailureSilent
-	// FailureBusy is a refusal because the engine is full. It tells nothing of
-	// its health.
+	// FailureBusy is a refusal because the engine is full. It does not affect the
+	// engine's health.
 	FailureBusy
 )
 
@@ -79,24 +80,26 @@
 	Work           Work
 	FirstTokenSeen bool
 	Kind           FailureKind
-	// RetryAfter is the engine's advice with FailureBusy, zero for none.
+	// RetryAfter is the retry delay that the engine asked for with FailureBusy, or
+	// zero.
 	RetryAfter time.Duration
 	At         time.Time
 }
 
-// LoadReported is an engine's own report of its load. Reports lag: AsOf is
-// when the load was as stated, in the daemon's time.
+// LoadReported is an engine's report of its own load. Reports arrive late: AsOf
+// is the time at which the load was measured, by the daemon's clock.
 type LoadReported struct {
 	Engine string
-	// Requests counts those running and waiting, Tokens what is left to
-	// generate and to read for them. Zero Tokens with Requests above zero means
-	// that the engine does not tell; the mean of the daemon's own work is used.
+	// Requests counts the running and queued requests, Tokens the tokens still to
+	// be generated and prefilled for them. Zero Tokens with Requests above zero
+	// means that the engine does not report tokens; the mean of the daemon's own
+	// requests is used instead.
 	Requests int64
 	Tokens   int64
 	AsOf     time.Time
 }
 
-// PeerLoadReported tells of the work that the other daemons have in progress at an
+// PeerLoadReported reports the work that the other daemons have in progress at an
 // engine.
 type PeerLoadReported struct {
 	Engine   string
@@ -105,7 +108,7 @@
 	At       time.Time
 }
 
-// CacheEventKind tells what happened to a cached prefix.
+// CacheEventKind is the kind of a CacheEvent.
 type CacheEventKind uint8
 
 // The kinds of cache event.
@@ -118,8 +121,8 @@
 	CacheGap
 )
 
-// CacheEvent is an engine's news of its prefix cache. The news is late and has
-// gaps.
+// CacheEvent reports a change of an engine's prefix cache. Events arrive late and
+// some are lost.
 type CacheEvent struct {
 	Engine     string
 	Kind       CacheEventKind
@@ -127,19 +130,19 @@
 	At         time.Time
 }
 
-// HostState is what the member view knows of a backend host.
+// HostState is the state of a backend host in the membership view.
 type HostState uint8
 
 // The states of a host.
 const (
 	HostLive HostState = iota + 1
-	// HostLeaving gets no new work. Its streams finish.
+	// HostLeaving is a host that gets no new work while its streams finish.
 	HostLeaving
-	// HostGone is not listed any more.
+	// HostGone is a host that is no longer listed.
 	HostGone
 )
 
-// MembershipChanged reports a backend host's state.
+// MembershipChanged reports a new state of a backend host.
 type MembershipChanged struct {
 	Host  string
 	State HostState
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// share returns how many of n choices fall on the engine.
+// share returns how many of n choices pick the engine.
 func share(s *State, p *Plan, engine string, n int, now time.Time) int {
 	rng := newRand()
 	hits := 0
@@ -23,11 +23,11 @@
 	return hits
 }
 
-func TestAnEngineThatFailsFastAttractsNoWork(t *testing.T) {
+func TestEngineThatFailsFastGetsNoWork(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(6), nil)
-	// The others queue, the failing one is always idle.
+	// The other engines have a queue; the failing one is always idle.
 	for _, i := range []int{1, 2, 3, 4, 5} {
 		send(s, fmt.Sprintf("engine-%d", i), 10, epoch)
 	}
@@ -36,7 +36,7 @@
 	c.Assert(share(s, p, "engine-0", 100, epoch), qt.Equals, 0)
 }
 
-func TestAnEjectedEngineComesBackByTrickle(t *testing.T) {
+func TestEjectedEngineIsReadmittedByProbes(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	p := s.Plan(newRegister(3), nil)
@@ -44,14 +44,14 @@
 	r := newRequest()
 	probes := 0
 	now := epoch.Add(s.options.EjectFor)
-	for range 100 { // 100 choices in one instant: one probe
+	for range 100 { // only one of 100 simultaneous choices is a probe
 		if d, _ := s.Choose(p, r, now, rng); d.Engine.GetName() == "engine-0" {
 			c.Assert(d.Reason, qt.Equals, ReasonProbe)
 			probes++
 		}
 	}
 	c.Assert(probes, qt.Equals, 1)
-	fail(s, "engine-0", 1, now) // the probe fails: twice the time
+	fail(s, "engine-0", 1, now) // the probe fails: the ejection doubles
 	c.Assert(p.engines[0].activity().health.until.Load(), qt.Equals, now.Add(2*s.options.EjectFor).UnixNano())
 	now = now.Add(2 * s.options.EjectFor)
 	succeed(s, "engine-0", s.options.TrickleSuccesses, now)
@@ -61,7 +61,7 @@
 	c.Assert(early*2 < late, qt.IsTrue, qt.Commentf("warm-up: %d then %d", early, late))
 }
 
-func TestLateFailuresDoNotLengthenAnEjection(t *testing.T) {
+func TestLateFailuresDoNotExtendEjection(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(3), nil)
@@ -86,29 +86,29 @@
 				now = now.Add(3 * time.Second)
 				p = s.Plan(newRegister(n), nil)
 			}
-			out := 0
+			ejected := 0
 			for _, e := range p.engines {
 				if phase(e.activity().health.phase.Load()) != admitted {
-					out++
+					ejected++
 				}
 			}
-			if limit := allowed(n, s.options.MaxEjectedShare); out > limit {
-				t.Fatalf("%d of %d engines out, at most %d allowed", out, n, limit)
+			if limit := maxEjected(n, s.options.MaxEjectedShare); ejected > limit {
+				t.Fatalf("%d of %d engines ejected, at most %d allowed", ejected, n, limit)
 			}
 			pool := p.engines[0].poolConfig.Load().pool
-			if pool.out != out {
-				t.Fatalf("pool counts %d out, there are %d", pool.out, out)
+			if pool.ejected != ejected {
+				t.Fatalf("pool counts %d ejected engines, there are %d", pool.ejected, ejected)
 			}
 			for _, e := range s.active.list() {
 				if e.activity().health.pool != pool {
-					t.Fatalf("%s counts in another pool", e.name)
+					t.Fatalf("%s belongs to another pool", e.name)
 				}
 			}
 		}
 	})
 }
 
-func TestANewEngineWarmsUp(t *testing.T) {
+func TestNewEngineWarmsUp(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	s.Plan(newRegister(5), nil)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestASlowEngineIsEjectedSoftlyAndComesBack(t *testing.T) {
+func TestSlowEngineIsEjectedAndReadmitted(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	p := s.Plan(newRegister(6), nil)
@@ -154,7 +154,7 @@
 	c.Assert(changes[0].Phase, qt.Equals, "slow")
 	c.Assert(share(s, p, "engine-0", 100, epoch), qt.Equals, 0)
 
-	// Alone it is still used: slow is better than refused.
+	// If no other engine is usable, the slow one is used rather than refusing.
 	r := newRequest()
 	r.Leaving = func(host string) bool { return host != "host-0" }
 	d, ok := s.Choose(p, r, epoch, rng)
@@ -163,7 +163,7 @@
 
 	now := epoch.Add(s.options.EjectFor)
 	answer(s, "engine-0", s.options.TrickleSuccesses, 100*time.Millisecond, now)
-	c.Assert(s.Review(p, now), qt.HasLen, 0, qt.Commentf("the probes were slow: out again"))
+	c.Assert(s.Review(p, now), qt.HasLen, 0, qt.Commentf("the probes were slow: ejected again"))
 	now = now.Add(2 * s.options.EjectFor)
 	answer(s, "engine-0", s.options.TrickleSuccesses, 25*time.Millisecond, now)
 	changes = s.Review(p, now)
@@ -186,7 +186,7 @@
 	c.Assert(changes[0].Engine, qt.Equals, "engine-4")
 }
 
-func TestSlowShareIsBoundedAndTakesTheSlowest(t *testing.T) {
+func TestSlowShareIsBoundedAndEjectsSlowestFirst(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(12), nil)
@@ -197,15 +197,15 @@
 		}
 		answer(s, fmt.Sprintf("engine-%d", i), s.options.SlowSamples, per, epoch)
 	}
-	var out []string
+	var ejected []string
 	for _, change := range s.Review(p, epoch) {
-		out = append(out, change.Engine)
+		ejected = append(ejected, change.Engine)
 	}
-	c.Assert(out, qt.DeepEquals, []string{"engine-4", "engine-3", "engine-2"})
+	c.Assert(ejected, qt.DeepEquals, []string{"engine-4", "engine-3", "engine-2"})
 	c.Assert(s.Review(p, epoch), qt.HasLen, 0)
 }
 
-func TestSingleStragglersDoNotEject(t *testing.T) {
+func TestSingleSlowAnswersDoNotEject(t *testing.T) {
 	c := qt.New(t)
 	s, rng := newState(c), newRand()
 	p := s.Plan(newRegister(12), nil)
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestASlowEngineStaysWhileThePoolIsFull(t *testing.T) {
+func TestSlowEngineStaysWhilePoolIsFull(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(6), nil)
@@ -241,12 +241,12 @@
 	c.Assert(s.Review(p, epoch), qt.HasLen, 1)
 }
 
-func TestAnEngineThatRefusesEverythingAttractsLessAndLess(t *testing.T) {
+func TestRefusingEngineGetsLongerPauses(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	p := s.Plan(newRegister(3), nil)
 	refuse := func(at time.Time) time.Duration {
-		for range 5 { // requests in flight are refused together
+		for range 5 { // simultaneous refusals count once
 			send(s, "engine-0", 1, at)
 			s.Failed(Failed{Engine: "engine-0", Work: newRequest().Work, Kind: FailureBusy, At: at})
 		}
@@ -272,20 +272,21 @@
 	c.Assert(p.engines[0].activity().health.slownessFactor() > 0.9, qt.IsTrue)
 }
 
-// TestFewAnswersTellLittleOfAnEnginesSpeed is the load of a large fleet: each daemon sees
-// an engine's answers seconds apart, and one that took twice the usual time tells of the
-// work that the engine had just then. The choice goes by it more with each such answer.
-func TestFewAnswersTellLittleOfAnEnginesSpeed(t *testing.T) {
+// TestFewSamplesBarelyMoveSlowness guards against judging an engine by few answers. In a
+// large fleet, each daemon sees an engine's answers seconds apart, and a single slow one
+// reflects the engine's momentary load. The weight of the measurement must grow with the
+// number of answers.
+func TestFewSamplesBarelyMoveSlowness(t *testing.T) {
 	c := qt.New(t)
 	const twice, prior = 2.0, 8
 	before := 1.0
 	for _, answers := range []int{1, 3, 8, 30, 200} {
-		got := believed(twice, answers, prior)
+		got := shrunkSlowness(twice, answers, prior)
 		c.Check(got > before && got < twice, qt.IsTrue, qt.Commentf("%d answers: %v", answers, got))
 		before = got
 	}
-	c.Check(believed(twice, 1, prior) < 1.1, qt.IsTrue)
-	c.Check(believed(twice, 200, prior) > 1.9, qt.IsTrue)
-	c.Check(believed(1/twice, 200, prior) < 0.53, qt.IsTrue)
-	c.Check(believed(twice, 1, 0), qt.Equals, twice)
+	c.Check(shrunkSlowness(twice, 1, prior) < 1.1, qt.IsTrue)
+	c.Check(shrunkSlowness(twice, 200, prior) > 1.9, qt.IsTrue)
+	c.Check(shrunkSlowness(1/twice, 200, prior) < 0.53, qt.IsTrue)
+	c.Check(shrunkSlowness(twice, 1, 0), qt.Equals, twice)
 }
--- a/balance/history.go
+++ b/balance/history.go
@@ -14,26 +14,26 @@
 	initialHistoryEntries = 4
 )
 
-// moment is the daemon's own work in flight at an engine from time at on, in Unix
+// loadSample is the daemon's own work in flight at an engine from time at on, in Unix
 // nanoseconds.
-type moment struct {
+type loadSample struct {
 	at       int64
 	requests int64
 	tokens   int64
 }
 
-// history is a ring buffer of the most recent moments. It grows up to historyEntries while
+// history is a ring buffer of the most recent samples. It grows up to historyEntries while
 // it covers less than historySpan.
 type history struct {
-	ring []moment
-	// next is the index to write next. In a full ring it holds the oldest moment.
+	ring []loadSample
+	// next is the index to write next. In a full ring it holds the oldest sample.
 	next int
-	// overwritten reports whether any moment has been overwritten.
+	// overwritten reports whether any sample has been overwritten.
 	overwritten bool
 }
 
-// record appends a moment. Moments within historyStep share an entry.
-func (h *history) record(m moment) {
+// record appends a sample. Samples within historyStep share an entry.
+func (h *history) record(m loadSample) {
 	if n := len(h.ring); n > 0 {
 		last := &h.ring[(h.next+n-1)%n]
 		if last.at != 0 && m.at-last.at < int64(historyStep) {
@@ -50,7 +50,7 @@
 	h.next = (h.next + 1) % len(h.ring)
 }
 
-// mustGrow reports whether recording a moment at now requires a larger ring to keep moments
+// mustGrow reports whether recording a sample at now requires a larger ring to keep samples
 // within historySpan.
 func (h *history) mustGrow(now int64) bool {
 	n := len(h.ring)
@@ -64,16 +64,16 @@
 // grow doubles the ring, or allocates it.
 func (h *history) grow() {
 	n := len(h.ring)
-	ring := make([]moment, max(2*n, initialHistoryEntries))
+	ring := make([]loadSample, max(2*n, initialHistoryEntries))
 	copy(ring, h.ring[h.next:])
 	copy(ring[n-h.next:], h.ring[:h.next])
 	h.ring, h.next = ring, n
 }
 
-// at returns the work in flight at time t. For a time before the oldest moment in the ring
-// it returns that moment if earlier ones were overwritten, and zero otherwise.
-func (h *history) at(t int64) moment {
-	var oldest moment
+// at returns the work in flight at time t. For a time before the oldest sample in the ring
+// it returns that sample if earlier ones were overwritten, and zero otherwise.
+func (h *history) at(t int64) loadSample {
+	var oldest loadSample
 	n := len(h.ring)
 	for i := 1; i <= n; i++ {
 		m := h.ring[(h.next+n-i)%n]
@@ -86,7 +86,7 @@
 		oldest = m
 	}
 	if !h.overwritten {
-		return moment{}
+		return loadSample{}
 	}
 	return oldest
 }
--- a/balance/load.go
+++ b/balance/load.go
@@ -12,24 +12,24 @@
 // priorities is the number of values of Priority.
 const priorities = int(bronzeturnv1.Priority_PRIORITY_URGENT) + 1
 
-// usualGain is the weight of a report in the moving averages of the others'
-// work.
-const usualGain = 0.1
+// peerLoadGain is the smoothing factor of the moving averages of the other
+// daemons' work.
+const peerLoadGain = 0.1
 
-// load is the work of one engine: what this daemon has in flight there, known
-// exactly, and what others have, known from lagging reports. The writers hold
-// mu; the choice reads the atomics without it.
+// load is the work of one engine: what this daemon has in flight there, which is
+// exact, and what the other daemons have, which is known from delayed reports.
+// Writers hold mu; Choose reads the atomics without it.
 type load struct {
 	requests [priorities]atomic.Int64
 	tokens   [priorities]atomic.Int64
 
-	foreignRequests atomic.Int64
-	foreignTokens   atomic.Int64
-	// usualRequests and usualTokens are moving averages of the others' work over
-	// reports, as float bits.
-	usualRequests atomic.Uint64
-	usualTokens   atomic.Uint64
-	// reportedAt is the AsOf of the newest report in Unix nanoseconds.
+	peerRequests atomic.Int64
+	peerTokens   atomic.Int64
+	// meanPeerRequests and meanPeerTokens are moving averages of the other daemons'
+	// work over their reports, as float bits.
+	meanPeerRequests atomic.Uint64
+	meanPeerTokens   atomic.Uint64
+	// reportedAt is the time of the newest report in Unix nanoseconds.
 	reportedAt atomic.Int64
 
 	_ cacheLine
@@ -40,7 +40,8 @@
 	retired bool
 }
 
-// priorityIndex maps a priority to its class. Unspecified counts as normal.
+// priorityIndex returns the index of a priority. Unspecified and unknown values
+// count as normal.
 func priorityIndex(p bronzeturnv1.Priority) int {
 	if p <= 0 || int(p) >= priorities {
 		return int(bronzeturnv1.Priority_PRIORITY_NORMAL)
@@ -48,9 +49,9 @@
 	return int(p)
 }
 
-// change adds to the work in flight. Sums never fall below zero, so that an
-// event of a request sent before the engine was known does no lasting harm. It
-// returns false, without any change, if the load is retired.
+// change adds to the work in flight. Sums never fall below zero, so that the end
+// of a request sent before the engine was known does not cause a permanent error.
+// It returns false, without any change, if the load is retired.
 func (l *load) change(priority int, requests, tokens int64, at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,7 +63,7 @@
 	if l.requests[priority].Load() == 0 {
 		l.tokens[priority].Store(0)
 	}
-	l.history.record(moment{at: at.UnixNano(), requests: sum(&l.requests), tokens: sum(&l.tokens)})
+	l.history.record(loadSample{at: at.UnixNano(), requests: sum(&l.requests), tokens: sum(&l.tokens)})
 	return true
 }
 
@@ -81,8 +82,8 @@
 	v.Store(max(0, v.Load()+n))
 }
 
-// report takes in a load report. What this daemon had in flight at the time of
-// the report is subtracted, what is left belongs to others.
+// report handles a load report of the engine. What this daemon had in flight at
+// the time of the report is subtracted; the rest is the other daemons' work.
 func (l *load) report(r LoadReported) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,40 +97,41 @@
 	if r.Tokens == 0 && own.requests > 0 {
 		tokens = requests * own.tokens / own.requests
 	}
-	l.setOthers(requests, tokens, asOf)
+	l.setPeerLoad(requests, tokens, asOf)
 }
 
-// reportOthers takes in the others' work as of now.
-func (l *load) reportOthers(r PeerLoadReported) {
+// reportPeerLoad handles a report of the other daemons' work.
+func (l *load) reportPeerLoad(r PeerLoadReported) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := r.At.UnixNano()
 	if at < l.reportedAt.Load() {
 		return
 	}
-	l.setOthers(r.Requests, r.Tokens, at)
+	l.setPeerLoad(r.Requests, r.Tokens, at)
 }
 
-// setOthers stores the others' work as of a time. The caller holds mu.
-func (l *load) setOthers(requests, tokens, at int64) {
+// setPeerLoad stores the other daemons' work at the given time. The caller holds
+// mu.
+func (l *load) setPeerLoad(requests, tokens, at int64) {
 	first := l.reportedAt.Load() == 0
-	l.foreignRequests.Store(requests)
-	l.foreignTokens.Store(tokens)
-	follow(&l.usualRequests, float64(requests), first)
-	follow(&l.usualTokens, float64(tokens), first)
+	l.peerRequests.Store(requests)
+	l.peerTokens.Store(tokens)
+	updateMean(&l.meanPeerRequests, float64(requests), first)
+	updateMean(&l.meanPeerTokens, float64(tokens), first)
 	l.reportedAt.Store(at)
 }
 
-// follow moves the average towards the value. The caller holds mu.
-func follow(average *atomic.Uint64, value float64, first bool) {
+// updateMean updates a moving average with a value. The caller holds mu.
+func updateMean(average *atomic.Uint64, value float64, first bool) {
 	old := math.Float64frombits(average.Load())
 	if first {
 		old = value
 	}
-	average.Store(math.Float64bits(old + usualGain*(value-old)))
+	average.Store(math.Float64bits(old + peerLoadGain*(value-old)))
 }
 
-// idle tells whether this daemon has nothing in flight.
+// idle reports whether this daemon has no requests in flight.
 func (l *load) idle() bool { return sum(&l.requests) == 0 }
 
 func sum(values *[priorities]atomic.Int64) int64 {
@@ -140,7 +142,7 @@
 	return total
 }
 
-// view is a load as the choice sees it.
+// view is the load that a request of a given priority finds at an engine.
 type view struct {
 	// requests and tokens count all work.
 	requests, tokens float64
@@ -149,8 +151,9 @@
 }
 
 // view returns the load for a request of the priority, at an engine that
-// generates rate tokens a second for each request. Work of others counts as of
-// the same priority; it fades when reports stop coming.
+// generates rate tokens per second for each request. The other daemons' work
+// counts as having the same priority; its weight declines when no more reports
+// arrive.
 func (l *load) view(priority int, now int64, fresh time.Duration, rate float64) view {
 	var v view
 	for i := range priorities {
@@ -167,29 +170,31 @@
 	}
 	age := now - reportedAt
 	weight := freshness(age, int64(fresh))
-	requests, tokens := l.others(age, rate)
+	requests, tokens := l.estimatePeerLoad(age, rate)
 	v.requests += weight * requests
 	v.ahead += weight * requests
 	v.tokens += weight * tokens
 	return v
 }
 
-// others estimates the others' work from a report of the given age. What ran
-// then ends in time and is replaced by as much as usual. Without this all
-// daemons would rush to the engine that was least busy at the last report.
-func (l *load) others(age int64, rate float64) (requests, tokens float64) {
-	requests, tokens = float64(l.foreignRequests.Load()), float64(l.foreignTokens.Load())
-	usualRequests := math.Float64frombits(l.usualRequests.Load())
-	usualTokens := math.Float64frombits(l.usualTokens.Load())
-	left := remaining(max(requests, usualRequests), max(tokens, usualTokens), rate)
-	kept := 0.0
+// estimatePeerLoad estimates the other daemons' work from a report of the given
+// age in nanoseconds. The estimate decays exponentially from the reported work to
+// its moving average, as the requests that ran then finish and others arrive.
+// Without the decay, all daemons would send to the engine that was least busy at
+// the last report.
+func (l *load) estimatePeerLoad(age int64, rate float64) (requests, tokens float64) {
+	requests, tokens = float64(l.peerRequests.Load()), float64(l.peerTokens.Load())
+	meanRequests := math.Float64frombits(l.meanPeerRequests.Load())
+	meanTokens := math.Float64frombits(l.meanPeerTokens.Load())
+	left := remaining(max(requests, meanRequests), max(tokens, meanTokens), rate)
+	decay := 0.0
 	if left > 0 {
-		kept = math.Exp(-max(0, float64(age)) / float64(time.Second) / left)
+		decay = math.Exp(-max(0, float64(age)) / float64(time.Second) / left)
 	}
-	return usualRequests + kept*(requests-usualRequests), usualTokens + kept*(tokens-usualTokens)
+	return meanRequests + decay*(requests-meanRequests), meanTokens + decay*(tokens-meanTokens)
 }
 
-// remaining is the mean time in seconds that running requests still need.
+// remaining returns the mean remaining time of running requests in seconds.
 func remaining(requests, tokens, rate float64) float64 {
 	if requests <= 0 || rate <= 0 {
 		return 0
@@ -197,7 +202,8 @@
 	return tokens / requests / rate
 }
 
-// freshness is 1 up to the age fresh and falls to 0 at three times that.
+// freshness returns the weight of a report: 1 up to the age fresh, falling
+// linearly to 0 at three times that age.
 func freshness(age, fresh int64) float64 {
 	switch {
 	case age <= fresh:
--- a/balance/main_test.go
+++ b/balance/main_test.go
@@ -22,7 +22,7 @@
 
 const testVersion = "diag-large@3"
 
-// newRegister returns engines of one pool, spread over three data centres.
+// newRegister returns a register of engines of one pool in three data centres.
 func newRegister(engines int) *bronzeturnv1.Register {
 	reg := &bronzeturnv1.Register{}
 	for i := range engines {
--- a/balance/options.go
+++ b/balance/options.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// Options sets the weights of the choice. Times are bounds on expected wait
-// unless said otherwise.
+// Options are the parameters of the choice.
 type Options struct {
-	// RemoteThreshold is how much lower the expected wait in another data
-	// centre has to be, the cost of the hop included.
+	// RemoteThreshold is the cost advantage that an engine in another data centre
+	// must have. It includes the cost of the network hop. Other data centres are
+	// considered only if the expected wait in the local one exceeds it or no local
+	// engine is usable.
 	RemoteThreshold time.Duration
-	// PrefillTokensPerSecond is the rate at which an engine reads prompts.
+	// PrefillTokensPerSecond is the rate at which an engine processes prompts.
 	PrefillTokensPerSecond float64
-	// PromptWeight is the work of one prompt token in generated tokens.
+	// PromptWeight is the work of one prompt token in units of generated tokens.
 	PromptWeight float64
-	// BatchSlowdown is the share of the work in progress that counts as wait
-	// while an engine still has free slots.
+	// BatchSlowdown is the share of the time for the work in progress that is added
+	// to an engine's cost, also while it has free slots.
 	BatchSlowdown float64
-	// SampleSize is the number of engines of a data centre that are compared. All
-	// are when there are no more. Zero means 2.
+	// SampleSize is the number of engines that are compared per data centre. If
+	// there are no more than that, all are compared. Zero means 2.
 	SampleSize int
-	// BusyIsWait makes the work in progress count as wait when other data centres
-	// are considered, not only a queue.
+	// BusyIsWait adds the backlog to the expected wait in the decision whether to
+	// consider other data centres. Otherwise only a queue counts.
 	BusyIsWait bool
-	// AffinityMin is the least time to read a prompt for which cached prefixes
-	// count.
+	// AffinityMin is the minimum prefill time for which cached prefixes matter.
 	AffinityMin time.Duration
-	// AffinityMax bounds what a cached prefix may save in the comparison.
+	// AffinityMax bounds the prefill time that a cached prefix is assumed to save.
 	AffinityMax time.Duration
-	// AffinityHalfLife halves the belief in a cached prefix since the last
-	// news of it.
+	// AffinityHalfLife is the time after the last update in which the assumed
+	// probability that a prefix is still cached halves.
 	AffinityHalfLife time.Duration
-	// AffinityEntries bounds the prefixes remembered. Rounded up to a power of two.
+	// AffinityEntries is the capacity of the prefix cache index. Rounded up to a
+	// power of two.
 	AffinityEntries int
-	// FailurePenalty is the wait added for an engine that fails every request.
-	// It grows with the square of the share that fails.
+	// FailurePenalty is the cost added for an engine that fails every request. The
+	// cost grows with the square of the share of failed requests.
 	FailurePenalty time.Duration
-	// FailureHalfLife halves the remembered failures of an engine.
+	// FailureHalfLife is the time in which the recorded failure share halves.
 	FailureHalfLife time.Duration
-	// EjectFailures is the number of failures in a row that eject an engine.
+	// EjectFailures is the number of consecutive failures that eject an engine.
 	EjectFailures int
 	// EjectFor is the length of the first ejection. It doubles up to EjectMax.
 	EjectFor time.Duration
 	EjectMax time.Duration
-	// MaxEjectedShare bounds the share of a pool that is out at once.
+	// MaxEjectedShare is the maximum share of a pool that is ejected at any time.
 	MaxEjectedShare float64
-	// MaxSlowShare bounds the share of a pool that is out for slowness.
+	// MaxSlowShare is the maximum share of a pool that is ejected for slowness.
 	MaxSlowShare float64
-	// MaxSlowLoad bounds the share of busy slots in the rest of the pool that an
-	// ejection for slowness may leave.
+	// MaxSlowLoad is the maximum share of busy slots in the rest of the pool after an
+	// ejection for slowness.
 	MaxSlowLoad float64
-	// SpeedPrior is how many answers of the usual speed an engine is taken to have given
-	// before it was measured. A few answers tell more of the work that the engine had just
-	// then than of its speed: in a fleet of many daemons each sees an engine's answers
-	// seconds apart. Zero goes by the first one.
+	// SpeedPrior is the weight, in answers, of the prior assumption that an engine has
+	// its registered speed. In a fleet of many daemons, each daemon sees an engine's
+	// answers seconds apart, and the latency of a few answers depends more on the
+	// engine's momentary load than on its speed. Zero means no prior.
 	SpeedPrior int
-	// SlowFactor ejects an engine slower than this multiple of its pool's median.
+	// SlowFactor is the multiple of its pool's median latency above which an engine
+	// is ejected.
 	SlowFactor float64
-	// SlowSamples is the number of answers needed before slowness is judged.
+	// SlowSamples is the number of answers needed before an engine's latency is
+	// compared with its pool.
 	SlowSamples int
-	// TrickleEvery is the least time between probes of an engine on probation.
+	// TrickleEvery is the minimum time between probes of an ejected engine.
 	TrickleEvery time.Duration
-	// TrickleSuccesses in a row re-admit an engine.
+	// TrickleSuccesses is the number of consecutive successful probes that re-admit an
+	// engine.
 	TrickleSuccesses int
-	// WarmUp is the time over which a new engine's share grows to full.
+	// WarmUp is the time over which a new engine's share of requests grows to full.
 	WarmUp time.Duration
-	// ReportFresh is the age up to which a load report counts in full. It
-	// fades to nothing at three times this age.
+	// ReportFresh is the age up to which a load report has full weight. The weight
+	// falls to zero at three times this age.
 	ReportFresh time.Duration
 }
 
--- a/balance/plan.go
+++ b/balance/plan.go
@@ -4,8 +4,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Plan is the part of one configuration snapshot that the choice needs,
-// compiled into tables. It is immutable and may be used concurrently.
+// Plan holds the engines of one configuration snapshot, compiled into tables for
+// Choose. It is immutable and safe for concurrent use.
 type Plan struct {
 	engines  []*engine
 	specs    []*bronzeturnv1.Engine
@@ -16,7 +16,7 @@
 	pools    map[string]*poolMembers
 }
 
-// capacity is the registered size of an engine.
+// capacity is the registered capacity of an engine.
 type capacity struct {
 	slots float64
 	// rate is the generation rate of one stream in tokens per second.
@@ -26,7 +26,7 @@
 // poolMembers are the engines of one pool, as indexes into Plan.engines.
 type poolMembers struct{ indexes []int32 }
 
-// Values used when the register does not tell.
+// Values for engines without a registered capacity.
 const (
 	defaultSlots = 1
 	defaultRate  = 30
@@ -70,9 +70,10 @@
 	return len(c.all)
 }
 
-// Plan compiles the register for this daemon. The function visible selects the
-// engines that the daemon sees; nil means all. The running state of engines
-// that stay is kept, that of engines that are gone is dropped once idle.
+// Plan compiles the register into a plan for this daemon. The function visible
+// selects the engines that the daemon sees; nil means all. The runtime state of
+// engines that stay is kept; that of engines that are gone is dropped by the first
+// plan that finds them idle.
 func (s *State) Plan(reg *bronzeturnv1.Register, visible func(*bronzeturnv1.Engine) bool) *Plan {
 	p := newPlan(len(reg.GetEngines()))
 	for _, spec := range reg.GetEngines() {
@@ -86,8 +87,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.adopt(p)
-	regroup(p.specs, p.engines)
+	s.attachEngines(p)
+	assignPools(p.specs, p.engines)
 	p.index = make([]int32, s.nextID)
 	for i := range p.index {
 		p.index[i] = -1
@@ -140,7 +141,7 @@
 
 func (c *candidates) add(index int32, dataCentre string) {
 	if n := len(c.all); n > 0 && c.all[n-1] == index {
-		return // The version is named twice.
+		return // The engine lists the version twice.
 	}
 	c.all = append(c.all, index)
 	for i := range c.groups {
@@ -152,7 +153,7 @@
 	c.groups = append(c.groups, group{dataCentre: dataCentre, engines: []int32{index}})
 }
 
-// finish fills the tables that need all engines.
+// finish builds the tables that depend on the complete set of engines.
 func (c *candidates) finish(engines int) {
 	c.member = make([]bool, engines)
 	for _, i := range c.all {
@@ -167,8 +168,8 @@
 	}
 }
 
-// split returns the engines of the data centre and the others. When there are
-// none in the data centre, all are others.
+// split returns the engines of the data centre and those of all others. If the
+// data centre has no engines, local is nil and remote holds all engines.
 func (c *candidates) split(dataCentre string) (local, remote []int32) {
 	for i := range c.groups {
 		if c.groups[i].dataCentre == dataCentre {
--- a/balance/slow.go
+++ b/balance/slow.go
@@ -9,19 +9,19 @@
 )
 
 // speedGain is the smoothing factor of the measured latencies. The averages are
-// geometric, so that a single answer of ten times the usual latency moves them
-// by a quarter only.
+// geometric, so that a single answer with ten times the average latency raises
+// them by only a quarter.
 const speedGain = 0.1
 
-// latencyFloor is added to latencies before they are compared, so that a few
-// milliseconds on an idle engine do not look like slowness.
-const latencyFloor = 100 * time.Millisecond
+// latencyOffset is added to measured and expected latencies before their ratio is
+// taken, so that a few milliseconds on an idle engine do not count as slowness.
+const latencyOffset = 100 * time.Millisecond
 
-// leastTokenTime is the lowest plausible time per token relative to the register.
-// Lower values come from answers that were buffered on the way.
-const leastTokenTime = 0.05
+// minTokenTime is the lowest plausible time per token relative to that of the
+// registered rate. Lower values come from answers that were buffered on the way.
+const minTokenTime = 0.05
 
-// minMedianEngines is the number of measured engines that make a median.
+// minMedianEngines is the minimum number of measured engines for a median.
 const minMedianEngines = 3
 
 // Change is an engine that was ejected or re-admitted.
@@ -29,17 +29,17 @@
 	Engine string
 	// Phase is "admitted", "failing" or "slow".
 	Phase string
-	// Ratio is the engine's latency relative to the median of its pool, zero
-	// when latency is not the cause.
+	// Ratio is the engine's latency relative to the median of its pool, zero if
+	// latency is not the cause.
 	Ratio float64
 	At    time.Time
 }
 
-// maxChanges bounds the changes kept between two reviews.
+// maxChanges is the maximum number of changes kept between two reviews.
 const maxChanges = 1024
 
-// note keeps a change for the next Review.
-func (s *State) note(e *engine, ratio float64, at time.Time) {
+// recordChange keeps a change for the next Review.
+func (s *State) recordChange(e *engine, ratio float64, at time.Time) {
 	s.changesMu.Lock()
 	defer s.changesMu.Unlock()
 	if len(s.changes) >= maxChanges {
@@ -53,9 +53,9 @@
 	})
 }
 
-// Review compares the latencies of each pool, ejects engines that are slow,
-// re-admits those that are no longer, and returns all changes since the last
-// review for the log. Call it about once a second.
+// Review compares the latencies of the engines of each pool, ejects slow engines,
+// re-admits those that are no longer slow, and returns all changes since the last
+// review for logging. Call it about once a second.
 func (s *State) Review(p *Plan, now time.Time) []Change {
 	active := s.activeByPool(p)
 	for _, pool := range slices.Sorted(maps.Keys(active)) {
@@ -95,8 +95,8 @@
 	return active
 }
 
-// reviewPool judges the active engines of one pool, the slowest first, so that the
-// bound on those out holds back the least slow.
+// reviewPool reviews the active engines of one pool, the slowest first, so that
+// the limit on ejected engines spares the least slow ones.
 func (s *State) reviewPool(p *Plan, members, active []int32, now time.Time) {
 	var speeds []speed
 	for _, i := range active {
@@ -116,19 +116,19 @@
 	spare := s.spareSlots(p, members, now)
 	for _, v := range speeds {
 		h := &v.engine.activity().health
-		if !h.judge(v, spare >= v.slots, now.UnixNano(), &s.options) {
+		if !h.reviewSlowness(v, spare >= v.slots, now.UnixNano(), &s.options) {
 			continue
 		}
-		s.note(v.engine, v.ratio, now)
+		s.recordChange(v.engine, v.ratio, now)
 		if phase(h.phase.Load()) == slow {
 			spare -= v.slots
 		}
 	}
 }
 
-// spareSlots returns the slots that the pool can do without. A slow engine is
-// better than a queue, so none is ejected for slowness while the others would
-// be close to full.
+// spareSlots returns the number of slots that the pool can lose while the share of
+// busy slots stays within MaxSlowLoad. A slow engine is better than a queue, so no
+// engine is ejected for slowness if the others would be close to full.
 func (s *State) spareSlots(p *Plan, members []int32, now time.Time) float64 {
 	slots, requests := 0.0, 0.0
 	for _, i := range members {
@@ -142,7 +142,8 @@
 	return slots - requests/s.options.MaxSlowLoad
 }
 
-// median returns the median over the engines with enough answers.
+// median returns the median of value over the engines with at least SlowSamples
+// answers, or false if there are fewer than minMedianEngines of them.
 func (s *State) median(speeds []speed, value func(speed) float64) (float64, bool) {
 	var values []float64
 	for _, v := range speeds {
@@ -171,9 +172,9 @@
 	return speed{engine: e, samples: h.samples, tokenTime: h.tokenTime, firstToken: h.firstToken}
 }
 
-// judge ejects the engine, if the pool can spare it, or re-admits it, and tells
-// whether the phase changed.
-func (h *health) judge(v speed, spare bool, now int64, o *Options) bool {
+// reviewSlowness ejects a slow engine if the pool has spare capacity, or re-admits
+// one that is no longer slow. It reports whether the phase changed.
+func (h *health) reviewSlowness(v speed, spare bool, now int64, o *Options) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	isSlow := v.ratio > o.SlowFactor
@@ -195,13 +196,14 @@
 	}
 }
 
-// measuring tells whether latencies count now. Answers to requests sent before
-// an ejection would blur the verdict on the probes. The caller holds mu.
+// measuring reports whether latencies are recorded now. They are not during an
+// ejection, as answers to requests sent before it would distort the latencies of
+// the probes. The caller holds mu.
 func (h *health) measuring(now time.Time) bool {
 	return phase(h.phase.Load()) == admitted || now.UnixNano() >= h.until.Load()
 }
 
-// resetSpeed forgets the latencies measured. The caller holds mu.
+// resetSpeed discards the measured latencies. The caller holds mu.
 func (h *health) resetSpeed() {
 	h.samples = 0
 	h.firstTokens = 0
@@ -209,7 +211,8 @@
 	h.firstToken = 0
 }
 
-// observeFirstToken records a first token's latency against the expected one.
+// observeFirstToken records the latency of a first token relative to the expected
+// one.
 func (h *health) observeFirstToken(latency, expected time.Duration, now time.Time) {
 	if latency <= 0 {
 		return
@@ -219,13 +222,13 @@
 	if !h.measuring(now) {
 		return
 	}
-	ratio := float64(latency+latencyFloor) / float64(max(expected, 0)+latencyFloor)
+	ratio := float64(latency+latencyOffset) / float64(max(expected, 0)+latencyOffset)
 	h.firstToken = smooth(h.firstToken, ratio, h.firstTokens)
 	h.firstTokens++
 }
 
-// observeGeneration records the time per token of an answer, relative to the
-// register. The prior is Options.SpeedPrior.
+// observeGeneration records the time per token of an answer relative to that of
+// the registered rate. The prior is Options.SpeedPrior.
 func (h *health) observeGeneration(tokens int64, generation time.Duration, now time.Time, prior int) {
 	if tokens < 2 || generation <= 0 {
 		return
@@ -236,22 +239,22 @@
 		return
 	}
 	ratio := generation.Seconds() / float64(tokens-1) * h.nominal
-	if ratio < leastTokenTime {
+	if ratio < minTokenTime {
 		return
 	}
 	h.tokenTime = smooth(h.tokenTime, ratio, h.samples)
 	h.samples++
-	h.slowness.Store(math.Float64bits(believed(h.tokenTime, h.samples, prior)))
+	h.slowness.Store(math.Float64bits(shrunkSlowness(h.tokenTime, h.samples, prior)))
 }
 
-// believed returns what the choice goes by of a time per token that was measured over some
-// answers, beside so many of the usual time.
-func believed(tokenTime float64, samples, prior int) float64 {
+// shrunkSlowness returns the geometric mean of the relative time per token measured over
+// samples answers and a relative time of 1 with the weight of prior answers.
+func shrunkSlowness(tokenTime float64, samples, prior int) float64 {
 	return math.Pow(tokenTime, float64(samples)/float64(samples+prior))
 }
 
 // smooth returns the geometric moving average after one more value. The first
-// samples count alike, so that no single one decides.
+// samples have equal weights, so that no single one dominates.
 func smooth(average, value float64, samples int) float64 {
 	if average == 0 {
 		return value
