--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -25,7 +25,8 @@
 
 const service = "s"
 
-// newPacer returns the pacer of one daemon of a fleet as it sees it.
+// newPacer returns the pacer of one daemon. The function daemons returns the fleet size that
+// the daemon sees.
 func newPacer(seed uint64, perSecond float64, daemons func() int) *Pacer {
 	return New(Options{
 		Limit:   func(string) Limit { return Limit{For: 3 * time.Second, PerSecond: perSecond} },
@@ -33,8 +34,8 @@
 	})
 }
 
-// fleetOf returns the pacers of a fleet that knows itself.
-func fleetOf(size int, perSecond float64, seed uint64) []*Pacer {
+// newFleet returns the pacers of a fleet whose daemons all know its size.
+func newFleet(size int, perSecond float64, seed uint64) []*Pacer {
 	all := make([]*Pacer, size)
 	for i := range all {
 		all[i] = newPacer(seed*10_000+uint64(i), perSecond, func() int { return size })
@@ -42,8 +43,8 @@
 	return all
 }
 
-// mostInASecond returns the most of the times in any second.
-func mostInASecond(times []time.Time) int {
+// maxPerSecond returns the maximum number of times within any second.
+func maxPerSecond(times []time.Time) int {
 	most, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= time.Second {
@@ -54,18 +55,18 @@
 	return most
 }
 
-// tick is the time between two requests that all daemons have at the same moment.
+// tick is the interval at which all daemons simultaneously have a request.
 const tick = 2 * time.Millisecond
 
-// TestHerdOfDaemonsBeforeColdEngines has every daemon of a fleet see some engines idle and
-// cold at the same moment, with requests for each all the time. No engine gets more within
-// any second than it bears, and none is left out.
-func TestHerdOfDaemonsBeforeColdEngines(t *testing.T) {
+// TestRateLimitHoldsWhenAllDaemonsFindEnginesCold guards against overload of cold engines
+// when all daemons see them idle at the same moment and have requests all the time. No
+// engine may get more than the limit within any second, and each must get some requests.
+func TestRateLimitHoldsWhenAllDaemonsFindEnginesCold(t *testing.T) {
 	const perSecond, cold = 29, 3 * time.Second
 	for _, test := range []struct{ daemons, engines int }{{1, 5}, {6, 9}, {75, 60}, {300, 5}, {300, 60}, {300, 300}} {
 		t.Run(fmt.Sprintf("%d daemons, %d engines", test.daemons, test.engines), func(t *testing.T) {
 			c := qt.New(t)
-			fleet := fleetOf(test.daemons, perSecond, 7)
+			fleet := newFleet(test.daemons, perSecond, 7)
 			sent := make(map[string][]time.Time)
 			for e := range test.engines {
 				for _, p := range fleet {
@@ -84,18 +85,18 @@
 			}
 			for e := range test.engines {
 				times := sent[fmt.Sprint(e)]
-				c.Check(mostInASecond(times) <= perSecond, qt.IsTrue, qt.Commentf("engine %d got %d in a second", e, mostInASecond(times)))
+				c.Check(maxPerSecond(times) <= perSecond, qt.IsTrue, qt.Commentf("engine %d got %d in a second", e, maxPerSecond(times)))
 				c.Check(len(times) > 0, qt.IsTrue)
 			}
 		})
 	}
 }
 
-// TestEqualSharesWouldComeTogether is the way that was not taken: a share of the rate for
-// each daemon, used at once by all that see an engine idle and cold at the same moment.
-func TestEqualSharesWouldComeTogether(t *testing.T) {
+// TestEqualSharesExceedLimit shows why the waits are random. With a fixed share of the rate
+// per daemon, all daemons that see an engine cold at the same moment send to it at once.
+func TestEqualSharesExceedLimit(t *testing.T) {
 	const daemons, perSecond = 75, 29
-	gap := time.Duration(daemons / rate(perSecond) * float64(time.Second))
+	gap := time.Duration(daemons / targetRate(perSecond) * float64(time.Second))
 	var sent []time.Time
 	for range daemons {
 		for at := start; at.Before(start.Add(3 * time.Second)); at = at.Add(gap) {
@@ -103,17 +104,17 @@
 		}
 	}
 	slices.SortFunc(sent, time.Time.Compare)
-	qt.Check(t, mostInASecond(sent), qt.Equals, daemons)
+	qt.Check(t, maxPerSecond(sent), qt.Equals, daemons)
 }
 
-// TestSumOverDaemonsHolds divides any traffic in any way among the daemons of a fleet.
-// Some of them are cut off from the others, some learn late that the engine is cold; the
-// sum over all of them stays within the bound in every second.
-func TestSumOverDaemonsHolds(t *testing.T) {
+// TestRateLimitHoldsOverAllDaemons checks that the requests of all daemons together stay
+// within the limit in every second, whatever the distribution of the traffic, if some
+// daemons are partitioned from the others and some learn late that the engine is cold.
+func TestRateLimitHoldsOverAllDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 300).Draw(t, "daemons")
 		perSecond := float64(rapid.IntRange(5, 60).Draw(t, "bound"))
-		cutOff := rapid.IntRange(0, size).Draw(t, "cut off")
+		partitioned := rapid.IntRange(0, size).Draw(t, "partitioned")
 		late := time.Duration(rapid.IntRange(0, 500).Draw(t, "late")) * time.Millisecond
 		busy := rapid.IntRange(1, size).Draw(t, "daemons with traffic")
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -123,21 +124,21 @@
 			fleet[i] = newPacer(seed+uint64(i), perSecond, func() int { return live })
 			fleet[i].SetCold("warm-before", service, time.Second, start)
 		}
-		// The daemons that are cut off see themselves alone from here on.
-		for i := range cutOff {
+		// Partitioned daemons see only themselves from here on.
+		for i := range partitioned {
 			fleet[i].Daemons = func() int { return 1 }
 		}
 		var sent []time.Time
 		for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(tick) {
 			for i, p := range fleet[:busy] {
-				told := start
+				coldAt := start
 				if i%2 == 1 {
-					told = start.Add(late)
+					coldAt = start.Add(late)
 				}
-				if now.Before(told) {
+				if now.Before(coldAt) {
 					continue
 				}
-				if now.Sub(told) < tick {
+				if now.Sub(coldAt) < tick {
 					p.SetCold("e", service, 3*time.Second, now)
 				}
 				if p.Take("e", now) {
@@ -145,13 +146,13 @@
 				}
 			}
 		}
-		if most := mostInASecond(sent); most > int(perSecond) {
+		if most := maxPerSecond(sent); most > int(perSecond) {
 			t.Fatalf("%d requests within a second, %v allowed", most, perSecond)
 		}
 	})
 }
 
-func TestDaemonThatDoesNotKnowTheFleetSendsNothingToAColdEngine(t *testing.T) {
+func TestUnknownFleetSizeSendsNothingToColdEngine(t *testing.T) {
 	c := qt.New(t)
 	live := 0
 	p := newPacer(1, 29, func() int { return live })
@@ -174,9 +175,9 @@
 	c.Check(sent > 20, qt.IsTrue, qt.Commentf("%d sends within a minute", sent))
 }
 
-func TestColdEngineTurnsWarm(t *testing.T) {
+func TestColdEngineBecomesWarm(t *testing.T) {
 	c := qt.New(t)
-	// A huge fleet has next to no share.
+	// In a huge fleet, the share of one daemon is negligible.
 	p := newPacer(1, 29, func() int { return 1 << 30 })
 	c.Check(p.SetCold("e", service, 2*time.Second, start), qt.IsTrue)
 	c.Check(p.SetCold("e", service, time.Second, start.Add(time.Second)), qt.IsFalse)
@@ -193,7 +194,7 @@
 	c.Check(p.Take("e", start), qt.IsTrue)
 }
 
-func TestEngineThatTookNoConnectionCountsAsCold(t *testing.T) {
+func TestUnreachableEngineCountsAsCold(t *testing.T) {
 	c := qt.New(t)
 	p := newPacer(1, 29, func() int { return 1 << 30 })
 	c.Check(p.Unreachable("e", service, start), qt.IsTrue)
@@ -201,7 +202,7 @@
 	c.Check(p.Throttled("e", start.Add(3*time.Second)), qt.IsFalse)
 }
 
-func TestServiceWithoutALimitIsNotPaced(t *testing.T) {
+func TestServiceWithoutLimitIsNotThrottled(t *testing.T) {
 	c := qt.New(t)
 	p := newPacer(1, 0, func() int { return 10 })
 	p.SetCold("e", service, time.Hour, start)
@@ -209,7 +210,7 @@
 	c.Check(p.Throttled("e", start), qt.IsFalse)
 }
 
-func TestLimitThatComesAfterTheEngineHolds(t *testing.T) {
+func TestLimitSetAfterEngineBecameColdApplies(t *testing.T) {
 	c := qt.New(t)
 	p := newPacer(1, 0, func() int { return 1 << 30 })
 	p.SetCold("e", service, time.Hour, start)
@@ -220,8 +221,8 @@
 	c.Check(p.Throttled("e", start), qt.IsTrue)
 }
 
-// BenchmarkPassed is what a choice pays for each engine that it looks at.
-func BenchmarkPassed(b *testing.B) {
+// BenchmarkThrottled measures the check that is made for each engine that is considered.
+func BenchmarkThrottled(b *testing.B) {
 	for _, cold := range []int{0, 60} {
 		b.Run(fmt.Sprintf("%d cold engines", cold), func(b *testing.B) {
 			p := newPacer(1, 29, func() int { return 75 })
