--- a/subset/assign.go
+++ b/subset/assign.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// pair is a daemon and an engine with the weight of their match.
+// pair is a daemon and an engine with the weight of the pair.
 type pair struct {
 	weight uint64
 	daemon int32
 	engine int32
 }
 
-// weight mixes two hashes. Each pair has its own weight, which does not depend
-// on the other daemons and engines; that keeps most of an assignment when one
-// of them comes or goes.
+// weight returns the weight of a pair from the hashes of its names, as in
+// rendezvous hashing. It does not depend on the other daemons and engines, so that
+// most of an assignment is kept when a daemon or engine is added or removed.
 func weight(daemon, engine uint64) uint64 {
 	x := daemon ^ (engine * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
@@ -27,18 +27,20 @@
 	return x ^ x>>31
 }
 
-// assignment fills places of daemons with engines, the heaviest pairs first.
+// assignment assigns size engines to each daemon, greedily in descending order of
+// the weight of the pairs.
 type assignment struct {
-	size       int
-	dataCentre []int // of each engine
-	perCentre  []int // most engines of a data centre that a daemon takes
-	load       []int // daemons that see the engine
-	taken      [][]int32
-	centres    [][]int // engines taken, by daemon and data centre
-	missing    int     // places not yet filled
+	size         int
+	dataCentre   []int     // index of the data centre, by engine
+	maxPerCentre []int     // maximum number of engines of a daemon, by data centre
+	daemonCount  []int     // number of daemons that see an engine, by engine
+	assigned     [][]int32 // assigned engines, by daemon
+	centreCount  [][]int   // number of assigned engines, by daemon and data centre
+	unfilled     int       // number of pairs still to be assigned
 }
 
-// assign returns for each daemon the engines of the group that it sees.
+// assign returns for each daemon the indexes of the engines of the group that it
+// sees.
 func assign(daemons []uint64, g *group) [][]int32 {
 	a := newAssignment(len(daemons), g)
 	engines := make([]uint64, len(g.engines))
@@ -50,16 +52,16 @@
 	a.fill(w, floor, true)
 	a.fill(w, floor+1, true)
 	a.fill(w, math.MaxInt, false)
-	return a.taken
+	return a.assigned
 }
 
 func newAssignment(daemons int, g *group) *assignment {
 	a := &assignment{
-		size:    g.size,
-		load:    make([]int, len(g.engines)),
-		taken:   make([][]int32, daemons),
-		centres: make([][]int, daemons),
-		missing: daemons * g.size,
+		size:        g.size,
+		daemonCount: make([]int, len(g.engines)),
+		assigned:    make([][]int32, daemons),
+		centreCount: make([][]int, daemons),
+		unfilled:    daemons * g.size,
 	}
 	index := make(map[string]int)
 	var members []int
@@ -74,42 +76,42 @@
 		a.dataCentre = append(a.dataCentre, i)
 	}
 	for _, n := range members {
-		a.perCentre = append(a.perCentre, (g.size*n+len(g.engines)-1)/len(g.engines))
+		a.maxPerCentre = append(a.maxPerCentre, (g.size*n+len(g.engines)-1)/len(g.engines))
 	}
-	for i := range a.centres {
-		a.centres[i] = make([]int, len(members))
+	for i := range a.centreCount {
+		a.centreCount[i] = make([]int, len(members))
 	}
 	return a
 }
 
-// heavyFactor is how many times the places needed are sorted at first. The
-// other pairs are only sorted where they can still fill a place, which saves
-// most of the time.
-const heavyFactor = 4
+// presortFactor is the number of pairs that are sorted first, as a multiple of the
+// pairs needed. Of the other pairs, only those that can still be assigned are
+// sorted, which saves most of the time.
+const presortFactor = 4
 
-// weights gives the pairs of a group in order of weight.
+// weights provides the pairs of a group in descending order of weight.
 type weights struct {
 	daemons, engines []uint64
-	// heavy holds the pairs from limit on, the heaviest first.
-	heavy []pair
+	// top holds the pairs with a weight of at least limit, in descending order.
+	top   []pair
 	limit uint64
 }
 
 func newWeights(daemons, engines []uint64, size int) *weights {
 	w := &weights{daemons: daemons, engines: engines}
-	if share := heavyFactor * float64(size) / float64(len(engines)); share < 1 {
+	if share := presortFactor * float64(size) / float64(len(engines)); share < 1 {
 		w.limit = uint64((1 - share) * math.MaxUint64)
 	}
-	places := len(daemons) * size
-	w.heavy = make([]pair, 0, min(places*(heavyFactor+1), len(daemons)*len(engines)))
+	needed := len(daemons) * size
+	w.top = make([]pair, 0, min(needed*(presortFactor+1), len(daemons)*len(engines)))
 	for d := range daemons {
 		for e := range engines {
 			if p := w.pair(d, e); p.weight >= w.limit {
-				w.heavy = append(w.heavy, p)
+				w.top = append(w.top, p)
 			}
 		}
 	}
-	slices.SortFunc(w.heavy, comparePairs)
+	slices.SortFunc(w.top, comparePairs)
 	return w
 }
 
@@ -117,15 +119,15 @@
 	return pair{weight: weight(w.daemons[d], w.engines[e]), daemon: int32(d), engine: int32(e)}
 }
 
-// light returns the other pairs that fit, the heaviest first.
-func (w *weights) light(a *assignment, limit int, spread bool) []pair {
+// remaining returns the pairs below w.limit that fit, in descending order of weight.
+func (w *weights) remaining(a *assignment, limit int, spread bool) []pair {
 	var pairs []pair
 	for d := range w.daemons {
-		if len(a.taken[d]) >= a.size {
+		if len(a.assigned[d]) >= a.size {
 			continue
 		}
 		for e := range w.engines {
-			if a.load[e] >= limit {
+			if a.daemonCount[e] >= limit {
 				continue
 			}
 			if p := w.pair(d, e); p.weight < w.limit && a.fits(p, limit, spread) {
@@ -144,39 +146,40 @@
 	return cmp.Or(cmp.Compare(a.daemon, b.daemon), cmp.Compare(a.engine, b.engine))
 }
 
-// fill takes the pairs that fit, the heaviest first.
+// fill assigns all pairs that fit, in descending order of weight.
 func (a *assignment) fill(w *weights, limit int, spread bool) {
-	a.take(w.heavy, limit, spread)
-	if a.missing > 0 && w.limit > 0 {
-		a.take(w.light(a, limit, spread), limit, spread)
+	a.assignPairs(w.top, limit, spread)
+	if a.unfilled > 0 && w.limit > 0 {
+		a.assignPairs(w.remaining(a, limit, spread), limit, spread)
 	}
 }
 
-func (a *assignment) take(pairs []pair, limit int, spread bool) {
+func (a *assignment) assignPairs(pairs []pair, limit int, spread bool) {
 	for _, p := range pairs {
-		if a.missing == 0 {
+		if a.unfilled == 0 {
 			return
 		}
 		if !a.fits(p, limit, spread) {
 			continue
 		}
-		a.taken[p.daemon] = append(a.taken[p.daemon], p.engine)
-		a.centres[p.daemon][a.dataCentre[p.engine]]++
-		a.load[p.engine]++
-		a.missing--
+		a.assigned[p.daemon] = append(a.assigned[p.daemon], p.engine)
+		a.centreCount[p.daemon][a.dataCentre[p.engine]]++
+		a.daemonCount[p.engine]++
+		a.unfilled--
 	}
 }
 
-// fits tells whether the daemon has a place left, the engine is seen by fewer
-// than limit daemons and, if spread is set, the daemon has not enough engines
-// of the data centre. A pair that does not fit never will with these bounds.
+// fits reports whether the pair is not assigned yet, the daemon has fewer than size
+// engines, the engine is assigned to fewer than limit daemons and, if spread is
+// set, the daemon may take another engine of the data centre. A pair that does not
+// fit will not fit later with the same limit and spread.
 func (a *assignment) fits(p pair, limit int, spread bool) bool {
-	if len(a.taken[p.daemon]) >= a.size || a.load[p.engine] >= limit {
+	if len(a.assigned[p.daemon]) >= a.size || a.daemonCount[p.engine] >= limit {
 		return false
 	}
 	centre := a.dataCentre[p.engine]
-	if spread && a.centres[p.daemon][centre] >= a.perCentre[centre] {
+	if spread && a.centreCount[p.daemon][centre] >= a.maxPerCentre[centre] {
 		return false
 	}
-	return !slices.Contains(a.taken[p.daemon], p.engine)
+	return !slices.Contains(a.assigned[p.daemon], p.engine)
 }
--- a/subset/selector.go
+++ b/subset/selector.go
@@ -10,16 +10,16 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Selector remembers the last selection, so that a change of the configuration
-// that leaves daemons and engines alone costs little. The zero value is ready
-// for use, also concurrently.
+// Selector caches the last selection, so that a configuration change that does not
+// affect the daemons and engines is cheap. The zero value is ready for use. A
+// Selector is safe for concurrent use.
 type Selector struct {
 	mu   sync.Mutex
 	key  uint64
 	last Selection
 }
 
-// Choose returns what the function Choose does.
+// Choose is like the function Choose, with the result cached.
 func (s *Selector) Choose(self string, daemons []string, engines []*bronzeturnv1.Engine, size int) Selection {
 	key := inputKey(self, daemons, engines, size)
 	s.mu.Lock()
@@ -31,8 +31,8 @@
 	return s.last
 }
 
-// inputKey digests everything that a selection depends on. Zero stands for no
-// selection yet.
+// inputKey returns a hash of all inputs of a selection. It is never zero, which
+// stands for no selection.
 func inputKey(self string, daemons []string, engines []*bronzeturnv1.Engine, size int) uint64 {
 	d := xxhash.New()
 	add := func(text string) {
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,8 +1,8 @@
-// Package subset selects the engines that one daemon sees. At the target size
-// a daemon keeps state and connections for about 65 of 5,300 engines. Every
-// daemon computes the whole assignment from the same lists and reads its own
-// part of it, so nothing has to be agreed. Daemons whose lists differ for a
-// while see slightly different engines, which does no harm.
+// Package subset selects the engines that one daemon sees (subsetting). At the
+// target size, a daemon keeps state and connections for about 65 of 5,300 engines.
+// Each daemon computes the whole assignment from the same lists and uses its own
+// part, so no coordination is needed. Daemons whose lists differ temporarily see
+// slightly different engines, which is harmless.
 package subset
 
 import (
@@ -15,12 +15,12 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Least numbers kept whatever the size asked for.
+// Lower bounds that hold for any requested size.
 const (
-	// minPerGroup is the number of engines of one group that a daemon sees, so
-	// that two can be compared.
+	// minPerGroup is the minimum number of engines of a group that a daemon sees,
+	// so that two can be compared.
 	minPerGroup = 2
-	// minDaemons is the number of daemons that see an engine.
+	// minDaemons is the minimum number of daemons that see an engine.
 	minDaemons = 2
 )
 
@@ -30,7 +30,7 @@
 	names map[string]struct{}
 }
 
-// Contains tells whether the daemon sees the engine.
+// Contains reports whether the daemon sees the engine.
 func (s Selection) Contains(e *bronzeturnv1.Engine) bool {
 	if s.all {
 		return true
@@ -39,17 +39,17 @@
 	return ok
 }
 
-// All tells whether the daemon sees every engine.
+// All reports whether the daemon sees every engine.
 func (s Selection) All() bool { return s.all }
 
-// Len returns the number of engines selected, zero when all are.
+// Len returns the number of selected engines, or zero if All is true.
 func (s Selection) Len() int { return len(s.names) }
 
-// Choose selects the engines for the daemon self among the live daemons. About
-// size engines are selected: each daemon gets the same number, each engine
-// goes to the same number of daemons, and engines that serve the same versions
-// are spread over the data centres in proportion. When there are no more than
-// size engines, all are selected.
+// Choose selects about size engines for the daemon self, one of the live daemons.
+// Each daemon gets the same number of engines, each engine is assigned to about the
+// same number of daemons, and engines that serve the same versions are selected
+// from the data centres in proportion. If there are no more than size engines, all
+// are selected.
 func Choose(self string, daemons []string, engines []*bronzeturnv1.Engine, size int) Selection {
 	if len(engines) <= size {
 		return Selection{all: true}
@@ -67,7 +67,7 @@
 	return selection
 }
 
-// withSelf returns the daemons in order, each once, self included.
+// withSelf returns the daemons and self, sorted and without duplicates.
 func withSelf(self string, daemons []string) []string {
 	names := append(slices.Clone(daemons), self)
 	slices.Sort(names)
@@ -82,7 +82,7 @@
 	return hashes
 }
 
-// group holds the engines that serve the same versions, in order of name.
+// group holds the engines that serve the same versions, sorted by name.
 type group struct {
 	key     string
 	engines []*bronzeturnv1.Engine
@@ -90,7 +90,7 @@
 	size int
 }
 
-// groups splits the engines by the versions that they serve.
+// groups groups the engines by the versions that they serve.
 func groups(engines []*bronzeturnv1.Engine) []*group {
 	byKey := make(map[string]*group)
 	var list []*group
@@ -112,15 +112,16 @@
 	return list
 }
 
-// groupKey names the set of versions that the engine serves.
+// groupKey returns a key for the set of versions that the engine serves.
 func groupKey(e *bronzeturnv1.Engine) string {
 	versions := slices.Clone(e.GetVersions())
 	slices.Sort(versions)
 	return strings.Join(versions, "\x00")
 }
 
-// groupSize returns how many engines of a group a daemon sees: the group's
-// share of size, but enough to compare two and to reach every engine.
+// groupSize returns the number of engines of a group that a daemon sees: the
+// group's share of size, but at least minPerGroup and enough that minDaemons
+// daemons see each engine.
 func groupSize(members, engines, daemons, size int) int {
 	share := int(math.Round(float64(size) * float64(members) / float64(engines)))
 	reach := (min(minDaemons, daemons)*members + daemons - 1) / daemons
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -10,7 +10,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// The target size.
+// Fleet at the target size.
 const (
 	targetDaemons = 410
 	targetEngines = 5300
@@ -25,8 +25,8 @@
 	return names
 }
 
-// newEngines spreads the engines over four data centres and the given number
-// of groups of versions.
+// newEngines returns n engines in four data centres that serve the given number of
+// groups of versions.
 func newEngines(n, groups int) []*bronzeturnv1.Engine {
 	engines := make([]*bronzeturnv1.Engine, n)
 	for i := range engines {
@@ -39,7 +39,7 @@
 	return engines
 }
 
-// assignAll returns the engines seen by each daemon, by name.
+// assignAll returns the names of the engines seen by each daemon, by daemon name.
 func assignAll(daemons []string, engines []*bronzeturnv1.Engine, size int) map[string]map[string]bool {
 	daemons = slices.Sorted(slices.Values(daemons))
 	seen := make(map[string]map[string]bool)
@@ -58,7 +58,7 @@
 	return seen
 }
 
-// spread is the least and the most of a count.
+// spread is the minimum and maximum of a count.
 type spread struct{ least, most int }
 
 func (s *spread) add(n int) {
@@ -68,7 +68,7 @@
 
 func newSpread() spread { return spread{least: 1 << 30} }
 
-// evenness returns the engines per daemon and the daemons per engine.
+// evenness returns the spreads of the engines per daemon and the daemons per engine.
 func evenness(seen map[string]map[string]bool, engines []*bronzeturnv1.Engine) (perDaemon, perEngine spread) {
 	perDaemon, perEngine = newSpread(), newSpread()
 	count := make(map[string]int)
@@ -84,8 +84,8 @@
 	return perDaemon, perEngine
 }
 
-// churn returns the mean and the largest number of engines newly seen by a
-// daemon that is in both assignments.
+// churn returns the mean and the maximum number of engines newly seen by a daemon,
+// over the daemons in both assignments.
 func churn(before, after map[string]map[string]bool) (mean float64, most int) {
 	total, daemons := 0, 0
 	for daemon, names := range after {
