--- a/load/latency.go
+++ b/load/latency.go
@@ -14,23 +14,23 @@
 	microsPerMilli    = 1000
 )
 
-// Latencies collects durations. It is not safe for concurrent use.
+// Latencies is a histogram of latencies. It is not safe for concurrent use.
 type Latencies struct {
 	histogram *hdrhistogram.Histogram
 }
 
-// NewLatencies returns an empty collection.
+// NewLatencies returns an empty histogram.
 func NewLatencies() *Latencies {
 	return &Latencies{histogram: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)}
 }
 
-// Record adds a duration, cut to the range from 1 µs to 10 min.
+// Record adds a latency, clamped to the range from 1 µs to 10 min.
 func (l *Latencies) Record(d time.Duration) {
 	micros := min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
 	_ = l.histogram.RecordValue(micros)
 }
 
-// Count returns the number of durations.
+// Count returns the number of recorded latencies.
 func (l *Latencies) Count() int64 { return l.histogram.TotalCount() }
 
 // Quantiles are latencies in milliseconds.
@@ -41,7 +41,8 @@
 	Max float64 `json:"max_ms"`
 }
 
-// Quantiles returns the quantiles so far, zero without any duration.
+// Quantiles returns the quantiles of the recorded latencies, or zeros if there are
+// none.
 func (l *Latencies) Quantiles() Quantiles {
 	at := func(percent float64) float64 {
 		return float64(l.histogram.ValueAtQuantile(percent)) / microsPerMilli
--- a/load/load.go
+++ b/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends requests to the daemons of one system at a steady rate for
-// a bounded time, checks that every answer is whole, and reports latencies by
-// task kind and refusals by code.
+// Package load generates load: it sends requests to the daemons of one system at a
+// constant rate for a limited time, checks that every answer is complete, and
+// reports latencies by task kind and refusals by code.
 package load
 
 import (
@@ -14,47 +14,50 @@
 	"github.com/bronzeturn/bronzeturn/caller"
 )
 
-// Bounds of a load. They keep the tool from being used against others.
+// Limits of the generated load. They prevent the use of the tool for denial of
+// service attacks.
 const (
 	MaxDuration = 60 * time.Second
-	// MaxRate is in requests a second.
+	// MaxRate is in requests per second.
 	MaxRate     = 5000
 	MaxInFlight = 2048
 )
 
-// answerGrace is the time given to an answer beyond its deadline.
+// answerGrace is the time after its deadline for which an answer is awaited.
 const answerGrace = 5 * time.Second
 
-// Options describe a load.
+// Options configures a load.
 type Options struct {
-	// Rate is in requests a second, above 0 and at most MaxRate.
+	// Rate is in requests per second, above 0 and at most MaxRate.
 	Rate float64
-	// Duration is the time to send for, above 0 and at most MaxDuration.
+	// Duration is the time during which requests are sent, above 0 and at most
+	// MaxDuration.
 	Duration time.Duration
-	// Mix holds the weights of task kinds. One at least must be above 0.
+	// Mix holds the weights of the task kinds. At least one must be above 0.
 	Mix map[string]int
-	// Stream asks for streams.
+	// Stream requests streamed answers.
 	Stream bool
-	// Model is the model or version to ask for. Empty: the rules decide.
+	// Model is the requested model or version. If it is empty, the router's rules
+	// decide.
 	Model string
-	// Prompt begins the prompt of every request, which ends with its number.
+	// Prompt is the start of every prompt, followed by the number of the request.
 	Prompt    string
 	MaxTokens int
-	// Deadline is the time for each whole answer, above 0.
+	// Deadline is the time for each complete answer, above 0.
 	Deadline time.Duration
-	// InFlight bounds the requests in progress, from 1 to MaxInFlight. Beyond
-	// it, due requests are counted as not sent.
+	// InFlight is the maximum number of requests in progress, from 1 to MaxInFlight.
+	// Requests that are due while it is reached are counted as not sent.
 	InFlight int
-	// Seed is that of the order of kinds.
+	// Seed is the seed of the random sequence of task kinds.
 	Seed uint64
-	// Check tells whether the text is the answer to the request with the body.
-	// Nil: any whole answer will do.
+	// Check returns an error if the text is not the answer to the request with the
+	// body. Nil accepts any complete answer.
 	Check func(body []byte, text string) error
 }
 
 // OptionError reports an option outside its bounds.
 type OptionError struct {
-	// Option is the name of the option as a flag has it, such as "rate".
+	// Option is the flag name of the option, such as "rate".
 	Option string
 	Reason string
 }
@@ -91,9 +94,9 @@
 	return nil
 }
 
-// Run sends requests when they are due, whether earlier ones are answered or
-// not, and returns when all are answered or ctx ends. An error says that nothing
-// was sent.
+// Run sends requests when they are due, whether or not earlier ones are answered
+// (open loop), and returns when all are answered or ctx is done. If it returns an
+// error, no request was sent.
 func Run(ctx context.Context, c *caller.Client, o Options) (Report, error) {
 	if err := o.Validate(); err != nil {
 		return Report{}, err
@@ -128,7 +131,7 @@
 			prompt := fmt.Sprintf("%s Request %d.", r.options.Prompt, number)
 			inFlight.Go(func() {
 				defer func() { <-slots }()
-				r.one(ctx, kind, prompt)
+				r.sendOne(ctx, kind, prompt)
 			})
 		default:
 			r.results.notSent()
@@ -138,8 +141,8 @@
 	return r.results.report(time.Since(start))
 }
 
-// one sends one request and records what came of it.
-func (r *run) one(ctx context.Context, kind, prompt string) {
+// sendOne sends one request and records its result.
+func (r *run) sendOne(ctx context.Context, kind, prompt string) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Deadline+answerGrace)
 	defer cancel()
 	got, err := r.exchange(ctx, kind, prompt)
@@ -150,7 +153,8 @@
 	r.results.answered(kind, got)
 }
 
-// exchange sends one request and returns its answer, checked to be whole.
+// exchange sends one request and returns its answer. It returns an error if the
+// answer is not complete or fails Options.Check.
 func (r *run) exchange(ctx context.Context, kind, prompt string) (*caller.Answer, error) {
 	completion := caller.Prompt(prompt)
 	completion.Model = r.options.Model
@@ -164,7 +168,7 @@
 	return got, r.check(completion, got)
 }
 
-// check applies the check of the options to an answer.
+// check applies Options.Check to an answer.
 func (r *run) check(completion caller.Completion, got *caller.Answer) error {
 	if r.options.Check == nil {
 		return nil
@@ -179,7 +183,7 @@
 	return nil
 }
 
-// sleepUntil waits for the time and returns false when ctx ends first.
+// sleepUntil sleeps until the time t. It returns false if ctx is done first.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	wait := time.Until(t)
 	if wait <= 0 {
--- a/load/mix.go
+++ b/load/mix.go
@@ -5,10 +5,11 @@
 	"sort"
 )
 
-// kindPicker draws kinds by their weights.
+// kindPicker draws random task kinds with probabilities proportional to their
+// weights.
 type kindPicker struct {
 	kinds []string
-	// ends are the running sums of the weights.
+	// ends holds the cumulative sums of the weights.
 	ends []int
 }
 
--- a/load/report.go
+++ b/load/report.go
@@ -11,24 +11,24 @@
 	"github.com/bronzeturn/bronzeturn/caller"
 )
 
-// CodeUnavailable counts requests without any answer.
+// CodeUnavailable is the code under which requests without any answer are counted.
 const CodeUnavailable = "no answer"
 
-// kindResults are the answers of one kind.
+// kindResults holds the results of one task kind.
 type kindResults struct {
 	total      *Latencies
 	firstToken *Latencies
 	tokens     int64
 }
 
-// results collects what came of each request. It is safe for concurrent use.
+// results collects the results of all requests. It is safe for concurrent use.
 type results struct {
-	mu      sync.Mutex
-	kinds   map[string]*kindResults
-	codes   map[string]int64
-	unsent  int64
-	broken  int64
-	success int64
+	mu           sync.Mutex
+	kinds        map[string]*kindResults
+	codes        map[string]int64
+	notSentCount int64
+	broken       int64
+	success      int64
 }
 
 func newResults() *results {
@@ -38,10 +38,10 @@
 func (r *results) notSent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.unsent++
+	r.notSentCount++
 }
 
-// failed counts a request that got no whole answer.
+// failed counts a request without a complete answer.
 func (r *results) failed(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// answered records a whole answer.
+// answered records a complete answer.
 func (r *results) answered(kind string, a *caller.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// KindReport is the result of one kind.
+// KindReport is the result of one task kind.
 type KindReport struct {
 	Kind       string     `json:"kind"`
 	Answered   int64      `json:"answered"`
@@ -106,7 +106,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := Report{
-		Seconds: took.Seconds(), Answered: r.success, Broken: r.broken, NotSent: r.unsent,
+		Seconds: took.Seconds(), Answered: r.success, Broken: r.broken, NotSent: r.notSentCount,
 		Sent: r.success + r.broken, Kinds: []KindReport{}, Refusals: []CodeReport{},
 	}
 	for code, count := range r.codes {
@@ -130,19 +130,20 @@
 	return out
 }
 
-// ErrNoAnswer reports a load without a single answer.
+// ErrNoAnswer reports a load without any complete answer.
 var ErrNoAnswer = errors.New("no request was answered")
 
-// BrokenError reports a load in which answers were not whole.
+// BrokenError reports a load in which some answers were broken: incomplete,
+// malformed or not the answer to the request.
 type BrokenError struct{ Broken int64 }
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("%d answers were not whole", e.Broken)
+	return fmt.Sprintf("%d answers were incomplete or failed the check", e.Broken)
 }
 
-// Verdict returns a *BrokenError or ErrNoAnswer when the load shows a fault.
-// Refusals are none.
+// Verdict returns a *BrokenError if any answer was broken, ErrNoAnswer if there was
+// none, and nil otherwise. Refusals are not errors.
 func (r Report) Verdict() error {
 	if r.Broken > 0 {
 		return &BrokenError{Broken: r.Broken}
