--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,21 +12,21 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestNextEscalatesOnlyWhereItIsSafe(t *testing.T) {
+func TestNextEscalatesOnlyIfAllowed(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*cascade.Plan, *cascade.State)
 		reason cascade.Reason
 	}{
 		{"a flagged answer is escalated", func(*cascade.Plan, *cascade.State) {}, cascade.Escalated},
-		{"a good answer stands", func(_ *cascade.Plan, s *cascade.State) { s.Verdict = cascade.Passed }, cascade.Accepted},
+		{"a good answer is accepted", func(_ *cascade.Plan, s *cascade.State) { s.Verdict = cascade.Passed }, cascade.Accepted},
 		{"no version to escalate to", func(p *cascade.Plan, _ *cascade.State) { p.Next = "" }, cascade.NotEscalatable},
-		{"the caller has part of the answer", func(_ *cascade.Plan, s *cascade.State) { s.Delivered = true }, cascade.AlreadyDelivered},
-		{"the deadline is too near", func(_ *cascade.Plan, s *cascade.State) { s.Deadline = now.Add(time.Second) }, cascade.TooLate},
-		{"the deadline leaves time", func(_ *cascade.Plan, s *cascade.State) { s.Deadline = now.Add(2 * time.Second) }, cascade.Escalated},
-		{"the spend limit is reached", func(_ *cascade.Plan, s *cascade.State) { s.SpendLimited = true; s.SpendLeftMicros = 99 }, cascade.OverSpend},
-		{"the spend limit leaves enough", func(_ *cascade.Plan, s *cascade.State) { s.SpendLimited = true; s.SpendLeftMicros = 100 }, cascade.Escalated},
-		{"the stronger version was withdrawn meanwhile", func(_ *cascade.Plan, s *cascade.State) { s.NextRefused = true }, cascade.Refused},
+		{"part of the answer was delivered", func(_ *cascade.Plan, s *cascade.State) { s.Delivered = true }, cascade.AlreadyDelivered},
+		{"the second attempt would miss the deadline", func(_ *cascade.Plan, s *cascade.State) { s.Deadline = now.Add(time.Second) }, cascade.TooLate},
+		{"the second attempt would meet the deadline", func(_ *cascade.Plan, s *cascade.State) { s.Deadline = now.Add(2 * time.Second) }, cascade.Escalated},
+		{"the second attempt would exceed the spend limit", func(_ *cascade.Plan, s *cascade.State) { s.SpendLimited = true; s.SpendLeftMicros = 99 }, cascade.OverSpend},
+		{"the second attempt is within the spend limit", func(_ *cascade.Plan, s *cascade.State) { s.SpendLimited = true; s.SpendLeftMicros = 100 }, cascade.Escalated},
+		{"the stronger version has been withdrawn", func(_ *cascade.Plan, s *cascade.State) { s.NextRefused = true }, cascade.Refused},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,10 +48,10 @@
 	}{
 		{"a plain answer", cascade.Answer{Text: "The battery is at 80%.", FinishReason: "stop"}, cascade.Passed},
 		{"white space", cascade.Answer{Text: " \n", FinishReason: "stop"}, cascade.Empty},
-		{"cut at the limit", cascade.Answer{Text: "The bat", FinishReason: "length"}, cascade.Truncated},
-		{"filtered", cascade.Answer{Text: "The", FinishReason: "content_filter"}, cascade.Truncated},
+		{"truncated at the length limit", cascade.Answer{Text: "The bat", FinishReason: "length"}, cascade.Truncated},
+		{"stopped by the content filter", cascade.Answer{Text: "The", FinishReason: "content_filter"}, cascade.Truncated},
 		{"a refusal", cascade.Answer{Text: "Desculpe, NÃO POSSO AJUDAR com isso."}, cascade.Declined},
-		{"a refusal quoted late", cascade.Answer{Text: string(make([]byte, 300)) + "no puedo ayudar"}, cascade.Passed},
+		{"a refusal phrase after the searched start", cascade.Answer{Text: string(make([]byte, 300)) + "no puedo ayudar"}, cascade.Passed},
 		{"low confidence", cascade.Answer{Text: "ok", HasConfidence: true, Confidence: 0.2}, cascade.Unsure},
 		{"no confidence reported", cascade.Answer{Text: "ok"}, cascade.Passed},
 	}
@@ -62,16 +62,16 @@
 	}
 }
 
-func TestExpectWeighsBothSteps(t *testing.T) {
+func TestExpectCombinesBothAttempts(t *testing.T) {
 	out := cascade.Expect(10, 0.9, 0.25, 100, 0.98)
 	qt.Assert(t, out.Cost, qt.Equals, 35.0)
 	qt.Assert(t, math.Abs(out.Quality-(0.75*0.9+0.25*0.98)) < 1e-12, qt.IsTrue)
 }
 
-func TestPriorOfAcceptedAnswersAgreesWithTheCheck(t *testing.T) {
+func TestPriorAcceptedIsConsistentWithPriorFlagged(t *testing.T) {
 	for _, q := range []float64{0, 0.3, 0.7, 1} {
 		flagged, accepted := cascade.PriorFlagged(q), cascade.PriorAccepted(q)
-		// Good answers are either accepted or flagged in error.
+		// Every good answer is either accepted or a false alarm.
 		good := (1-flagged)*accepted + q*cascade.PriorFalseAlarm
 		qt.Check(t, math.Abs(good-q) < 1e-12, qt.IsTrue, qt.Commentf("quality %v: %v", q, good))
 	}
--- a/cascade/check.go
+++ b/cascade/check.go
@@ -2,14 +2,15 @@
 
 import "strings"
 
-// Answer is what a router can see of a whole answer without understanding it.
+// Answer holds the properties of a complete answer that a Checker can use.
 type Answer struct {
 	Kind string
 	// Text is the generated text.
 	Text string
-	// FinishReason is what the engine reported, for example "stop" or "length".
+	// FinishReason is the finish reason that the engine reported, for example "stop"
+	// or "length".
 	FinishReason string
-	// HasConfidence tells whether the engine reported Confidence.
+	// HasConfidence reports whether the engine reported Confidence.
 	HasConfidence bool
 	// Confidence is the mean probability of the generated tokens, 0 to 1.
 	Confidence float64
@@ -24,19 +25,20 @@
 	Passed Verdict = iota
 	// Empty means that the answer holds no text.
 	Empty
-	// Truncated means that the engine stopped at a limit.
+	// Truncated means that the engine stopped at the length limit or because of its
+	// content filter.
 	Truncated
-	// Declined means that the answer begins like a refusal.
+	// Declined means that the start of the answer contains a refusal phrase.
 	Declined
 	// Unsure means that the engine's confidence is low.
 	Unsure
-	// RatedLow means that a rating below the target came in time.
+	// RatedLow means that a rating below the target arrived in time.
 	RatedLow
 )
 
 var verdictNames = [...]string{"passed", "empty", "truncated", "declined", "unsure", "rated_low"}
 
-// OK tells whether the answer may go to the caller.
+// OK reports whether the answer passed the check.
 func (v Verdict) OK() bool { return v == Passed }
 
 // String returns the name used in logs.
@@ -47,23 +49,26 @@
 	return "unknown"
 }
 
-// Checker looks for faults in a whole answer. It must be pure and fast.
+// Checker looks for faults in a complete answer. Check must be fast, without side
+// effects and dependent only on the answer.
 type Checker interface {
 	Check(a *Answer) Verdict
 }
 
-// DefaultMinConfidence is the confidence below which BasicChecker is unsure.
+// DefaultMinConfidence is the confidence below which BasicChecker returns Unsure.
 const DefaultMinConfidence = 0.5
 
-// refusalWindow is the number of bytes searched for marks of a refusal.
-const refusalWindow = 160
+// refusalSearchBytes is the number of bytes at the start of an answer that are
+// searched for refusal phrases.
+const refusalSearchBytes = 160
 
-// BasicChecker judges an answer by its length, its finish reason, marks of a
-// refusal and the engine's confidence. The zero value is ready.
+// BasicChecker checks for empty text, the finish reason, refusal phrases and the
+// engine's confidence. The zero value is ready for use.
 type BasicChecker struct {
 	// MinConfidence defaults to DefaultMinConfidence.
 	MinConfidence float64
-	// RefusalMarks are lower-case phrases near the start of a refusal.
+	// RefusalMarks are lower-case phrases that mark a refusal at the start of an
+	// answer. Nil means a default list.
 	RefusalMarks []string
 }
 
@@ -80,7 +85,7 @@
 		return Empty
 	case a.FinishReason == "length" || a.FinishReason == "content_filter":
 		return Truncated
-	case c.declined(text):
+	case c.startsWithRefusal(text):
 		return Declined
 	case a.HasConfidence && a.Confidence < c.minConfidence():
 		return Unsure
@@ -88,12 +93,12 @@
 	return Passed
 }
 
-func (c BasicChecker) declined(text string) bool {
+func (c BasicChecker) startsWithRefusal(text string) bool {
 	marks := c.RefusalMarks
 	if marks == nil {
 		marks = defaultRefusalMarks
 	}
-	start := strings.ToLower(text[:min(len(text), refusalWindow)])
+	start := strings.ToLower(text[:min(len(text), refusalSearchBytes)])
 	for _, m := range marks {
 		if strings.Contains(start, m) {
 			return true
