--- a/rating/rating.go
+++ b/rating/rating.go
@@ -1,5 +1,5 @@
-// Package rating is the adapter of the rating service, which rates samples of
-// answers late and not always.
+// Package rating is a client of the rating service, which rates samples of answers.
+// Ratings arrive with a delay, and some samples are never rated.
 package rating
 
 import (
@@ -24,37 +24,37 @@
 	Organisation string `json:"organisation"`
 	Version      string `json:"version"`
 	Kind         string `json:"kind"`
-	// Accepted tells that the check of a cascade let the answer pass.
+	// Accepted reports whether the answer passed the check of a cascade.
 	Accepted bool `json:"accepted,omitempty"`
 }
 
-// Rating is the result for one sample.
+// Rating is the rating of one sample.
 type Rating struct {
-	// Sequence rises with every rating of the service.
+	// Sequence increases with every rating of the service.
 	Sequence     uint64 `json:"sequence"`
 	RequestID    string `json:"request_id"`
 	Organisation string `json:"organisation"`
 	Version      string `json:"version"`
 	Kind         string `json:"kind"`
-	// Accepted tells that the check of a cascade let the answer pass.
+	// Accepted reports whether the answer passed the check of a cascade.
 	Accepted bool `json:"accepted,omitempty"`
-	// Score is the quality found, 0 to 1.
+	// Score is the quality of the answer, 0 to 1.
 	Score float64 `json:"score"`
 }
 
-// Ratings is the wire form of a poll's answer.
+// Ratings is the response body of a poll.
 type Ratings struct {
 	Ratings []Rating `json:"ratings"`
 }
 
-// ScoreError is a rating with a score outside 0 to 1.
+// ScoreError reports a rating with a score outside 0 to 1.
 type ScoreError struct {
 	Rating Rating
 }
 
 // Error implements error.
 func (e *ScoreError) Error() string {
-	return fmt.Sprintf("rating %d has score %v", e.Rating.Sequence, e.Rating.Score)
+	return fmt.Sprintf("rating %d has score %v, outside 0 to 1", e.Rating.Sequence, e.Rating.Score)
 }
 
 // Client submits samples and polls for ratings.
@@ -62,14 +62,15 @@
 	calls *jsoncall.Client
 }
 
-// New returns a Client for the service at baseURL. Nil stands for
+// New returns a Client for the service at baseURL. A nil client means
 // http.DefaultClient.
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{calls: jsoncall.New(baseURL, client)}
 }
 
-// Submit asks for a rating. A lost answer may mean that it was taken; a
-// repeated request id is rated once. The error wraps a *jsoncall.Error.
+// Submit requests a rating. If the response is lost, the sample may have been
+// accepted. Submit may be repeated, as the service rates each request ID once. The
+// error wraps a *jsoncall.Error.
 func (c *Client) Submit(ctx context.Context, s Sample) error {
 	if err := c.calls.Post(ctx, PathSamples, s, nil); err != nil {
 		return fmt.Errorf("submit sample: %w", err)
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// Poll returns the ratings whose sequence is above after, in rising order, at
-// most one page of them. The error wraps a *jsoncall.Error or is a *ScoreError.
+// Poll returns the ratings with a sequence above after, in ascending order and at
+// most one page. The error wraps a *jsoncall.Error or is a *ScoreError.
 func (c *Client) Poll(ctx context.Context, after uint64) ([]Rating, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
 	var page Ratings
--- a/rating/rating_test.go
+++ b/rating/rating_test.go
@@ -18,6 +18,7 @@
 
 var ctx = context.Background()
 
+// start starts a simulated rating service and returns it with a client.
 func start(c *qt.C, cfg standin.RatingConfig) (*standin.Rating, *rating.Client) {
 	s := standin.NewRating(cfg)
 	server := httptest.NewServer(s)
@@ -41,7 +42,7 @@
 	for _, sample := range samples {
 		c.Assert(client.Submit(ctx, sample), qt.IsNil)
 	}
-	s.SetQuality(standin.Quality{Version: "v", Quality: 0.1}) // Turns bad.
+	s.SetQuality(standin.Quality{Version: "v", Quality: 0.1}) // The quality drops.
 	c.Assert(client.Submit(ctx, rating.Sample{RequestID: "5", Version: "v", Kind: "quick"}), qt.IsNil)
 
 	ratings, err := client.Poll(ctx, 0)
@@ -57,20 +58,20 @@
 	c.Assert(ratings, qt.HasLen, 1)
 }
 
-func TestRatingsShowAfterTheLag(t *testing.T) {
+func TestRatingsArriveAfterLag(t *testing.T) {
 	c := qt.New(t)
 	s, client := start(c, standin.RatingConfig{Lag: time.Hour})
 	c.Assert(client.Submit(ctx, rating.Sample{RequestID: "1"}), qt.IsNil)
 	ratings, err := client.Poll(ctx, 0)
 	c.Assert(err, qt.IsNil)
 	c.Assert(ratings, qt.HasLen, 0)
-	s.SetFaults(standin.Faults{LagMillis: -time.Hour.Milliseconds()}) // Takes the lag away.
+	s.SetFaults(standin.Faults{LagMillis: -time.Hour.Milliseconds()}) // Removes the lag.
 	ratings, err = client.Poll(ctx, 0)
 	c.Assert(err, qt.IsNil)
 	c.Assert(ratings, qt.HasLen, 1)
 }
 
-func TestLostSubmitTookEffectOnce(t *testing.T) {
+func TestRepeatedSubmitIsRatedOnce(t *testing.T) {
 	c := qt.New(t)
 	s, client := start(c, standin.RatingConfig{})
 	s.SetFaults(standin.Faults{LoseAnswers: 1})
@@ -83,7 +84,7 @@
 	c.Assert(ratings, qt.HasLen, 1)
 }
 
-func TestImpossibleScoreIsRefused(t *testing.T) {
+func TestScoreOutOfRangeIsRejected(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"ratings":[{"sequence":1,"score":1.5}]}`)
