--- a/entry/slowstart.go
+++ b/entry/slowstart.go
@@ -50,7 +50,7 @@
 func (d *Daemon) updateSlowStarts(registrations []inventory.Registration, now time.Time) {
 	var cold, warm []string
 	for _, r := range registrations {
-		if !d.slowStarts.Told(r.Engine.Key(), r.Engine.Service, r.ColdFor, now) {
+		if !d.slowStarts.SetCold(r.Engine.Key(), r.Engine.Service, r.ColdFor, now) {
 			continue
 		}
 		if r.ColdFor > 0 {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -49,7 +49,7 @@
 	g.chooseGroup(t, engines, now)
 	r := t.balanceRequest(g.DataCentre, engines, g.Models)
 	if g.Quarantine.Ends(t.hash) > 0 {
-		r.Among[0] = engines.forSuspect(t.group, t.hash, t.tried)
+		r.Candidates[0] = engines.forSuspect(t.group, t.hash, t.tried)
 	}
 	decision, ok := g.chooseUnsuspected(t, engines, r, now)
 	if !ok && t.trial && t.runs == 0 {
@@ -119,7 +119,7 @@
 // regions.
 func (g *Gateway) skipFilter(t *task, engines *Engines, now time.Time) func(engine string) bool {
 	return func(engine string) bool {
-		if g.SlowStarts.Passed(engine, now) {
+		if g.SlowStarts.Throttled(engine, now) {
 			return true
 		}
 		if !t.homes.Bound {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -42,8 +42,8 @@
 
 // SlowStarts limits the rate of requests that the fleet sends to cold engines.
 type SlowStarts interface {
-	// Passed reports whether an engine is cold and must be passed over now.
-	Passed(engine string, now time.Time) bool
+	// Throttled reports whether an engine is cold and must be passed over now.
+	Throttled(engine string, now time.Time) bool
 	// Take acquires the permit to send one request to an engine now, and reports whether
 	// there was one.
 	Take(engine string, now time.Time) bool
