--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -15,121 +15,126 @@
 )
 
 const (
-	// cutMemory is how long after an answer broke off its engine may still be found to
-	// have ended then: about as long as the news of its next start take.
-	cutMemory = 5 * time.Second
-	// endMemory is how long an engine that ended is remembered, for answers that break off
-	// later than others.
-	endMemory = time.Minute
-	// secondDial is the time to a second connection attempt: a process that dies may take
-	// connections for some milliseconds after it has cut the first ones.
-	secondDial = 150 * time.Millisecond
-	// probePause is the least time between the ends of two probes of one engine, of which
-	// some faulty ones cut many answers.
-	probePause = 500 * time.Millisecond
-	// dialTimeout bounds one attempt. No answer tells nothing.
+	// crashDetectionWindow is the time after an interrupted answer within which its engine may
+	// still be found to have crashed then. It is about the time until the registration of the
+	// engine's next start is known.
+	crashDetectionWindow = 5 * time.Second
+	// engineStateTTL is how long the state of an engine is kept, for answers that are
+	// interrupted later than others.
+	engineStateTTL = time.Minute
+	// secondDialDelay is the delay before a second connection attempt: a dying process may
+	// accept connections for some milliseconds after it has closed the first ones.
+	secondDialDelay = 150 * time.Millisecond
+	// minProbeInterval is the least time between two probes of an engine. Some faulty engines
+	// interrupt many answers without crashing.
+	minProbeInterval = 500 * time.Millisecond
+	// dialTimeout bounds one connection attempt. A time-out is not evidence of a crash.
 	dialTimeout = 350 * time.Millisecond
-	// gatherFor is the time in which answers that one end cuts are put together.
-	gatherFor = 5 * time.Millisecond
-	// mostCuts bounds the engines remembered.
-	mostCuts = 4096
+	// batchDelay is the time for which answers interrupted by one crash are collected into one
+	// report.
+	batchDelay = 5 * time.Millisecond
+	// maxEngineStates bounds the number of engines whose state is kept.
+	maxEngineStates = 4096
 )
 
-// Cause tells how the end of an engine was found.
+// Cause is how a crash was detected.
 type Cause string
 
 // The causes.
 const (
-	// CauseRefused is a new connection that the engine's host refused.
+	// CauseRefused means that the engine's host refused a new connection.
 	CauseRefused Cause = "connection_refused"
-	// CauseReplaced is another start that answers or registers at its address.
+	// CauseReplaced means that another start answers or registers at the engine's address.
 	CauseReplaced Cause = "replaced"
-	// CauseTold is another daemon that found it.
-	CauseTold Cause = "told"
+	// CauseReported means that another daemon reported the crash.
+	CauseReported Cause = "told"
 )
 
-// End is an engine that ended, with the requests of this daemon that it cut.
-type End struct {
+// Crash is an engine crash, with the requests of this daemon that it interrupted. Crashes
+// include all unplanned ends of engine processes, such as by a loss of power.
+type Crash struct {
 	Engine   inventory.Engine
 	Requests []Hash
 	At       time.Time
 	Cause    Cause
-	// Blames count the broken answers against the engine's version.
-	Blames []func()
+	// CountFailures count the interrupted answers as failures of the engine's version.
+	CountFailures []func()
 }
 
-// DetectorOptions are what a Detector needs. All fields are required.
+// DetectorOptions configures a Detector. All fields are required.
 type DetectorOptions struct {
-	// Dial opens a connection to an address and closes it. It returns an error that is
-	// syscall.ECONNREFUSED when nobody listens there.
+	// Dial opens a connection to an address and closes it. It returns an error that matches
+	// syscall.ECONNREFUSED if no process listens there.
 	Dial func(ctx context.Context, address string) error
-	// Ended hears of each end, and once more when further requests turn out to be cut by it.
-	Ended func(End)
-	Log   zerolog.Logger
+	// OnCrash is called for each crash, and again when further requests are found to have been
+	// interrupted by it.
+	OnCrash func(Crash)
+	Log     zerolog.Logger
 }
 
-// Detector tells engines that ended from connections that broke: both cut answers. It is
-// safe for concurrent use.
+// Detector distinguishes engine crashes from broken connections, as both interrupt answers. It
+// is safe for concurrent use.
 type Detector struct {
 	DetectorOptions
 
-	mu   sync.Mutex
-	cuts map[string]*cut
+	mu     sync.Mutex
+	states map[string]*engineState
 }
 
-// cut is what is known of an engine whose answers broke off.
-type cut struct {
+// engineState is the state of an engine with interrupted answers.
+type engineState struct {
 	engine inventory.Engine
-	// requests are those not told yet, with the time at which they were cut.
+	// requests are the interrupted requests that have not been reported yet, with the times of
+	// their interruption.
 	requests map[Hash]time.Time
 	first    time.Time
 	last     time.Time
 	probing  bool
-	// probed is the end of the last probe.
-	probed time.Time
-	// blames count the broken answers against the engine's version, once it is known what
-	// broke them.
-	blames []func()
-	// decided is closed when it is known whether the engine ended, isDecided tells so.
+	// lastProbe is when the last probe ended.
+	lastProbe time.Time
+	// countFailures count the interrupted answers as failures of the engine's version. They are
+	// called or passed on once the cause of the interruption is known.
+	countFailures []func()
+	// decided is closed when it is known whether the engine crashed; isDecided is set then.
 	decided   chan struct{}
 	isDecided bool
-	// cause is empty until the engine is known to have ended.
+	// cause is empty until the engine is known to have crashed.
 	cause Cause
-	// telling is set while a call is about to be made.
-	telling bool
+	// reportScheduled is set while a report is scheduled.
+	reportScheduled bool
 }
 
 // NewDetector returns a Detector.
 func NewDetector(o DetectorOptions) *Detector {
-	return &Detector{DetectorOptions: o, cuts: make(map[string]*cut)}
+	return &Detector{DetectorOptions: o, states: make(map[string]*engineState)}
 }
 
-// Broke takes in that an answer broke off. It calls blame, or passes it on with the end of
-// the engine.
-func (d *Detector) Broke(e inventory.Engine, h Hash, now time.Time, blame func()) {
+// AnswerInterrupted records that an answer was interrupted. It calls countFailure if the engine
+// has not crashed, or else passes it on with the crash.
+func (d *Detector) AnswerInterrupted(e inventory.Engine, h Hash, now time.Time, countFailure func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.of(e, now)
-	c.requests[h] = now
-	c.last = now
-	c.blames = append(c.blames, blame)
-	c.reopen()
-	if c.cause != "" {
-		d.tellSoon(c)
+	s := d.stateOf(e, now)
+	s.requests[h] = now
+	s.last = now
+	s.countFailures = append(s.countFailures, countFailure)
+	s.reopen()
+	if s.cause != "" {
+		d.scheduleReport(s)
 		return
 	}
-	if !c.probing {
-		c.probing = true
-		time.AfterFunc(max(probePause-now.Sub(c.probed), 0), func() { d.probe(c) })
+	if !s.probing {
+		s.probing = true
+		time.AfterFunc(max(minProbeInterval-now.Sub(s.lastProbe), 0), func() { d.probe(s) })
 	}
 }
 
-// Refused takes in that a new connection was refused. That alone is no end: the engine
-// may have stopped in order.
-func (d *Detector) Refused(engine string, now time.Time) { d.ended(engine, CauseRefused, now) }
+// Refused records that a new connection was refused. That alone does not show a
+// crash, as the engine may have been shut down.
+func (d *Detector) Refused(engine string, now time.Time) { d.recordCrash(engine, CauseRefused, now) }
 
-// Replaced takes in that another start answers or registers at the engine's address.
-func (d *Detector) Replaced(engine string, now time.Time) { d.ended(engine, CauseReplaced, now) }
+// Replaced records that another start answers or registers at the engine's address.
+func (d *Detector) Replaced(engine string, now time.Time) { d.recordCrash(engine, CauseReplaced, now) }
 
 // Registered records the registration of an engine: other starts at its address with recent
 // interrupted answers have ended.
@@ -140,8 +145,8 @@
 	key := e.Key()
 	d.mu.Lock()
 	var replaced []string
-	for known, c := range d.cuts {
-		if c.engine.Address == e.Address && known != key {
+	for known, s := range d.states {
+		if s.engine.Address == e.Address && known != key {
 			replaced = append(replaced, known)
 		}
 	}
@@ -151,99 +156,101 @@
 	}
 }
 
-// Told takes in that another daemon found the end of an engine.
-func (d *Detector) Told(e inventory.Engine, now time.Time) {
+// PeerReported records that another daemon detected the crash of an engine.
+func (d *Detector) PeerReported(e inventory.Engine, now time.Time) {
 	d.mu.Lock()
-	c := d.of(e, now)
-	c.last = now
+	s := d.stateOf(e, now)
+	s.last = now
 	d.mu.Unlock()
-	d.ended(e.Key(), CauseTold, now)
+	d.recordCrash(e.Key(), CauseReported, now)
 }
 
-// ended notes the end of an engine that cut answers of late.
-func (d *Detector) ended(engine string, cause Cause, now time.Time) {
+// recordCrash records the crash of an engine that has recently interrupted answers.
+func (d *Detector) recordCrash(engine string, cause Cause, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.cuts[engine]
-	if c == nil || c.cause != "" || now.Sub(c.last) > cutMemory {
+	s := d.states[engine]
+	if s == nil || s.cause != "" || now.Sub(s.last) > crashDetectionWindow {
 		return
 	}
-	c.cause = cause
-	maps.DeleteFunc(c.requests, func(_ Hash, at time.Time) bool { return now.Sub(at) > cutMemory })
-	d.tellSoon(c)
+	s.cause = cause
+	maps.DeleteFunc(s.requests, func(_ Hash, at time.Time) bool { return now.Sub(at) > crashDetectionWindow })
+	d.scheduleReport(s)
 }
 
-// of returns what is known of an engine. The caller holds mu.
-func (d *Detector) of(e inventory.Engine, now time.Time) *cut {
-	c := d.cuts[e.Key()]
-	if c == nil {
-		d.forget(now)
-		c = &cut{engine: e, requests: make(map[Hash]time.Time), first: now, decided: make(chan struct{})}
-		d.cuts[e.Key()] = c
+// stateOf returns the state of an engine, which it creates if there is none. The caller holds
+// mu.
+func (d *Detector) stateOf(e inventory.Engine, now time.Time) *engineState {
+	s := d.states[e.Key()]
+	if s == nil {
+		d.evict(now)
+		s = &engineState{engine: e, requests: make(map[Hash]time.Time), first: now, decided: make(chan struct{})}
+		d.states[e.Key()] = s
 	}
-	return c
+	return s
 }
 
-// forget drops what is old, and anything when there is too much. The caller holds mu.
-func (d *Detector) forget(now time.Time) {
-	maps.DeleteFunc(d.cuts, func(_ string, c *cut) bool { return now.Sub(c.last) > endMemory })
-	for key := range d.cuts {
-		if len(d.cuts) < mostCuts {
+// evict drops expired states, and arbitrary ones if there are too many. The caller holds mu.
+func (d *Detector) evict(now time.Time) {
+	maps.DeleteFunc(d.states, func(_ string, s *engineState) bool { return now.Sub(s.last) > engineStateTTL })
+	for key := range d.states {
+		if len(d.states) < maxEngineStates {
 			return
 		}
-		delete(d.cuts, key)
+		delete(d.states, key)
 	}
 }
 
-// probe finds out whether an engine whose answer broke off still takes connections.
-func (d *Detector) probe(c *cut) {
+// probe checks whether an engine with an interrupted answer still accepts connections.
+func (d *Detector) probe(s *engineState) {
 	var err error
-	for _, pause := range []time.Duration{0, secondDial} {
+	for _, pause := range []time.Duration{0, secondDialDelay} {
 		time.Sleep(pause)
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
-		err = d.Dial(ctx, c.engine.Address)
+		err = d.Dial(ctx, s.engine.Address)
 		cancel()
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			d.Refused(c.engine.Key(), time.Now())
+			d.Refused(s.engine.Key(), time.Now())
 			return
 		}
 		d.mu.Lock()
-		c.decide() // It lives, as far as requests can wait to know.
+		s.decide() // Requests do not wait for the second attempt.
 		d.mu.Unlock()
 		if err != nil {
-			break // Nothing answers; a second attempt would take as long.
+			break // A second attempt would probably time out as well.
 		}
 	}
-	d.spared(c, err)
+	d.reportAlive(s, err)
 }
 
-// spared takes in that an engine whose answers broke off does not refuse connections.
-func (d *Detector) spared(c *cut, dialled error) {
+// reportAlive handles a probe that found no crash: it counts the interrupted answers as
+// failures of the engine's version.
+func (d *Detector) reportAlive(s *engineState, dialled error) {
 	d.mu.Lock()
-	c.probing, c.probed = false, time.Now()
-	if c.cause != "" {
+	s.probing, s.lastProbe = false, time.Now()
+	if s.cause != "" {
 		d.mu.Unlock()
 		return
 	}
-	d.Log.Info().Str("engine", c.engine.Key()).Int("requests", len(c.requests)).AnErr("connection", dialled).Msg("engine cut answers and did not end")
-	blames := c.blames
-	c.blames = nil
+	d.Log.Info().Str("engine", s.engine.Key()).Int("requests", len(s.requests)).AnErr("connection", dialled).Msg("engine cut answers and did not end")
+	countFailures := s.countFailures
+	s.countFailures = nil
 	d.mu.Unlock()
-	for _, blame := range blames {
-		blame()
+	for _, countFailure := range countFailures {
+		countFailure()
 	}
 }
 
-// Wait waits until it is known whether an engine whose answer broke off has ended, or ctx
-// ends.
+// Wait waits until it is known whether an engine with an interrupted answer has crashed, or
+// until ctx ends.
 func (d *Detector) Wait(ctx context.Context, engine string) {
 	d.mu.Lock()
-	c := d.cuts[engine]
-	if c == nil {
+	s := d.states[engine]
+	if s == nil {
 		d.mu.Unlock()
 		return
 	}
-	decided := c.decided
+	decided := s.decided
 	d.mu.Unlock()
 	select {
 	case <-decided:
@@ -251,46 +258,47 @@
 	}
 }
 
-// tellSoon tells of an end once the answers that it cut are together. The caller holds mu.
-func (d *Detector) tellSoon(c *cut) {
-	if c.telling || len(c.requests) == 0 {
+// scheduleReport schedules the report of a crash after the time for collecting the answers that
+// it interrupted. The caller holds mu.
+func (d *Detector) scheduleReport(s *engineState) {
+	if s.reportScheduled || len(s.requests) == 0 {
 		return
 	}
-	c.telling = true
-	time.AfterFunc(gatherFor, func() { d.tell(c) })
+	s.reportScheduled = true
+	time.AfterFunc(batchDelay, func() { d.report(s) })
 }
 
-// tell passes the requests on that were cut.
-func (d *Detector) tell(c *cut) {
+// report calls OnCrash with the interrupted requests.
+func (d *Detector) report(s *engineState) {
 	d.mu.Lock()
-	requests := slices.Collect(maps.Keys(c.requests))
-	clear(c.requests)
-	c.telling = false
-	end := End{Engine: c.engine, Requests: requests, At: c.first, Cause: c.cause, Blames: c.blames}
-	c.blames = nil
+	requests := slices.Collect(maps.Keys(s.requests))
+	clear(s.requests)
+	s.reportScheduled = false
+	crash := Crash{Engine: s.engine, Requests: requests, At: s.first, Cause: s.cause, CountFailures: s.countFailures}
+	s.countFailures = nil
 	d.mu.Unlock()
 	slices.SortFunc(requests, func(a, b Hash) int { return slices.Compare(a[:], b[:]) })
-	d.Log.Warn().Str("engine", end.Engine.Key()).Str("address", end.Engine.Address).Str("version", end.Engine.Version).
-		Str("cause", string(end.Cause)).Dur("after_ms", time.Since(end.At)).Strs("hashes", Strings(requests)).
+	d.Log.Warn().Str("engine", crash.Engine.Key()).Str("address", crash.Engine.Address).Str("version", crash.Engine.Version).
+		Str("cause", string(crash.Cause)).Dur("after_ms", time.Since(crash.At)).Strs("hashes", Strings(requests)).
 		Msg("engine ended")
-	d.Ended(end)
+	d.OnCrash(crash)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c.decide()
+	s.decide()
 }
 
-// decide wakes those who wait. The caller holds the lock of the detector.
-func (c *cut) decide() {
-	if !c.isDecided {
-		c.isDecided = true
-		close(c.decided)
+// decide wakes waiting callers. The caller holds the detector's mutex.
+func (s *engineState) decide() {
+	if !s.isDecided {
+		s.isDecided = true
+		close(s.decided)
 	}
 }
 
-// reopen makes those wait who come from now on. The caller holds the lock of the detector.
-func (c *cut) reopen() {
-	if c.isDecided {
-		c.isDecided = false
-		c.decided = make(chan struct{})
+// reopen makes later callers wait for a new decision. The caller holds the detector's mutex.
+func (s *engineState) reopen() {
+	if s.isDecided {
+		s.isDecided = false
+		s.decided = make(chan struct{})
 	}
 }
--- a/quarantine/detector_test.go
+++ b/quarantine/detector_test.go
@@ -14,20 +14,20 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// listener is an engine's host as a connection attempt finds it.
+// listener simulates an engine's host for connection attempts.
 type listener struct{ err error }
 
 func (l *listener) dial(context.Context, string) error { return l.err }
 
 var refused = &listener{err: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 
-// watched returns a detector and the ends that it tells.
-func watched(l *listener) (*Detector, *[]End) {
-	var ends []End
-	return NewDetector(DetectorOptions{Dial: l.dial, Ended: func(e End) { ends = append(ends, e) }, Log: zerolog.Nop()}), &ends
+// newTestDetector returns a detector and the crashes that it reports.
+func newTestDetector(l *listener) (*Detector, *[]Crash) {
+	var crashes []Crash
+	return NewDetector(DetectorOptions{Dial: l.dial, OnCrash: func(e Crash) { crashes = append(crashes, e) }, Log: zerolog.Nop()}), &crashes
 }
 
-func noBlame() {}
+func ignoreFailure() {}
 
 var (
 	engineA = inventory.Engine{ID: "a", Address: "10.0.0.1:80"}
@@ -35,111 +35,111 @@
 	two     = Hash{2}
 )
 
-func TestEngineThatRefusesConnectionsAfterItCutAnswersHasEnded(t *testing.T) {
+func TestRefusedConnectionAfterInterruptedAnswersIsACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d, ends := watched(refused)
-		d.Broke(engineA, two, time.Now(), noBlame)
-		d.Broke(engineA, one, time.Now(), noBlame)
+		d, crashes := newTestDetector(refused)
+		d.AnswerInterrupted(engineA, two, time.Now(), ignoreFailure)
+		d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Assert(*ends, qt.HasLen, 1)
-		c.Check((*ends)[0].Requests, qt.DeepEquals, []Hash{one, two})
-		c.Check((*ends)[0].Cause, qt.Equals, CauseRefused)
-		// An answer that breaks off later by the same end is told as well.
-		d.Broke(engineA, Hash{3}, time.Now(), noBlame)
+		c.Assert(*crashes, qt.HasLen, 1)
+		c.Check((*crashes)[0].Requests, qt.DeepEquals, []Hash{one, two})
+		c.Check((*crashes)[0].Cause, qt.Equals, CauseRefused)
+		// An answer interrupted later by the same crash is reported as well.
+		d.AnswerInterrupted(engineA, Hash{3}, time.Now(), ignoreFailure)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Assert(*ends, qt.HasLen, 2)
-		c.Check((*ends)[1].Requests, qt.DeepEquals, []Hash{{3}})
+		c.Assert(*crashes, qt.HasLen, 2)
+		c.Check((*crashes)[1].Requests, qt.DeepEquals, []Hash{{3}})
 	})
 }
 
-func TestEngineThatTakesConnectionsHasNotEnded(t *testing.T) {
+func TestEngineThatAcceptsConnectionsHasNotCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		for _, l := range []*listener{{}, {err: context.DeadlineExceeded}} {
-			d, ends := watched(l)
-			d.Broke(engineA, one, time.Now(), noBlame)
+			d, crashes := newTestDetector(l)
+			d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
 			time.Sleep(2 * time.Second)
 			synctest.Wait()
 			synctest.Wait()
-			c.Check(*ends, qt.HasLen, 0, qt.Commentf("%v", l.err))
+			c.Check(*crashes, qt.HasLen, 0, qt.Commentf("%v", l.err))
 		}
 	})
 }
 
-func TestRefusedConnectionAloneIsNoEnd(t *testing.T) {
+func TestRefusedConnectionAloneIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d, ends := watched(&listener{})
+		d, crashes := newTestDetector(&listener{})
 		d.Refused("a", time.Now())
-		d.Broke(engineA, one, time.Now(), noBlame)
-		time.Sleep(cutMemory + time.Second)
+		d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
+		time.Sleep(crashDetectionWindow + time.Second)
 		synctest.Wait()
-		d.Refused("a", time.Now()) // It stopped in order, long after.
+		d.Refused("a", time.Now()) // It was shut down, long after.
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Check(*ends, qt.HasLen, 0)
+		c.Check(*crashes, qt.HasLen, 0)
 	})
 }
 
-func TestEngineThatIsBackAtOnceHasEnded(t *testing.T) {
+func TestReplacedEngineHasCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d, ends := watched(&listener{})
-		d.Broke(engineA, one, time.Now(), noBlame)
+		d, crashes := newTestDetector(&listener{})
+		d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		d.Replaced("a", time.Now())
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Assert(*ends, qt.HasLen, 1)
-		c.Check((*ends)[0].Cause, qt.Equals, CauseReplaced)
+		c.Assert(*crashes, qt.HasLen, 1)
+		c.Check((*crashes)[0].Cause, qt.Equals, CauseReplaced)
 	})
 }
 
-func TestDaemonsThatAreToldOfAnEndTellWhatItCutThere(t *testing.T) {
+func TestReportedCrashCollectsLocalInterruptions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d, ends := watched(&listener{})
-		d.Told(engineA, time.Now())
+		d, crashes := newTestDetector(&listener{})
+		d.PeerReported(engineA, time.Now())
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Assert(*ends, qt.HasLen, 0) // Nothing of its own.
-		d.Broke(engineA, one, time.Now(), noBlame)
+		c.Assert(*crashes, qt.HasLen, 0) // It has no interrupted answers of its own.
+		d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Assert(*ends, qt.HasLen, 1)
-		c.Check((*ends)[0].Requests, qt.DeepEquals, []Hash{one})
+		c.Assert(*crashes, qt.HasLen, 1)
+		c.Check((*crashes)[0].Requests, qt.DeepEquals, []Hash{one})
 	})
 }
 
-func TestBrokenAnswerIsHeldAgainstAnEngineThatLives(t *testing.T) {
+func TestInterruptedAnswerCountsAsFailureOfLiveEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		blamed := 0
-		blame := func() { blamed++ }
-		d, _ := watched(&listener{})
-		d.Broke(engineA, one, time.Now(), blame)
+		failures := 0
+		countFailure := func() { failures++ }
+		d, _ := newTestDetector(&listener{})
+		d.AnswerInterrupted(engineA, one, time.Now(), countFailure)
 		began := time.Now()
 		d.Wait(context.Background(), "a")
-		c.Check(time.Since(began) < secondDial, qt.IsTrue)
+		c.Check(time.Since(began) < secondDialDelay, qt.IsTrue)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		c.Check(blamed, qt.Equals, 1)
-		d, ends := watched(refused)
-		d.Broke(engineA, one, time.Now(), blame)
+		c.Check(failures, qt.Equals, 1)
+		d, crashes := newTestDetector(refused)
+		d.AnswerInterrupted(engineA, one, time.Now(), countFailure)
 		d.Wait(context.Background(), "a")
 		synctest.Wait()
-		c.Check(blamed, qt.Equals, 1)
-		c.Assert(*ends, qt.HasLen, 1)
-		c.Check((*ends)[0].Blames, qt.HasLen, 1)
-		// The next one of the same end is waited for as well.
-		d.Broke(engineA, two, time.Now(), blame)
+		c.Check(failures, qt.Equals, 1)
+		c.Assert(*crashes, qt.HasLen, 1)
+		c.Check((*crashes)[0].CountFailures, qt.HasLen, 1)
+		// Callers wait for the next interruption by the same crash as well.
+		d.AnswerInterrupted(engineA, two, time.Now(), countFailure)
 		d.Wait(context.Background(), "a")
 		synctest.Wait()
-		c.Check(*ends, qt.HasLen, 2)
+		c.Check(*crashes, qt.HasLen, 2)
 	})
 }
 
@@ -147,11 +147,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		d := NewDetector(DetectorOptions{
-			Dial:  func(context.Context, string) error { dials++; return nil },
-			Ended: func(End) {}, Log: zerolog.Nop(),
+			Dial:    func(context.Context, string) error { dials++; return nil },
+			OnCrash: func(Crash) {}, Log: zerolog.Nop(),
 		})
 		for range 1000 {
-			d.Broke(engineA, one, time.Now(), noBlame)
+			d.AnswerInterrupted(engineA, one, time.Now(), ignoreFailure)
 			time.Sleep(10 * time.Millisecond)
 			synctest.Wait()
 		}
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -9,207 +9,210 @@
 )
 
 const (
-	// Conviction is how many ends of engines convict a request that was at all of them.
+	// Conviction is the number of engine crashes after which a request that was in progress at
+	// all of them is put into quarantine.
 	Conviction = 3
-	// settleFor is how long after the first end that a request was at daemons may still tell
-	// that it ended well there before; no conviction comes earlier.
-	settleFor = 150 * time.Millisecond
-	// vouchFor is how long before the end of an engine a request that ended well counts as
-	// harmless there: popular requests run at many engines, of which several may end at
-	// once for reasons of their own.
-	vouchFor = time.Minute
-	// togetherFor is within how long ends count as one event: daemons find and tell them with
-	// that much difference, and a request that crashes one engine after the other takes longer.
-	togetherFor = 100 * time.Millisecond
-	// evidenceFor is how long ends of engines are remembered.
-	evidenceFor = 10 * time.Minute
-	// mostEnds bounds the ends remembered, mostHeld the requests of all of them together,
-	// mostVouched the requests that ended well here.
-	mostEnds    = 1024
-	mostHeld    = 32768
-	mostVouched = 8192
+	// minSuspectAge is the time after the first crash of a suspect within which other daemons
+	// may still report that it completed there before. No verdict is given earlier.
+	minSuspectAge = 150 * time.Millisecond
+	// harmlessWindow is the time before a crash within which a completed request counts as
+	// harmless there. Popular requests run at many engines, several of which may crash at once
+	// for unrelated reasons.
+	harmlessWindow = time.Minute
+	// simultaneousWindow is the time within which crashes count as one event. Detection and
+	// reporting differ by that much between daemons, and a request that crashes one engine
+	// after the other takes longer.
+	simultaneousWindow = 100 * time.Millisecond
+	// evidenceTTL is how long crashes are kept.
+	evidenceTTL = 10 * time.Minute
+	// maxCrashes bounds the crashes kept, maxCrashRequests the total of their requests,
+	// maxCompleted the completed requests.
+	maxCrashes       = 1024
+	maxCrashRequests = 32768
+	maxCompleted     = 8192
 )
 
-// Evidence is what this daemon knows of engines that ended and of the requests that they
-// worked on, from all daemons. It is safe for concurrent use.
+// Evidence holds the engine crashes that all daemons have detected and the requests that were
+// in progress at them. It is safe for concurrent use.
 type Evidence struct {
-	// any tells that there are suspects, so that requests without any take no lock.
-	any atomic.Bool
+	// hasSuspects is set while there are suspects. Without any, requests take no lock.
+	hasSuspects atomic.Bool
 
 	mu sync.Mutex
-	// ends are by the key of the engine.
-	ends     map[string]*end
+	// crashes are by the key of the engine.
+	crashes  map[string]*crash
 	suspects map[Hash]*suspect
-	// accused are the suspects that were at enough ends for a conviction.
-	accused map[Hash]*suspect
-	// vouched is when requests ended well, here or as other daemons told.
-	vouched map[Hash]time.Time
-	// count is the number of requests of all ends.
+	// overThreshold are the suspects of at least as many crashes as a verdict needs.
+	overThreshold map[Hash]*suspect
+	// completed is when requests completed, here or as reported by other daemons.
+	completed map[Hash]time.Time
+	// count is the total number of requests of all crashes.
 	count int
 }
 
-// end is the end of one engine.
-type end struct {
+// crash is the crash of one engine.
+type crash struct {
 	engine, service, version string
 	at                       time.Time
 	requests                 map[Hash]struct{}
 }
 
-// suspect is a request that was at the end of engines.
+// suspect is a request that was in progress at crashes and has not completed since.
 type suspect struct {
-	ends map[string]*end
-	// since is when the first of them was told.
+	crashes map[string]*crash
+	// since is when the first of them became known.
 	since time.Time
 }
 
-// NewEvidence returns what is known of nothing.
+// NewEvidence returns an empty Evidence.
 func NewEvidence() *Evidence {
-	return &Evidence{ends: make(map[string]*end), suspects: make(map[Hash]*suspect), accused: make(map[Hash]*suspect), vouched: make(map[Hash]time.Time)}
+	return &Evidence{crashes: make(map[string]*crash), suspects: make(map[Hash]*suspect), overThreshold: make(map[Hash]*suspect), completed: make(map[Hash]time.Time)}
 }
 
-// Add takes in the end of an engine and returns the requests among those cut that this
+// Add records the crash of an engine. It returns those of the interrupted requests that this
 // daemon knows to be harmless.
-func (e *Evidence) Add(told End, now time.Time) (harmless []Hash) {
+func (e *Evidence) Add(reported Crash, now time.Time) (harmless []Hash) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	key := told.Engine.Key()
-	known := e.ends[key]
+	key := reported.Engine.Key()
+	known := e.crashes[key]
 	if known == nil {
-		e.forget(now, len(told.Requests))
-		known = &end{
-			engine: key, service: told.Engine.Service, version: told.Engine.Version, at: now,
+		e.evict(now, len(reported.Requests))
+		known = &crash{
+			engine: key, service: reported.Engine.Service, version: reported.Engine.Version, at: now,
 			requests: make(map[Hash]struct{}),
 		}
-		e.ends[key] = known
+		e.crashes[key] = known
 	}
-	for _, h := range told.Requests {
-		if _, again := known.requests[h]; again || e.count >= mostHeld {
+	for _, h := range reported.Requests {
+		if _, again := known.requests[h]; again || e.count >= maxCrashRequests {
 			continue
 		}
-		if e.isVouched(h, known.at) {
+		if e.recentlyCompleted(h, known.at) {
 			harmless = append(harmless, h)
 			continue
 		}
 		known.requests[h] = struct{}{}
 		e.count++
-		e.accuse(h, known, now)
+		e.addSuspect(h, known, now)
 	}
-	e.any.Store(len(e.suspects) > 0)
+	e.hasSuspects.Store(len(e.suspects) > 0)
 	return harmless
 }
 
-// accuse notes that a request was at an end. The caller holds mu.
-func (e *Evidence) accuse(h Hash, known *end, now time.Time) {
+// addSuspect records that a request was in progress at a crash. The caller holds mu.
+func (e *Evidence) addSuspect(h Hash, known *crash, now time.Time) {
 	s := e.suspects[h]
 	if s == nil {
-		s = &suspect{ends: make(map[string]*end), since: now}
+		s = &suspect{crashes: make(map[string]*crash), since: now}
 		e.suspects[h] = s
 	}
-	s.ends[known.engine] = known
-	if len(s.ends) >= Conviction {
-		e.accused[h] = s
+	s.crashes[known.engine] = known
+	if len(s.crashes) >= Conviction {
+		e.overThreshold[h] = s
 	}
 }
 
-// isVouched tells whether a request ended well shortly before a moment, or after it. The
-// caller holds mu.
-func (e *Evidence) isVouched(h Hash, at time.Time) bool {
-	good, ok := e.vouched[h]
-	return ok && good.After(at.Add(-vouchFor))
+// recentlyCompleted reports whether a request completed within harmlessWindow before the given
+// time, or after it. The caller holds mu.
+func (e *Evidence) recentlyCompleted(h Hash, at time.Time) bool {
+	good, ok := e.completed[h]
+	return ok && good.After(at.Add(-harmlessWindow))
 }
 
-// Completed takes in that a request ended well here, and returns at how many ends it was.
-func (e *Evidence) Completed(h Hash, now time.Time) (ends int) {
+// Completed records that a request completed here. It returns the number of crashes that it was
+// suspected of.
+func (e *Evidence) Completed(h Hash, now time.Time) (crashes int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.vouch(h, now)
+	return e.recordCompletion(h, now)
 }
 
-// Cleared takes in that a request ended well at another daemon.
-func (e *Evidence) Cleared(h Hash, now time.Time) {
+// CompletedByPeer records that a request completed at another daemon.
+func (e *Evidence) CompletedByPeer(h Hash, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.vouch(h, now)
+	e.recordCompletion(h, now)
 }
 
-// vouch notes that a request ended well. The caller holds mu.
-func (e *Evidence) vouch(h Hash, now time.Time) (ends int) {
-	if len(e.vouched) >= mostVouched {
-		e.dropVouched(now)
+// recordCompletion records that a request completed. The caller holds mu.
+func (e *Evidence) recordCompletion(h Hash, now time.Time) (crashes int) {
+	if len(e.completed) >= maxCompleted {
+		e.evictCompleted(now)
 	}
-	e.vouched[h] = now
-	return e.acquit(h)
+	e.completed[h] = now
+	return e.removeSuspect(h)
 }
 
-// dropVouched makes room for requests that ended well: old ones go, and a part of the
-// others where none is old. The caller holds mu.
-func (e *Evidence) dropVouched(now time.Time) {
-	maps.DeleteFunc(e.vouched, func(_ Hash, at time.Time) bool { return now.Sub(at) > vouchFor })
-	for h := range e.vouched {
-		if len(e.vouched) < mostVouched*3/4 {
+// evictCompleted makes room for completed requests: it drops expired ones, and arbitrary others
+// until a quarter of the table is free. The caller holds mu.
+func (e *Evidence) evictCompleted(now time.Time) {
+	maps.DeleteFunc(e.completed, func(_ Hash, at time.Time) bool { return now.Sub(at) > harmlessWindow })
+	for h := range e.completed {
+		if len(e.completed) < maxCompleted*3/4 {
 			return
 		}
-		delete(e.vouched, h)
+		delete(e.completed, h)
 	}
 }
 
-// Forget drops all that is held against a request, as an operator asks for.
+// Forget discards all evidence against a request, on behalf of an operator.
 func (e *Evidence) Forget(h Hash) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.acquit(h)
+	e.removeSuspect(h)
 }
 
-// acquit drops all that is held against a request and returns at how many ends it was. The
-// caller holds mu.
-func (e *Evidence) acquit(h Hash) (ends int) {
+// removeSuspect discards all evidence against a request and returns the number of crashes that
+// it was suspected of. The caller holds mu.
+func (e *Evidence) removeSuspect(h Hash) (crashes int) {
 	s, ok := e.suspects[h]
 	if !ok {
 		return 0
 	}
-	ends = len(s.ends)
-	for _, known := range s.ends {
+	crashes = len(s.crashes)
+	for _, known := range s.crashes {
 		delete(known.requests, h)
 		e.count--
 	}
 	delete(e.suspects, h)
-	delete(e.accused, h)
-	e.any.Store(len(e.suspects) > 0)
-	return ends
+	delete(e.overThreshold, h)
+	e.hasSuspects.Store(len(e.suspects) > 0)
+	return crashes
 }
 
-// forget drops ends that are old, and the oldest while there is no room for another one
-// with so many requests. The caller holds mu.
-func (e *Evidence) forget(now time.Time, requests int) {
-	for _, known := range e.ends {
-		if now.Sub(known.at) > evidenceFor {
-			e.dropEnd(known)
+// evict drops expired crashes, and the oldest ones until there is room for another one with the
+// given number of requests. The caller holds mu.
+func (e *Evidence) evict(now time.Time, requests int) {
+	for _, known := range e.crashes {
+		if now.Sub(known.at) > evidenceTTL {
+			e.removeCrash(known)
 		}
 	}
-	for len(e.ends) > 0 && (len(e.ends) >= mostEnds || e.count+requests > mostHeld) {
-		e.dropEnd(slices.MinFunc(slices.Collect(maps.Values(e.ends)), func(a, b *end) int { return a.at.Compare(b.at) }))
+	for len(e.crashes) > 0 && (len(e.crashes) >= maxCrashes || e.count+requests > maxCrashRequests) {
+		e.removeCrash(slices.MinFunc(slices.Collect(maps.Values(e.crashes)), func(a, b *crash) int { return a.at.Compare(b.at) }))
 	}
 }
 
-// dropEnd forgets one end. The caller holds mu.
-func (e *Evidence) dropEnd(known *end) {
-	delete(e.ends, known.engine)
+// removeCrash drops one crash. The caller holds mu.
+func (e *Evidence) removeCrash(known *crash) {
+	delete(e.crashes, known.engine)
 	e.count -= len(known.requests)
 	for h := range known.requests {
 		s := e.suspects[h]
-		delete(s.ends, known.engine)
-		if len(s.ends) < Conviction {
-			delete(e.accused, h)
+		delete(s.crashes, known.engine)
+		if len(s.crashes) < Conviction {
+			delete(e.overThreshold, h)
 		}
-		if len(s.ends) == 0 {
+		if len(s.crashes) == 0 {
 			delete(e.suspects, h)
 		}
 	}
 }
 
-// Ends returns at how many ends of engines a request was.
-func (e *Evidence) Ends(h Hash) int {
-	if !e.any.Load() {
+// Crashes returns the number of crashes that a request is suspected of.
+func (e *Evidence) Crashes(h Hash) int {
+	if !e.hasSuspects.Load() {
 		return 0
 	}
 	e.mu.Lock()
@@ -218,10 +221,10 @@
 	if !ok {
 		return 0
 	}
-	return len(s.ends)
+	return len(s.crashes)
 }
 
-// Suspects returns how many requests there is something against.
+// Suspects returns the number of suspects.
 func (e *Evidence) Suspects() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -24,7 +24,7 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// testFleet is some daemons' quarantines with a store, on virtual time.
+// testFleet is a set of daemons' quarantines with a store, on virtual time.
 type testFleet struct {
 	t       *testing.T
 	c       *qt.C
@@ -36,34 +36,35 @@
 	newest atomic.Uint64
 
 	mu sync.Mutex
-	// away tells that the store refuses calls, silent that it does not answer them.
-	away, silent bool
-	// down are the addresses that refuse connections, by the time of their end.
+	// unavailable makes the store refuse calls, silent makes it not answer them.
+	unavailable, silent bool
+	// down are the addresses that refuse connections because their engine has crashed.
 	down map[string]bool
-	// flooded are the reports so far, which daemons that join get.
+	// flooded are the reports so far, which joining daemons receive.
 	flooded  []*bronzeturnv1.CrashReport
 	messages int
-	// versions serve.
+	// versions are the versions that serve.
 	versions []string
 }
 
-// testDaemon is one daemon.
+// testDaemon is a daemon of a testFleet.
 type testDaemon struct {
 	*Quarantine
 	fleet *testFleet
 	name  string
 	stop  context.CancelFunc
-	// part is the part of a fleet that is cut in two.
+	// part identifies the side of a network partition.
 	part int
 }
 
-// floodDelay is the time that a report takes to the other daemons, listDelay a record.
 const (
+	// floodDelay is the delay of a report to the other daemons, listDelay the interval at which
+	// daemons list the store's records.
 	floodDelay = 50 * time.Millisecond
 	listDelay  = 300 * time.Millisecond
 )
 
-var errAway = &objectstore.UnavailableError{Op: "test", Cause: errors.New("no answer")}
+var errUnavailable = &objectstore.UnavailableError{Op: "test", Cause: errors.New("no answer")}
 
 func newTestFleet(t *testing.T, n int) *testFleet {
 	f := &testFleet{
@@ -76,7 +77,7 @@
 	return f
 }
 
-// add starts a further daemon of the fleet.
+// add starts another daemon of the fleet.
 func (f *testFleet) add(name string) {
 	d := f.join(name)
 	f.mu.Lock()
@@ -84,7 +85,7 @@
 	f.daemons = append(f.daemons, d)
 }
 
-// join starts a daemon that knows what was flooded and the store's records.
+// join starts a daemon that receives the flooded reports and the store's records.
 func (f *testFleet) join(name string) *testDaemon {
 	d := &testDaemon{fleet: f, name: name}
 	d.Quarantine = New(Options{
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// publish floods a report to the daemons of the same part.
+// publish floods a report to the daemons on the same side of a partition.
 func (d *testDaemon) publish(m *bronzeturnv1.CrashReport) {
 	f := d.fleet
 	f.mu.Lock()
@@ -147,13 +148,13 @@
 	return slices.Index(rendezvous.Top(h.String(), names, len(names)), d.name)
 }
 
-// follow passes the store's records on.
+// follow passes the store's records to the quarantine.
 func (d *testDaemon) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		// What is written while the list is read is newer than the list.
+		// Writes during the listing count as newer than the list.
 		newest := d.fleet.newest.Load()
 		objects, err := d.fleet.store.List(ctx, Kind+"/", "", 1000)
-		if err == nil && !d.fleet.isAway() {
+		if err == nil && !d.fleet.isUnavailable() {
 			var records []Record
 			for _, o := range objects {
 				r, err := DecodeRecord(o.Key[len(Kind)+1:], o.Revision, o.Value)
@@ -169,32 +170,32 @@
 	}
 }
 
-// Create, Update and Delete implement Store, while it answers.
+// Create, Update and Delete implement Store.
 func (d *testDaemon) Create(ctx context.Context, key string, value []byte) (objectstore.Object, error) {
 	d.fleet.hang(ctx)
-	if d.fleet.isAway() {
-		return objectstore.Object{}, errAway
+	if d.fleet.isUnavailable() {
+		return objectstore.Object{}, errUnavailable
 	}
 	return d.fleet.wrote(d.fleet.store.Create(ctx, key, value))
 }
 
 func (d *testDaemon) Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
 	d.fleet.hang(ctx)
-	if d.fleet.isAway() {
-		return objectstore.Object{}, errAway
+	if d.fleet.isUnavailable() {
+		return objectstore.Object{}, errUnavailable
 	}
 	return d.fleet.wrote(d.fleet.store.Update(ctx, key, value, revision))
 }
 
 func (d *testDaemon) Delete(ctx context.Context, key string, revision uint64) error {
 	d.fleet.hang(ctx)
-	if d.fleet.isAway() {
-		return errAway
+	if d.fleet.isUnavailable() {
+		return errUnavailable
 	}
 	return d.fleet.store.Delete(ctx, key, revision)
 }
 
-// wrote notes the revision of a write.
+// wrote records the revision of a write.
 func (f *testFleet) wrote(o objectstore.Object, err error) (objectstore.Object, error) {
 	if o.Revision > f.newest.Load() {
 		f.newest.Store(o.Revision)
@@ -202,13 +203,13 @@
 	return o, err
 }
 
-func (f *testFleet) isAway() bool {
+func (f *testFleet) isUnavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.away || f.silent
+	return f.unavailable || f.silent
 }
 
-// hang waits for the end of a call that a silent store does not answer.
+// hang blocks until ctx ends if the store is silent.
 func (f *testFleet) hang(ctx context.Context) {
 	f.mu.Lock()
 	silent := f.silent
@@ -218,13 +219,13 @@
 	}
 }
 
-func (f *testFleet) setAway(away bool) {
+func (f *testFleet) setUnavailable(unavailable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.away = away
+	f.unavailable = unavailable
 }
 
-// crash ends an engine with requests of some daemons.
+// crash crashes an engine and interrupts requests of some daemons.
 func (f *testFleet) crash(id, version string, cut map[*testDaemon][]Hash) {
 	e := inventory.Engine{ID: id, Service: "llm", Version: version, Address: "10.0.0.1/" + id}
 	f.mu.Lock()
@@ -232,12 +233,12 @@
 	f.mu.Unlock()
 	for d, hashes := range cut {
 		for _, h := range hashes {
-			d.Broke(e, h, time.Now(), noBlame)
+			d.Broke(e, h, time.Now(), ignoreFailure)
 		}
 	}
 }
 
-// held tells which daemons hold a request back.
+// held returns the names of the daemons that hold a request.
 func (f *testFleet) held(h Hash) (names []string) {
 	synctest.Wait()
 	for _, d := range f.daemons {
@@ -248,7 +249,7 @@
 	return names
 }
 
-// records returns the store's records.
+// records returns the records in the store.
 func (f *testFleet) records() map[Hash]Record {
 	objects, err := f.store.List(context.Background(), Kind+"/", "", 1000)
 	f.c.Assert(err, qt.IsNil)
@@ -261,59 +262,61 @@
 	return found
 }
 
-// ofFleet runs a test with n daemons on virtual time.
-func ofFleet(t *testing.T, n int, test func(f *testFleet)) {
+// runFleet runs a test with n daemons on virtual time.
+func runFleet(t *testing.T, n int, test func(f *testFleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, n)
 		time.Sleep(time.Second)
 		test(f)
 		f.stopAll()
-		// Blames and probes end.
+		// Let probes and delayed failure counts finish.
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// convictAt has three engines end under the culprit, each seen by another daemon.
-func (f *testFleet) convictAt(h Hash) {
+// crashThreeEngines crashes as many engines under a request as a verdict needs, each detected
+// by another daemon.
+func (f *testFleet) crashThreeEngines(h Hash) {
 	for i := range Conviction {
 		f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i%len(f.daemons)]: {h}})
 		time.Sleep(150 * time.Millisecond)
 	}
 }
 
-func TestDaemonsConvictTogetherWhatEachSawOnce(t *testing.T) {
-	ofFleet(t, 5, func(f *testFleet) {
-		f.convictAt(culprit)
+func TestDaemonsCombineTheirEvidence(t *testing.T) {
+	runFleet(t, 5, func(f *testFleet) {
+		f.crashThreeEngines(crasher)
 		time.Sleep(time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 5)
-		r := f.records()[culprit]
+		f.c.Check(f.held(crasher), qt.HasLen, 5)
+		r := f.records()[crasher]
 		f.c.Check(r.Engines, qt.DeepEquals, []string{"e0", "e1", "e2"})
-		f.c.Check(r.RetriesLeft, qt.Equals, lifeRetries)
+		f.c.Check(r.RetriesLeft, qt.Equals, maxRetries)
 		f.c.Check(r.Tied, qt.IsFalse)
 	})
 }
 
-// TestStoreThatIsAwayHidesNothing: all daemons in touch with each other know, one that
-// starts then learns of it from them, and the record follows.
-func TestStoreThatIsAwayHidesNothing(t *testing.T) {
-	ofFleet(t, 4, func(f *testFleet) {
-		f.setAway(true)
-		f.convictAt(culprit)
+// TestVerdictWithoutStore checks that without the store all connected daemons hold the request,
+// that a daemon which starts meanwhile learns of it from them, and that the record is written
+// once the store is back.
+func TestVerdictWithoutStore(t *testing.T) {
+	runFleet(t, 4, func(f *testFleet) {
+		f.setUnavailable(true)
+		f.crashThreeEngines(crasher)
 		time.Sleep(time.Second)
 		f.add("late")
 		time.Sleep(time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 5)
+		f.c.Check(f.held(crasher), qt.HasLen, 5)
 		f.c.Check(f.records(), qt.HasLen, 0)
-		f.setAway(false)
+		f.setUnavailable(false)
 		time.Sleep(6 * time.Second)
 		f.c.Check(f.records(), qt.HasLen, 1)
 	})
 }
 
-// TestSilentStoreHoldsUpNoVerdict: calls that wait for the store must not keep what a
-// daemon has seen from itself and the others.
-func TestSilentStoreHoldsUpNoVerdict(t *testing.T) {
-	ofFleet(t, 2, func(f *testFleet) {
+// TestSilentStoreDelaysNoVerdict guards against store calls that block the evaluation of the
+// evidence and the reports to other daemons.
+func TestSilentStoreDelaysNoVerdict(t *testing.T) {
+	runFleet(t, 2, func(f *testFleet) {
 		f.mu.Lock()
 		f.silent = true
 		f.mu.Unlock()
@@ -332,9 +335,10 @@
 	})
 }
 
-// TestRequestsThatEndWellAfterOneEndCostNoMessage: most of those that an end cuts.
-func TestRequestsThatEndWellAfterOneEndCostNoMessage(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
+// TestCompletionAfterOneCrashCostsNoMessage guards against a message for each request that one
+// crash interrupted, as most of them complete elsewhere.
+func TestCompletionAfterOneCrashCostsNoMessage(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
 		var cut []Hash
 		for i := range 50 {
 			cut = append(cut, Hash{byte(i), 1})
@@ -351,7 +355,7 @@
 		f.mu.Lock()
 		f.c.Check(f.messages, qt.Equals, before)
 		f.mu.Unlock()
-		// The daemon that saw them end well still speaks up when it matters.
+		// The daemon that saw them complete still reports it when it matters.
 		f.crash("e2", "v1", map[*testDaemon][]Hash{f.daemons[1]: cut[:1]})
 		f.crash("e3", "v1", map[*testDaemon][]Hash{f.daemons[2]: cut[:1]})
 		time.Sleep(time.Second)
@@ -359,26 +363,28 @@
 	})
 }
 
-// TestPartOfTheDaemonsLearnsFromTheStore: a part that no report reaches.
-func TestPartOfTheDaemonsLearnsFromTheStore(t *testing.T) {
-	ofFleet(t, 4, func(f *testFleet) {
+// TestPartitionedDaemonLearnsFromStore checks that a daemon that no report reaches learns of a
+// quarantined request from the store.
+func TestPartitionedDaemonLearnsFromStore(t *testing.T) {
+	runFleet(t, 4, func(f *testFleet) {
 		f.mu.Lock()
 		f.daemons[3].part = 1
 		f.mu.Unlock()
 		for i := range Conviction {
-			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i]: {culprit}})
+			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i]: {crasher}})
 			time.Sleep(100 * time.Millisecond)
 		}
-		// Each daemon leaves the writing to those before it for a while.
-		time.Sleep(4 * writePause)
-		f.c.Check(f.held(culprit), qt.HasLen, 4)
+		// Daemons write a record one after the other, by rank.
+		time.Sleep(4 * writeStagger)
+		f.c.Check(f.held(crasher), qt.HasLen, 4)
 	})
 }
 
-// TestPowerLostByAllDaemonsFreesNothing: none has a disk.
-func TestPowerLostByAllDaemonsFreesNothing(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
-		f.convictAt(culprit)
+// TestQuarantineSurvivesLossOfAllDaemons checks that requests stay held after all daemons have
+// lost power. None of them has a disk.
+func TestQuarantineSurvivesLossOfAllDaemons(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
+		f.crashThreeEngines(crasher)
 		time.Sleep(time.Second)
 		f.stopAll()
 		f.mu.Lock()
@@ -388,24 +394,24 @@
 			f.add(fmt.Sprint("new", i))
 		}
 		time.Sleep(time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 3)
+		f.c.Check(f.held(crasher), qt.HasLen, 3)
 		for range 100 {
-			f.c.Check(f.daemons[0].Retry(f.t.Context(), culprit, time.Now()), qt.IsFalse)
+			f.c.Check(f.daemons[0].Retry(f.t.Context(), crasher, time.Now()), qt.IsFalse)
 			time.Sleep(time.Second)
 		}
 	})
 }
 
-// TestTiedRequestsAreToldApartByOneRetryEach: each retry is given to one daemon, whatever
-// the number that asks at the same moment.
-func TestTiedRequestsAreToldApartByOneRetryEach(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
+// TestEachRetryIsGrantedToOneDaemon guards against granting a retry to several daemons that ask
+// at the same time. One retry is enough to distinguish two tied requests.
+func TestEachRetryIsGrantedToOneDaemon(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
 		for i := range Conviction {
-			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {culprit}, f.daemons[1]: {a}})
+			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {crasher}, f.daemons[1]: {a}})
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 3)
+		f.c.Check(f.held(crasher), qt.HasLen, 3)
 		f.c.Check(f.held(a), qt.HasLen, 3)
 
 		granted := 0
@@ -413,7 +419,7 @@
 		var mu sync.Mutex
 		for _, d := range f.daemons {
 			asking.Go(func() {
-				if d.Retry(f.t.Context(), culprit, time.Now()) {
+				if d.Retry(f.t.Context(), crasher, time.Now()) {
 					mu.Lock()
 					defer mu.Unlock()
 					granted++
@@ -422,22 +428,22 @@
 		}
 		asking.Wait()
 		f.c.Check(granted, qt.Equals, 1)
-		f.crash("e9", "v1", map[*testDaemon][]Hash{f.daemons[2]: {culprit}})
+		f.crash("e9", "v1", map[*testDaemon][]Hash{f.daemons[2]: {crasher}})
 		time.Sleep(3 * time.Second)
-		// The other one is explained, without a retry of its own.
+		// The crashes of the other one are explained now, without a retry of its own.
 		f.c.Check(f.held(a), qt.HasLen, 0)
-		f.c.Check(f.held(culprit), qt.HasLen, 3)
+		f.c.Check(f.held(crasher), qt.HasLen, 3)
 		f.c.Check(f.records(), qt.HasLen, 1)
-		f.c.Check(f.records()[culprit].Tied, qt.IsFalse)
-		f.c.Check(f.records()[culprit].RetriesLeft, qt.Equals, lifeRetries-1)
-		f.c.Check(f.daemons[0].Retry(f.t.Context(), culprit, time.Now()), qt.IsFalse)
+		f.c.Check(f.records()[crasher].Tied, qt.IsFalse)
+		f.c.Check(f.records()[crasher].RetriesLeft, qt.Equals, maxRetries-1)
+		f.c.Check(f.daemons[0].Retry(f.t.Context(), crasher, time.Now()), qt.IsFalse)
 	})
 }
 
-func TestTiedRequestThatEndsWellIsReleasedEverywhere(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
+func TestCompletedTiedRequestIsReleasedEverywhere(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
 		for i := range Conviction {
-			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {culprit, a}})
+			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {crasher, a}})
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(2 * time.Second)
@@ -445,15 +451,16 @@
 		f.daemons[1].Completed(a, time.Now())
 		time.Sleep(2 * time.Second)
 		f.c.Check(f.held(a), qt.HasLen, 0)
-		f.c.Check(f.held(culprit), qt.HasLen, 3)
+		f.c.Check(f.held(crasher), qt.HasLen, 3)
 		f.c.Check(f.records(), qt.HasLen, 1)
 	})
 }
 
-// TestRetriesOfALifeAreBounded: whatever daemons start, versions change and time passes.
-func TestRetriesOfALifeAreBounded(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
-		f.convictAt(culprit)
+// TestRetriesAreBounded guards against further retries after daemons restart, versions change
+// or time passes.
+func TestRetriesAreBounded(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
+		f.crashThreeEngines(crasher)
 		time.Sleep(2 * time.Second)
 		granted := 0
 		for n := range 15 {
@@ -461,12 +468,12 @@
 			f.versions = []string{fmt.Sprint("v", n+2)}
 			f.mu.Unlock()
 			for _, d := range f.daemons {
-				if d.Retry(f.t.Context(), culprit, time.Now()) {
+				if d.Retry(f.t.Context(), crasher, time.Now()) {
 					granted++
-					f.crash(fmt.Sprint("r", n), fmt.Sprint("v", n+2), map[*testDaemon][]Hash{d: {culprit}})
+					f.crash(fmt.Sprint("r", n), fmt.Sprint("v", n+2), map[*testDaemon][]Hash{d: {crasher}})
 				}
 			}
-			time.Sleep(heldFor / 4)
+			time.Sleep(holdPeriod / 4)
 			f.daemons[n%3].stop()
 			f.mu.Lock()
 			f.daemons = slices.Delete(f.daemons, n%3, n%3+1)
@@ -474,62 +481,64 @@
 			f.add(fmt.Sprint("again", n))
 			time.Sleep(time.Second)
 		}
-		f.c.Check(granted, qt.Equals, lifeRetries)
-		f.c.Check(f.held(culprit), qt.HasLen, 3)
+		f.c.Check(granted, qt.Equals, maxRetries)
+		f.c.Check(f.held(crasher), qt.HasLen, 3)
 	})
 }
 
-// TestNewVersionOfTheServiceIsTriedOnce: the versions that it crashed serve no more.
-func TestNewVersionOfTheServiceIsTriedOnce(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
-		f.convictAt(culprit)
+// TestNewVersionIsRetriedOnce checks that a request is retried once none of the versions that
+// it crashed serves any more.
+func TestNewVersionIsRetriedOnce(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
+		f.crashThreeEngines(crasher)
 		time.Sleep(2 * time.Second)
 		f.mu.Lock()
-		f.versions = []string{"v1", "v2"} // Beside each other, while v2 is brought in.
+		f.versions = []string{"v1", "v2"} // Side by side, while v2 is introduced.
 		f.mu.Unlock()
-		f.c.Check(f.daemons[0].Retry(f.t.Context(), culprit, time.Now()), qt.IsFalse)
+		f.c.Check(f.daemons[0].Retry(f.t.Context(), crasher, time.Now()), qt.IsFalse)
 		f.mu.Lock()
 		f.versions = []string{"v2"}
 		f.mu.Unlock()
-		f.c.Assert(f.daemons[0].Retry(f.t.Context(), culprit, time.Now()), qt.IsTrue)
-		f.daemons[0].Completed(culprit, time.Now())
+		f.c.Assert(f.daemons[0].Retry(f.t.Context(), crasher, time.Now()), qt.IsTrue)
+		f.daemons[0].Completed(crasher, time.Now())
 		time.Sleep(2 * time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 0)
+		f.c.Check(f.held(crasher), qt.HasLen, 0)
 		f.c.Check(f.records(), qt.HasLen, 0)
 	})
 }
 
 func TestOperatorClearsAtOneDaemonOrInTheStore(t *testing.T) {
 	for name, clear := range map[string]func(f *testFleet){
-		"daemon": func(f *testFleet) { f.c.Check(f.daemons[1].Clear(culprit), qt.IsTrue) },
+		"daemon": func(f *testFleet) { f.c.Check(f.daemons[1].Clear(crasher), qt.IsTrue) },
 		"store": func(f *testFleet) {
-			r := f.records()[culprit]
-			f.c.Check(f.store.Delete(context.Background(), key(culprit), r.Revision), qt.IsNil)
+			r := f.records()[crasher]
+			f.c.Check(f.store.Delete(context.Background(), key(crasher), r.Revision), qt.IsNil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ofFleet(t, 3, func(f *testFleet) {
-				f.convictAt(culprit)
+			runFleet(t, 3, func(f *testFleet) {
+				f.crashThreeEngines(crasher)
 				time.Sleep(2 * time.Second)
 				f.c.Check(f.daemons[0].Entries(), qt.HasLen, 1)
 				clear(f)
 				time.Sleep(2 * time.Second)
-				f.c.Check(f.held(culprit), qt.HasLen, 0)
+				f.c.Check(f.held(crasher), qt.HasLen, 0)
 				f.c.Check(f.records(), qt.HasLen, 0)
-				f.c.Check(f.daemons[2].Clear(culprit), qt.IsFalse)
+				f.c.Check(f.daemons[2].Clear(crasher), qt.IsFalse)
 			})
 		})
 	}
 }
 
-// TestSendsUnderWayEnd: one that waits in the queue of another engine does not come to run.
-func TestSendsUnderWayEnd(t *testing.T) {
-	ofFleet(t, 2, func(f *testFleet) {
-		waiting, send := f.daemons[1].Sending(f.t.Context(), culprit)
+// TestSendsInProgressAreCancelled guards against starting a quarantined request that waits in
+// the queue of another engine.
+func TestSendsInProgressAreCancelled(t *testing.T) {
+	runFleet(t, 2, func(f *testFleet) {
+		waiting, send := f.daemons[1].Sending(f.t.Context(), crasher)
 		defer send.Done()
 		other, otherSend := f.daemons[1].Sending(f.t.Context(), a)
 		defer otherSend.Done()
-		f.convictAt(culprit)
+		f.crashThreeEngines(crasher)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		f.c.Check(context.Cause(waiting), qt.Equals, ErrQuarantined)
@@ -537,11 +546,11 @@
 	})
 }
 
-// TestRequestInProgressElsewhereClearsItself: a third of the engines end together while a
-// popular request that never ended yet runs at all of them. The other answers go on, and
-// the first that ends well clears it.
-func TestRequestInProgressElsewhereClearsItself(t *testing.T) {
-	ofFleet(t, 3, func(f *testFleet) {
+// TestCompletionElsewhereReleasesRequest covers a third of the engines crashing together while
+// a popular request that has not completed yet runs on all of them. The other answers continue,
+// and the first one that completes releases the request.
+func TestCompletionElsewhereReleasesRequest(t *testing.T) {
+	runFleet(t, 3, func(f *testFleet) {
 		running, send := f.daemons[1].Sending(f.t.Context(), a)
 		defer send.Done()
 		send.Begun()
@@ -559,38 +568,39 @@
 	})
 }
 
-// TestBlameFallsOnTheVersionOnlyWithoutACulprit: a new version that ends under a request
-// that ends every version is as good as the one before.
-func TestBlameFallsOnTheVersionOnlyWithoutACulprit(t *testing.T) {
-	ofFleet(t, 1, func(f *testFleet) {
+// TestFailuresCountOnlyWithoutCrasher guards against counting crashes that a quarantined
+// request causes on every version as failures of a new version.
+func TestFailuresCountOnlyWithoutCrasher(t *testing.T) {
+	runFleet(t, 1, func(f *testFleet) {
 		var mu sync.Mutex
-		blamed := make(map[string]int)
+		counted := make(map[string]int)
 		crash := func(id string, hashes ...Hash) {
 			e := inventory.Engine{ID: id, Service: "llm", Version: "v2", Address: id}
 			f.mu.Lock()
 			f.down[id] = true
 			f.mu.Unlock()
 			for _, h := range hashes {
-				f.daemons[0].Broke(e, h, time.Now(), func() { mu.Lock(); defer mu.Unlock(); blamed[id[:1]]++ })
+				f.daemons[0].Broke(e, h, time.Now(), func() { mu.Lock(); defer mu.Unlock(); counted[id[:1]]++ })
 			}
 		}
 		for i := range 5 {
-			crash(fmt.Sprint("explained", i), culprit, Hash{1, byte(i)}, Hash{2, byte(i)})
+			crash(fmt.Sprint("explained", i), crasher, Hash{1, byte(i)}, Hash{2, byte(i)})
 			crash(fmt.Sprint("unexplained", i), Hash{3, byte(i)}, Hash{4, byte(i)})
 			time.Sleep(50 * time.Millisecond)
 		}
-		time.Sleep(blameWait + time.Second)
+		time.Sleep(failureCountDelay + time.Second)
 		synctest.Wait()
 		mu.Lock()
 		defer mu.Unlock()
-		f.c.Check(blamed, qt.DeepEquals, map[string]int{"u": 10})
+		f.c.Check(counted, qt.DeepEquals, map[string]int{"u": 10})
 	})
 }
 
-// TestEndsOfManyEnginesCostFewMessages: a data centre of a large fleet loses power.
-func TestEndsOfManyEnginesCostFewMessages(t *testing.T) {
+// TestCrashesOfManyEnginesCostFewMessages covers the loss of power of a data centre in a large
+// fleet.
+func TestCrashesOfManyEnginesCostFewMessages(t *testing.T) {
 	const daemons, engines, cutEach = 300, 50, 24
-	ofFleet(t, daemons, func(f *testFleet) {
+	runFleet(t, daemons, func(f *testFleet) {
 		for i := range engines {
 			cut := make(map[*testDaemon][]Hash)
 			for j := range cutEach {
--- a/quarantine/handler.go
+++ b/quarantine/handler.go
@@ -10,11 +10,11 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Path is where operators see what is in quarantine. DELETE with a hash behind it clears
-// one entry.
+// Path is the URL path of the list of quarantined requests. DELETE on Path/HASH clears one
+// entry.
 const Path = "/quarantine"
 
-// Handler returns the operators' view: the list, and the clearing of an entry. It has no
+// Handler returns the operators' HTTP handler, which lists and clears entries. It has no
 // authentication, so its listener belongs on a private address.
 func (q *Quarantine) Handler() http.Handler {
 	router := bunrouter.New().Compat()
@@ -41,10 +41,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(data) // An operator who is gone can't be told.
+	_, _ = w.Write(data) // The client may have disconnected.
 }
 
-// serveClear clears one entry: 204, 404 when it is not in quarantine, 400 for no hash.
+// serveClear clears one entry. It answers 204, 404 if the request is not in quarantine, or 400
+// if the hash is malformed.
 func (q *Quarantine) serveClear(w http.ResponseWriter, r *http.Request) {
 	h, ok := ParseHash(bunrouter.ParamsFromContext(r.Context()).ByName("hash"))
 	switch {
--- a/quarantine/handler_test.go
+++ b/quarantine/handler_test.go
@@ -13,9 +13,9 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-func TestOperatorsSeeAndClearEntries(t *testing.T) {
-	ofFleet(t, 2, func(f *testFleet) {
-		f.convictAt(culprit)
+func TestHandlerListsAndClearsEntries(t *testing.T) {
+	runFleet(t, 2, func(f *testFleet) {
+		f.crashThreeEngines(crasher)
 		time.Sleep(2 * time.Second)
 		ask := func(method, path string) (int, string) {
 			w := httptest.NewRecorder()
@@ -30,19 +30,19 @@
 		f.c.Assert(protojson.Unmarshal([]byte(text), &list), qt.IsNil)
 		f.c.Assert(list.GetEntries(), qt.HasLen, 1)
 		entry := list.GetEntries()[0]
-		f.c.Check(entry.GetHash(), qt.Equals, culprit.String())
+		f.c.Check(entry.GetHash(), qt.Equals, crasher.String())
 		f.c.Check(entry.GetEngines(), qt.DeepEquals, []string{"e0", "e1", "e2"})
-		f.c.Check(entry.GetRetriesLeft(), qt.Equals, uint32(lifeRetries))
+		f.c.Check(entry.GetRetriesLeft(), qt.Equals, uint32(maxRetries))
 		f.c.Check(entry.GetFirstAgeMs() >= 2000, qt.IsTrue)
 
 		code, _ = ask(http.MethodDelete, Path+"/none")
 		f.c.Check(code, qt.Equals, http.StatusBadRequest)
 		code, _ = ask(http.MethodDelete, Path+"/"+a.String())
 		f.c.Check(code, qt.Equals, http.StatusNotFound)
-		code, _ = ask(http.MethodDelete, Path+"/"+culprit.String())
+		code, _ = ask(http.MethodDelete, Path+"/"+crasher.String())
 		f.c.Check(code, qt.Equals, http.StatusNoContent)
 		time.Sleep(2 * time.Second)
-		f.c.Check(f.held(culprit), qt.HasLen, 0)
+		f.c.Check(f.held(crasher), qt.HasLen, 0)
 		_, text = ask(http.MethodGet, Path)
 		f.c.Check(text, qt.Equals, "{}")
 	})
--- a/quarantine/hash.go
+++ b/quarantine/hash.go
@@ -1,6 +1,7 @@
-// Package quarantine finds the requests that crash the engines that run them, and keeps
-// them away from engines. Such a request comes again under other ids, from its caller and
-// by repeats of daemons, so nothing that one daemon knows of one attempt tells.
+// Package quarantine identifies the requests that crash the engines that run them, and keeps
+// them away from engines. Such a request comes back with other ids, because its caller repeats
+// it or daemons retry it. So it is identified by its content, and the crashes that all daemons
+// detect count together.
 package quarantine
 
 import (
@@ -11,15 +12,15 @@
 	"io"
 )
 
-// Hash identifies the work that a request asks for, whatever its id, connection, session
-// or daemon. It is cryptographic, so that no organisation can craft a request that counts
-// as another one's.
+// Hash identifies the work that a request asks for, independently of its id, connection,
+// session and daemon. It is cryptographic, so that no organisation can craft a request that
+// counts as one of another organisation.
 type Hash [16]byte
 
-// String returns the hash as in logs.
+// String returns the hash in hexadecimal, as in logs.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// Strings returns hashes as in logs.
+// Strings returns the hashes in hexadecimal, as in logs.
 func Strings(hashes []Hash) []string {
 	texts := make([]string, len(hashes))
 	for i, h := range hashes {
@@ -28,7 +29,7 @@
 	return texts
 }
 
-// ParseHash reads what String returns. It reports false for anything else.
+// ParseHash parses the output of String. It reports false for any other text.
 func ParseHash(text string) (Hash, bool) {
 	var h Hash
 	data, err := hex.DecodeString(text)
@@ -39,26 +40,26 @@
 	return h, h.String() == text
 }
 
-// Hasher takes in a request.
+// Hasher computes the Hash of a request.
 type Hasher struct{ digest hash.Hash }
 
-// NewHasher returns a Hasher of a request of an organisation, "" for none, to a host and
-// target, without its body.
+// NewHasher returns a Hasher for a request of an organisation, "" for none, to a host and a
+// target. The body is added by Write.
 func NewHasher(organisation, method, host, target string) *Hasher {
 	h := &Hasher{digest: sha256.New()}
 	for _, part := range []string{organisation, method, host, target} {
 		var size [8]byte
 		binary.LittleEndian.PutUint64(size[:], uint64(len(part)))
-		_, _ = h.digest.Write(size[:]) // A hash takes every write.
+		_, _ = h.digest.Write(size[:]) // Writes to a hash never fail.
 		_, _ = io.WriteString(h.digest, part)
 	}
 	return h
 }
 
-// Write takes in a piece of the body. It never fails.
+// Write adds a part of the body. It never fails.
 func (h *Hasher) Write(p []byte) (int, error) { return h.digest.Write(p) }
 
-// Sum returns the hash of what was taken in.
+// Sum returns the hash of the request so far.
 func (h *Hasher) Sum() (sum Hash) {
 	copy(sum[:], h.digest.Sum(nil))
 	return sum
--- a/quarantine/hash_test.go
+++ b/quarantine/hash_test.go
@@ -15,7 +15,7 @@
 	return h.Sum()
 }
 
-func TestHashDependsOnTheWholeRequestAndOnNothingElse(t *testing.T) {
+func TestHashDependsOnWholeRequestOnly(t *testing.T) {
 	c := qt.New(t)
 	first := hashOf("org-1", "POST", "a.example", "/x/1?q=2", []byte("body"))
 	c.Check(hashOf("org-1", "POST", "a.example", "/x/1?q=2", []byte("bo"), []byte("dy")), qt.Equals, first)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestHashIsReadBack(t *testing.T) {
+func TestHashRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Hash
 		copy(h[:], rapid.SliceOfN(rapid.Byte(), len(h), len(h)).Draw(t, "hash"))
@@ -47,7 +47,7 @@
 	})
 }
 
-// BenchmarkHash is what a hash adds to a request with a long prompt.
+// BenchmarkHash measures the time that hashing adds to a request with a long prompt.
 func BenchmarkHash(b *testing.B) {
 	body := make([]byte, 48<<10)
 	b.SetBytes(int64(len(body)))
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -4,100 +4,101 @@
 	"time"
 )
 
-// judge takes in what the evidence says now.
-func (q *Quarantine) judge(now time.Time) {
+// evaluate applies the verdicts that the evidence gives now.
+func (q *Quarantine) evaluate(now time.Time) {
 	verdicts := make(map[Hash]Verdict)
-	for _, v := range q.evidence.Judge(now) {
+	for _, v := range q.evidence.Evaluate(now) {
 		verdicts[v.Hash] = v
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	changed := false
 	for h, v := range verdicts {
-		known := q.convicted[h]
+		known := q.verdicts[h]
 		if known == nil || known.Tied != v.Tied {
 			changed = true
-			q.convict(v, now)
-			// Sends under way that wait in an engine's queue must not come to run.
-			defer q.endSends(v)
+			q.addVerdict(v, now)
+			// Sends that still wait in an engine's queue must not be started.
+			defer q.cancelSends(v)
 			continue
 		}
 		known.Verdict = v
 	}
-	for h := range q.convicted {
-		if _, still := verdicts[h]; !still && q.evidence.Ends(h) >= Conviction {
+	for h := range q.verdicts {
+		if _, still := verdicts[h]; !still && q.evidence.Crashes(h) >= Conviction {
 			changed = q.releaseLocked(h, "another request explains the ends") || changed
 		}
 	}
 	if changed {
-		q.compile()
+		q.rebuildHeld()
 	}
 }
 
-// convict notes a verdict that is new or has changed. The caller holds mu.
-func (q *Quarantine) convict(v Verdict, now time.Time) {
+// addVerdict records a new or changed verdict. The caller holds mu.
+func (q *Quarantine) addVerdict(v Verdict, now time.Time) {
 	since := now
-	if known := q.convicted[v.Hash]; known != nil {
+	if known := q.verdicts[v.Hash]; known != nil {
 		since = known.since
 	}
-	q.convicted[v.Hash] = &conviction{Verdict: v, since: since}
+	q.verdicts[v.Hash] = &activeVerdict{Verdict: v, since: since}
 	delete(q.released, v.Hash)
 	q.Log.Warn().Stringer("hash", v.Hash).Str("service", v.Service).Strs("versions", v.Versions).Strs("engines", v.Engines).
 		Bool("tied", v.Tied).Dur("first_age_ms", now.Sub(v.First)).Dur("last_age_ms", now.Sub(v.Last)).
 		Msg("request put into quarantine")
 }
 
-// endSends ends the sends in progress of a request that is surely to blame. It must be
-// called after compile, so that no send can begin unseen.
-func (q *Quarantine) endSends(v Verdict) {
+// cancelSends cancels the sends in progress of a request whose verdict is not tied. It must be
+// called after rebuildHeld, so that no send can begin unnoticed.
+func (q *Quarantine) cancelSends(v Verdict) {
 	if v.Tied {
 		return
 	}
-	if ended := q.sends.end(v.Hash); ended > 0 {
-		q.Log.Info().Stringer("hash", v.Hash).Int("sends", ended).Msg("sends of a request in quarantine ended")
+	if cancelled := q.sends.cancelAll(v.Hash); cancelled > 0 {
+		q.Log.Info().Stringer("hash", v.Hash).Int("sends", cancelled).Msg("sends of a request in quarantine ended")
 	}
 }
 
-// release lets a request go.
+// release releases a request from quarantine.
 func (q *Quarantine) release(h Hash, reason string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.releaseLocked(h, reason) {
-		q.compile()
+		q.rebuildHeld()
 	}
 }
 
-// releaseLocked lets a request go and tells whether it was held. The caller holds mu and
-// calls compile after it.
+// releaseLocked releases a request from quarantine and reports whether it was held. The caller
+// holds mu and calls rebuildHeld afterwards.
 func (q *Quarantine) releaseLocked(h Hash, reason string) bool {
 	_, recorded := q.records[h]
-	_, known := q.convicted[h]
+	_, known := q.verdicts[h]
 	if recorded && !q.released[h] {
 		q.released[h] = true
 	} else if !known {
 		return false
 	}
-	delete(q.convicted, h)
+	delete(q.verdicts, h)
 	q.Log.Info().Stringer("hash", h).Str("reason", reason).Msg("request released from quarantine")
 	return true
 }
 
-// forget drops all that is held against a request.
+// forget discards all evidence against a request and releases it.
 func (q *Quarantine) forget(h Hash, reason string) {
 	q.evidence.Forget(h)
 	q.release(h, reason)
 }
 
-// compile replaces what Held goes by, and has the records looked at. The caller holds mu.
-func (q *Quarantine) compile() {
-	rouse(q.toWrite)
-	held := make(map[Hash]Record, len(q.records)+len(q.convicted))
+// rebuildHeld replaces the set of held requests and wakes the writer of records. The caller
+// holds mu.
+func (q *Quarantine) rebuildHeld() {
+	notify(q.wakeWrites)
+	held := make(map[Hash]Record, len(q.records)+len(q.verdicts))
 	for h, r := range q.records {
 		if !q.released[h] {
 			held[h] = r
 		}
 	}
-	for h, c := range q.convicted {
+	for h, c := range q.verdicts {
 		if _, recorded := held[h]; !recorded {
 			held[h] = Record{Verdict: c.Verdict}
 		}
--- a/quarantine/loops.go
+++ b/quarantine/loops.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	// settlePause is the time between two looks at the evidence while a conviction waits,
-	// writeRest that between two looks at the records while there is something to write.
-	settlePause = 50 * time.Millisecond
-	writeRest   = 250 * time.Millisecond
+	// evaluateInterval is the time between two evaluations of the evidence while a verdict is
+	// pending, writeInterval that between two passes over the records while there is something
+	// to write.
+	evaluateInterval = 50 * time.Millisecond
+	writeInterval    = 250 * time.Millisecond
 )
 
-// Run reports and judges until ctx ends. It never waits for the store.
+// Run publishes reports and evaluates the evidence until ctx ends. It never waits for the
+// store.
 func (q *Quarantine) Run(ctx context.Context) error {
-	return repeat(ctx, q.wake, func() time.Duration {
+	return runOnWake(ctx, q.wake, func() time.Duration {
 		now := time.Now()
 		q.flush()
-		q.judge(now)
-		if q.evidence.unsettled(now) {
-			return settlePause
+		q.evaluate(now)
+		if q.evidence.hasPending(now) {
+			return evaluateInterval
 		}
 		return 0
 	})
@@ -27,17 +29,17 @@
 
 // RunWrites brings the store's records in line with the verdicts until ctx ends.
 func (q *Quarantine) RunWrites(ctx context.Context) error {
-	return repeat(ctx, q.toWrite, func() time.Duration {
-		if q.write(ctx, time.Now()) {
-			return writeRest
+	return runOnWake(ctx, q.wakeWrites, func() time.Duration {
+		if q.writeRecords(ctx, time.Now()) {
+			return writeInterval
 		}
 		return 0
 	})
 }
 
-// repeat calls f after each wake, and again after the time that it returns, zero for at the
-// next wake.
-func repeat(ctx context.Context, wake <-chan struct{}, f func() time.Duration) error {
+// runOnWake calls f after each wake, and again after the time that it returns. If that is zero,
+// the next call follows the next wake.
+func runOnWake(ctx context.Context, wake <-chan struct{}, f func() time.Duration) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -45,7 +47,7 @@
 		case <-wake:
 		}
 		for pause := f(); pause > 0; pause = f() {
-			rest(ctx, wake, pause)
+			waitForWake(ctx, wake, pause)
 			if ctx.Err() != nil {
 				return nil
 			}
@@ -53,8 +55,8 @@
 	}
 }
 
-// rest waits for a pause, a wake or the end of ctx.
-func rest(ctx context.Context, wake <-chan struct{}, pause time.Duration) {
+// waitForWake waits until pause has passed, wake is signalled or ctx ends.
+func waitForWake(ctx context.Context, wake <-chan struct{}, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -64,8 +66,8 @@
 	}
 }
 
-// rouse wakes who waits on a channel.
-func rouse(wake chan<- struct{}) {
+// notify signals wake without blocking.
+func notify(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// Kind is the kind of the records in the store, one object for each request.
+	// Kind is the kind of the records in the store. There is one object for each request.
 	Kind = "quarantine"
-	// lifeRetries is how many times a request may be sent to an engine after its
-	// conviction, over the whole life of its record: operators allow three, and one is
-	// kept for sends under way that no daemon saw crash an engine.
-	lifeRetries = 2
-	// retryPause is the least time between two of them.
-	retryPause = 10 * time.Second
-	// heldFor is the time after which a request may be sent again although nothing changed.
-	heldFor = time.Hour
+	// maxRetries is how many times a request may be sent to an engine after its verdict, over
+	// the whole life of its record. Operators accept three further crashes; one of them is
+	// reserved for sends in progress whose crash no daemon has detected.
+	maxRetries = 2
+	// minRetryInterval is the least time between two retries.
+	minRetryInterval = 10 * time.Second
+	// holdPeriod is the time after which a request may be retried although nothing has changed.
+	holdPeriod = time.Hour
 )
 
-// Record keeps one request away from engines. It is what the store holds.
+// Record keeps one request away from engines. It is stored in the object store.
 type Record struct {
 	Verdict
-	// RetriesLeft is how many times the request may be sent again, Retried when it was.
+	// RetriesLeft is how many more times the request may be sent, Retried the time of the last
+	// retry.
 	RetriesLeft int
 	Retried     time.Time
-	// Daemon wrote the record.
+	// Daemon is the name of the daemon that wrote the record.
 	Daemon string
-	// Revision is that of the store.
+	// Revision is the record's revision in the store.
 	Revision uint64
 }
 
-// RecordError reports a record of the store that cannot be read.
+// RecordError reports a record in the store that cannot be decoded.
 type RecordError struct {
 	Name  string
 	Cause error
@@ -44,22 +45,22 @@
 // Error implements error.
 func (e *RecordError) Error() string { return fmt.Sprintf("record %s: %v", e.Name, e.Cause) }
 
-// Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// key returns the record's key in the store.
+// key returns the key of a request's record in the store.
 func key(h Hash) string { return Kind + "/" + h.String() }
 
-// encode returns the record as the store holds it.
+// encode returns the record in the encoding of the store.
 func (r *Record) encode() ([]byte, error) {
 	return proto.Marshal(&bronzeturnv1.QuarantineRecord{
 		Hash: r.Hash[:], Service: r.Service, Versions: r.Versions, Engines: r.Engines,
 		FirstMs: r.First.UnixMilli(), LastMs: r.Last.UnixMilli(), Tied: r.Tied,
-		RetriesLeft: uint32(r.RetriesLeft), RetriedMs: millisOf(r.Retried), Daemon: r.Daemon,
+		RetriesLeft: uint32(r.RetriesLeft), RetriedMs: unixMillis(r.Retried), Daemon: r.Daemon,
 	})
 }
 
-// DecodeRecord reads a record of the store under its name. The error is a *RecordError.
+// DecodeRecord decodes the record that the store has under the given name. Errors are of type
+// *RecordError.
 func DecodeRecord(name string, revision uint64, data []byte) (Record, error) {
 	var m bronzeturnv1.QuarantineRecord
 	if err := proto.Unmarshal(data, &m); err != nil {
@@ -67,55 +68,54 @@
 	}
 	h, ok := ParseHash(name)
 	if !ok || string(m.GetHash()) != string(h[:]) {
-		return Record{}, &RecordError{Name: name, Cause: errName}
+		return Record{}, &RecordError{Name: name, Cause: errNameMismatch}
 	}
 	return Record{
 		Verdict: Verdict{
 			Hash: h, Service: m.GetService(), Versions: m.GetVersions(), Engines: m.GetEngines(),
 			First: time.UnixMilli(m.GetFirstMs()), Last: time.UnixMilli(m.GetLastMs()), Tied: m.GetTied(),
 		},
-		RetriesLeft: int(m.GetRetriesLeft()), Retried: timeOf(m.GetRetriedMs()), Daemon: m.GetDaemon(), Revision: revision,
+		RetriesLeft: int(m.GetRetriesLeft()), Retried: timeFromMillis(m.GetRetriedMs()), Daemon: m.GetDaemon(), Revision: revision,
 	}, nil
 }
 
-var errName = fmt.Errorf("the name is not the request's hash")
+var errNameMismatch = fmt.Errorf("the name is not the request's hash")
 
-// millisOf returns Unix milliseconds, 0 for the zero time.
-func millisOf(t time.Time) int64 {
+// unixMillis returns t in Unix milliseconds, 0 for the zero time.
+func unixMillis(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-// timeOf is the reverse of millisOf.
-func timeOf(ms int64) time.Time {
+// timeFromMillis is the inverse of unixMillis.
+func timeFromMillis(ms int64) time.Time {
 	if ms == 0 {
 		return time.Time{}
 	}
 	return time.UnixMilli(ms)
 }
 
-// messageOf encodes an end for other daemons.
-func messageOf(end End) *bronzeturnv1.EndedEngine {
+// encodeCrash encodes a crash for other daemons.
+func encodeCrash(crash Crash) *bronzeturnv1.EndedEngine {
 	return &bronzeturnv1.EndedEngine{
-		Id: end.Engine.ID, StartedMs: millisOf(end.Engine.Started), Service: end.Engine.Service,
-		Version: end.Engine.Version, Address: end.Engine.Address, Requests: bytesOf(end.Requests),
+		Id: crash.Engine.ID, StartedMs: unixMillis(crash.Engine.Started), Service: crash.Engine.Service,
+		Version: crash.Engine.Version, Address: crash.Engine.Address, Requests: encodeHashes(crash.Requests),
 	}
 }
 
-// endOf decodes an end that another daemon told.
-func endOf(m *bronzeturnv1.EndedEngine, now time.Time) End {
-	return End{
+// decodeCrash decodes a crash that another daemon reported.
+func decodeCrash(m *bronzeturnv1.EndedEngine, now time.Time) Crash {
+	return Crash{
 		Engine: inventory.Engine{
-			ID: m.GetId(), Started: timeOf(m.GetStartedMs()), Service: m.GetService(), Version: m.GetVersion(), Address: m.GetAddress(),
+			ID: m.GetId(), Started: timeFromMillis(m.GetStartedMs()), Service: m.GetService(), Version: m.GetVersion(), Address: m.GetAddress(),
 		},
-		Requests: hashesOf(m.GetRequests()), At: now, Cause: CauseTold,
+		Requests: decodeHashes(m.GetRequests()), At: now, Cause: CauseReported,
 	}
 }
 
-// bytesOf encodes hashes.
-func bytesOf(hashes []Hash) [][]byte {
+func encodeHashes(hashes []Hash) [][]byte {
 	list := make([][]byte, len(hashes))
 	for i := range hashes {
 		list[i] = hashes[i][:]
@@ -123,8 +123,8 @@
 	return list
 }
 
-// hashesOf decodes hashes. What is none is left out.
-func hashesOf(list [][]byte) []Hash {
+// decodeHashes decodes hashes and skips those of a wrong length.
+func decodeHashes(list [][]byte) []Hash {
 	var hashes []Hash
 	for _, data := range list {
 		if h := (Hash{}); len(data) == len(h) {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestRecordIsReadBack(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{
 			Verdict: Verdict{
@@ -20,7 +20,7 @@
 				First:    time.UnixMilli(rapid.Int64Range(1, 1<<40).Draw(t, "first")), Last: time.UnixMilli(rapid.Int64Range(1, 1<<40).Draw(t, "last")),
 				Tied: rapid.Bool().Draw(t, "tied"),
 			},
-			RetriesLeft: rapid.IntRange(0, lifeRetries).Draw(t, "left"), Daemon: "d", Revision: 7,
+			RetriesLeft: rapid.IntRange(0, maxRetries).Draw(t, "left"), Daemon: "d", Revision: 7,
 		}
 		if rapid.Bool().Draw(t, "retried") {
 			r.Retried = time.UnixMilli(rapid.Int64Range(1, 1<<40).Draw(t, "at"))
@@ -39,20 +39,21 @@
 	})
 }
 
-// TestRecordOfAnotherWriterIsRefused: what holds a request back has to be sure of which.
-func TestRecordOfAnotherWriterIsRefused(t *testing.T) {
+// TestRecordUnderAnotherNameIsRejected guards against holding back a request on the strength of
+// a record that does not identify it reliably.
+func TestRecordUnderAnotherNameIsRejected(t *testing.T) {
 	c := qt.New(t)
-	r := Record{Verdict: Verdict{Hash: culprit}}
+	r := Record{Verdict: Verdict{Hash: crasher}}
 	data, err := r.encode()
 	c.Assert(err, qt.IsNil)
 	for name, value := range map[string][]byte{
 		a.String():             data,
 		"none":                 data,
-		culprit.String():       []byte("no message"),
-		culprit.String() + "0": data,
+		crasher.String():       []byte("no message"),
+		crasher.String() + "0": data,
 	} {
 		_, err := DecodeRecord(name, 1, value)
-		var refused *RecordError
-		c.Check(errors.As(err, &refused), qt.IsTrue, qt.Commentf(name))
+		var recordErr *RecordError
+		c.Check(errors.As(err, &recordErr), qt.IsTrue, qt.Commentf(name))
 	}
 }
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -10,32 +10,32 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// write brings the store's records in line with the verdicts, as far as it is this daemon's
-// turn, and tells whether something is left to do.
-func (q *Quarantine) write(ctx context.Context, now time.Time) (more bool) {
-	for _, c := range q.unwritten() {
+// writeRecords brings the store's records in line with the verdicts, as far as it is this
+// daemon's turn, and reports whether there is more to do.
+func (q *Quarantine) writeRecords(ctx context.Context, now time.Time) (more bool) {
+	for _, c := range q.missingRecords() {
 		more = true
-		if q.due(c.Hash, c.since, now) {
-			q.create(ctx, c, now)
+		if q.writeDue(c.Hash, c.since, now) {
+			q.createRecord(ctx, c, now)
 		}
 	}
-	for _, c := range q.outdated() {
+	for _, c := range q.staleRecords() {
 		if q.Place(c.Hash) != 0 {
 			continue
 		}
 		more = true
-		if q.due(c.Hash, now, now) {
-			q.change(ctx, c)
+		if q.writeDue(c.Hash, now, now) {
+			q.applyChange(ctx, c)
 		}
 	}
 	return more
 }
 
-// unwritten are the convictions without a record.
-func (q *Quarantine) unwritten() (list []conviction) {
+// missingRecords returns the verdicts without a record.
+func (q *Quarantine) missingRecords() (list []activeVerdict) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for h, c := range q.convicted {
+	for h, c := range q.verdicts {
 		if _, ok := q.records[h]; !ok {
 			list = append(list, *c)
 		}
@@ -43,21 +43,22 @@
 	return list
 }
 
-// due tells whether it is this daemon's turn to write a record that is missing since a
-// moment.
-func (q *Quarantine) due(h Hash, since, now time.Time) bool {
+// writeDue reports whether it is this daemon's turn to write a record that has been missing
+// since the given time.
+func (q *Quarantine) writeDue(h Hash, since, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.tried[h]) < writePause || now.Sub(since) < time.Duration(max(q.Place(h), 0))*writePause {
+	if now.Sub(q.lastWriteAttempt[h]) < writeStagger || now.Sub(since) < time.Duration(max(q.Place(h), 0))*writeStagger {
 		return false
 	}
-	q.tried[h] = now
+	q.lastWriteAttempt[h] = now
 	return true
 }
 
-// create writes a new record. One that is there already comes with the next list.
-func (q *Quarantine) create(ctx context.Context, c conviction, now time.Time) {
-	r := Record{Verdict: c.Verdict, RetriesLeft: lifeRetries, Daemon: q.Self}
+// createRecord writes a new record. If another daemon has written it already, it arrives with
+// the next list of the store's records.
+func (q *Quarantine) createRecord(ctx context.Context, c activeVerdict, now time.Time) {
+	r := Record{Verdict: c.Verdict, RetriesLeft: maxRetries, Daemon: q.Self}
 	data, err := r.encode()
 	if err != nil {
 		q.Log.Error().Err(err).Stringer("hash", r.Hash).Msg("record not encoded")
@@ -71,73 +72,73 @@
 		return
 	}
 	if err != nil {
-		q.notWritten(r.Hash, err)
+		q.logWriteFailure(r.Hash, err)
 		return
 	}
 	q.Log.Info().Stringer("hash", r.Hash).Dur("after_ms", now.Sub(c.since)).Uint64("revision", object.Revision).Msg("record of a quarantine written")
 	r.Revision = object.Revision
-	q.keep(r)
+	q.applyWritten(r)
 }
 
-// notWritten logs a write that failed, or whose answer did not come. It is tried again
-// while the store's record differs.
-func (q *Quarantine) notWritten(h Hash, err error) {
+// logWriteFailure logs a write that failed or was not answered in time. Writes are repeated as
+// long as the store's record differs.
+func (q *Quarantine) logWriteFailure(h Hash, err error) {
 	q.Log.Warn().Err(err).Stringer("hash", h).Msg("record of a quarantine not written")
 }
 
-// keep takes in a record that this daemon has written.
-func (q *Quarantine) keep(r Record) {
+// applyWritten applies a record that this daemon has written.
+func (q *Quarantine) applyWritten(r Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.records[r.Hash].Revision < r.Revision {
 		records := maps.Clone(q.records)
 		records[r.Hash] = r
 		q.records = records
-		q.compile()
+		q.rebuildHeld()
 	}
 }
 
-// change is a record that the store should have in another form, or not at all.
-type change struct {
+// recordChange is a record to update in the store, or to remove from it.
+type recordChange struct {
 	Record
 	remove bool
 }
 
-// outdated are the records that have to change.
-func (q *Quarantine) outdated() (list []change) {
+// staleRecords returns the changes that the store's records need.
+func (q *Quarantine) staleRecords() (list []recordChange) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for h, r := range q.records {
-		c := q.convicted[h]
+		c := q.verdicts[h]
 		switch {
 		case q.released[h]:
-			list = append(list, change{r, true})
+			list = append(list, recordChange{r, true})
 		case c != nil && len(c.Engines) > len(r.Engines), c != nil && r.Tied != c.Tied:
 			r.Verdict = c.Verdict
-			list = append(list, change{r, false})
+			list = append(list, recordChange{r, false})
 		}
 	}
 	return list
 }
 
-// change brings one record in line. A failure is tried again at the next occasion: until
-// then daemons that start hold the request back without need.
-func (q *Quarantine) change(ctx context.Context, c change) {
+// applyChange updates or removes one record. A failed change is repeated later; until then,
+// daemons that start hold the request unnecessarily.
+func (q *Quarantine) applyChange(ctx context.Context, c recordChange) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if c.remove {
 		if err := q.Store.Delete(ctx, key(c.Hash), c.Revision); err != nil {
-			q.notWritten(c.Hash, err)
+			q.logWriteFailure(c.Hash, err)
 			return
 		}
 		q.Log.Info().Stringer("hash", c.Hash).Msg("record of a quarantine removed")
 		return
 	}
-	q.update(ctx, c.Record)
+	q.updateRecord(ctx, c.Record)
 }
 
-// update replaces a record.
-func (q *Quarantine) update(ctx context.Context, r Record) bool {
+// updateRecord replaces a record and reports whether it succeeded.
+func (q *Quarantine) updateRecord(ctx context.Context, r Record) bool {
 	data, err := r.encode()
 	if err != nil {
 		q.Log.Error().Err(err).Stringer("hash", r.Hash).Msg("record not encoded")
@@ -145,45 +146,45 @@
 	}
 	object, err := q.Store.Update(ctx, key(r.Hash), data, r.Revision)
 	if err != nil {
-		q.notWritten(r.Hash, err)
+		q.logWriteFailure(r.Hash, err)
 		return false
 	}
 	q.Log.Info().Stringer("hash", r.Hash).Bool("tied", r.Tied).Int("retries_left", r.RetriesLeft).
 		Uint64("revision", object.Revision).Msg("record of a quarantine changed")
 	r.Revision = object.Revision
-	q.keep(r)
+	q.applyWritten(r)
 	return true
 }
 
-// Retry asks for one of the few times that a request in quarantine may be sent again: when
-// another one may be to blame, when the versions that it crashed serve no more, or after a
-// long time. The store gives each of them to one daemon.
+// Retry claims one of the few retries of a quarantined request. They are granted when another
+// request may be the cause, when the versions that it crashed no longer serve, or after a long
+// time. The conditional write to the store gives each retry to one daemon only.
 func (q *Quarantine) Retry(ctx context.Context, h Hash, now time.Time) bool {
 	r := (*q.held.Load())[h]
-	if r.Revision == 0 || r.RetriesLeft == 0 || now.Sub(r.Retried) < retryPause || !q.worthRetry(&r, now) {
+	if r.Revision == 0 || r.RetriesLeft == 0 || now.Sub(r.Retried) < minRetryInterval || !q.mayBeHarmless(&r, now) {
 		return false
 	}
 	r.RetriesLeft--
 	r.Retried = now
 	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	if !q.update(ctx, r) {
+	if !q.updateRecord(ctx, r) {
 		return false
 	}
 	q.metrics.retried.Inc()
 	return true
 }
 
-// worthRetry tells whether a request in quarantine may have become harmless.
-func (q *Quarantine) worthRetry(r *Record, now time.Time) bool {
-	if r.Tied || now.Sub(r.Last) > heldFor && now.Sub(r.Retried) > heldFor {
+// mayBeHarmless reports whether a quarantined request may be harmless by now.
+func (q *Quarantine) mayBeHarmless(r *Record, now time.Time) bool {
+	if r.Tied || now.Sub(r.Last) > holdPeriod && now.Sub(r.Retried) > holdPeriod {
 		return true
 	}
 	serving := q.Serving(r.Service)
 	return len(serving) > 0 && !slices.ContainsFunc(serving, func(version string) bool { return slices.Contains(r.Versions, version) })
 }
 
-// Listed takes in the records of the store as of a revision, one call at a time.
+// Listed applies the store's records as of a revision. Calls must not overlap.
 func (q *Quarantine) Listed(records []Record, revision uint64) {
 	next := make(map[Hash]Record, len(records))
 	for _, r := range records {
@@ -194,9 +195,9 @@
 	for h, r := range q.records {
 		switch _, still := next[h]; {
 		case r.Revision > revision || still && r.Revision > next[h].Revision:
-			next[h] = r // This daemon has written it since.
+			next[h] = r // This daemon wrote it after the list was taken.
 		case !still:
-			q.removed(h)
+			q.recordRemoved(h)
 		}
 	}
 	for h, r := range next {
@@ -206,16 +207,16 @@
 		}
 	}
 	q.records = next
-	q.compile()
+	q.rebuildHeld()
 }
 
-// removed takes in that a record is gone from the store. The caller holds mu.
-func (q *Quarantine) removed(h Hash) {
+// recordRemoved handles a record that is gone from the store. The caller holds mu.
+func (q *Quarantine) recordRemoved(h Hash) {
 	if !q.released[h] {
-		q.evidence.Forget(h) // An operator has removed it.
+		q.evidence.Forget(h) // It was removed by an operator.
 		q.Log.Info().Stringer("hash", h).Str("reason", "its record was removed").Msg("request released from quarantine")
 	}
 	delete(q.released, h)
-	delete(q.convicted, h)
-	delete(q.tried, h)
+	delete(q.verdicts, h)
+	delete(q.lastWriteAttempt, h)
 }
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -15,7 +15,7 @@
 	uncertainRetryAfter = 2 * time.Second
 )
 
-// RetryAfter returns how long the caller of a refused request should wait before it retries.
+// RetryAfter returns how long the caller of a refused request should wait before repeating it.
 func (r *Record) RetryAfter() time.Duration {
 	if r.Tied {
 		return uncertainRetryAfter
--- a/quarantine/sends.go
+++ b/quarantine/sends.go
@@ -8,8 +8,8 @@
 // sendShards is the number of shards of the sends in progress, each under its own lock.
 const sendShards = 16
 
-// sends are those in progress, so that they can be ended when their request is convicted:
-// one that waits in an engine's queue has not crashed it yet.
+// sends tracks the sends in progress, so that they can be cancelled when their request is put
+// into quarantine: one that still waits in an engine's queue has not crashed it yet.
 type sends struct{ shards [sendShards]sendShard }
 
 type sendShard struct {
@@ -17,24 +17,24 @@
 	byHash map[Hash]map[*Send]struct{}
 }
 
-// Send is one send in progress.
+// Send is a send in progress.
 type Send struct {
 	cancel context.CancelCauseFunc
 	shard  *sendShard
 	hash   Hash
-	// begun is guarded by the shard's lock.
+	// begun is guarded by the shard's mutex.
 	begun bool
 }
 
-// Begun tells that the engine has begun to answer: should the request be convicted, this
-// answer may still end well and clear it.
+// Begun records that the engine has begun to answer. The send is not cancelled from then on,
+// because the answer may still complete and clear the request.
 func (s *Send) Begun() {
 	s.shard.mu.Lock()
 	defer s.shard.mu.Unlock()
 	s.begun = true
 }
 
-// Done tells that the send has ended. It must be called.
+// Done ends the send. It must be called.
 func (s *Send) Done() {
 	s.shard.mu.Lock()
 	defer s.shard.mu.Unlock()
@@ -53,32 +53,32 @@
 	return s
 }
 
-// begin adds a send. The context that it returns ends when the request is convicted before
-// the engine has begun to answer.
+// begin registers a send. The returned context is cancelled if the request is put into
+// quarantine before the engine begins to answer.
 func (s *sends) begin(ctx context.Context, h Hash) (context.Context, *Send) {
 	sending, cancel := context.WithCancelCause(ctx)
 	shard := &s.shards[h[0]%sendShards]
-	one := &Send{cancel: cancel, shard: shard, hash: h}
+	send := &Send{cancel: cancel, shard: shard, hash: h}
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	if shard.byHash[h] == nil {
 		shard.byHash[h] = make(map[*Send]struct{}, 1)
 	}
-	shard.byHash[h][one] = struct{}{}
-	return sending, one
+	shard.byHash[h][send] = struct{}{}
+	return sending, send
 }
 
-// end ends the sends of a request to which no engine has begun to answer, and returns how
-// many there were.
-func (s *sends) end(h Hash) (ended int) {
+// cancelAll cancels the sends of a request that no engine has begun to answer, and returns
+// their number.
+func (s *sends) cancelAll(h Hash) (cancelled int) {
 	shard := &s.shards[h[0]%sendShards]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	for one := range shard.byHash[h] {
-		if !one.begun {
-			one.cancel(ErrQuarantined)
-			ended++
+	for send := range shard.byHash[h] {
+		if !send.begun {
+			send.cancel(ErrQuarantined)
+			cancelled++
 		}
 	}
-	return ended
+	return cancelled
 }
--- a/quarantine/starts_test.go
+++ b/quarantine/starts_test.go
@@ -9,22 +9,23 @@
 	"github.com/bronzeturn/bronzeturn/inventory"
 )
 
-// TestStartTrackerCountsEachEndOnce guards against counting two ends of an engine as one, or
-// one end twice when this daemon both finds it and is told of it, in either order.
-func TestStartTrackerCountsEachEndOnce(t *testing.T) {
+// TestStartTrackerCountsEachCrashOnce guards against counting two crashes of an engine as one,
+// or one crash twice when this daemon both detects it and receives a report of it, in either
+// order.
+func TestStartTrackerCountsEachCrashOnce(t *testing.T) {
 	c, now := qt.New(t), time.UnixMilli(1_780_000_000_000)
 	e := inventory.Engine{ID: "engine-1"}
 	s := NewStartTracker()
 	first := s.Current(e)
 	s.Ended(first, now)
-	c.Check(s.Told(e, now.Add(sameEndWindow/2)).Key(), qt.Equals, first.Key())
+	c.Check(s.Told(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, first.Key())
 
 	now = now.Add(time.Minute)
 	second := s.Current(e)
 	c.Check(second.Key(), qt.Not(qt.Equals), first.Key())
 	c.Check(s.Told(e, now).Key(), qt.Equals, second.Key())
-	s.Ended(second, now.Add(sameEndWindow/2))
-	c.Check(s.Told(e, now.Add(sameEndWindow/2)).Key(), qt.Equals, second.Key())
+	s.Ended(second, now.Add(sameCrashWindow/2))
+	c.Check(s.Told(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, second.Key())
 
 	third := s.Current(e)
 	c.Check(third.Key(), qt.Not(qt.Equals), second.Key())
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -14,33 +14,33 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// way is one of the ways to find the request that crashes engines.
-type way struct {
+// strategy is a way to identify the request that crashes engines.
+type strategy struct {
 	name string
-	// ranked sends suspects to the engine that their hash ranks first, rather than to the
-	// one with least work.
+	// ranked sends suspects to the engine that their hash ranks first, rather than to the least
+	// loaded one.
 	ranked bool
-	// rankedFrom is the number of ends from which on it does, 1 when it is 0.
+	// rankedFrom is the number of crashes from which on ranked applies, 1 if it is 0.
 	rankedFrom int
-	// waits has requests that were at enough ends wait for their verdict.
+	// waits makes requests that were in progress at enough crashes wait for their verdict.
 	waits bool
-	// convicts tells which requests are held.
-	convicts func(e *Evidence, now time.Time) map[Hash]bool
+	// held returns the requests that are held.
+	held func(e *Evidence, now time.Time) map[Hash]bool
 }
 
-// byCount convicts each request that was at enough ends.
+// byCount holds each request that was in progress at enough crashes.
 func byCount(e *Evidence, _ time.Time) map[Hash]bool {
 	held := make(map[Hash]bool)
-	for h := range e.accused {
+	for h := range e.overThreshold {
 		held[h] = true
 	}
 	return held
 }
 
-// byExplanation convicts as Judge does.
+// byExplanation holds the requests that Evaluate returns.
 func byExplanation(e *Evidence, now time.Time) map[Hash]bool {
 	held := make(map[Hash]bool)
-	for _, v := range e.Judge(now) {
+	for _, v := range e.Evaluate(now) {
 		held[v.Hash] = true
 	}
 	return held
@@ -48,33 +48,33 @@
 
 func never(*Evidence, time.Time) map[Hash]bool { return nil }
 
-// inForce is the way that the product goes.
-const inForce = "explanation, ranked, waits"
+// implemented is the name of the strategy that this package implements.
+const implemented = "explanation, ranked, waits"
 
-var ways = []way{
-	{name: "none", convicts: never},
-	{name: "count, least work", convicts: byCount},
-	{name: "count, ranked", ranked: true, convicts: byCount},
-	{name: "explanation, least work", convicts: byExplanation},
-	{name: "explanation, ranked", ranked: true, convicts: byExplanation},
-	{name: "the same from two ends on", ranked: true, rankedFrom: 2, waits: true, convicts: byExplanation},
-	{name: inForce, ranked: true, waits: true, convicts: byExplanation},
+var strategies = []strategy{
+	{name: "none", held: never},
+	{name: "count, least work", held: byCount},
+	{name: "count, ranked", ranked: true, held: byCount},
+	{name: "explanation, least work", held: byExplanation},
+	{name: "explanation, ranked", ranked: true, held: byExplanation},
+	{name: "explanation, ranked from two crashes, waits", ranked: true, rankedFrom: 2, waits: true, held: byExplanation},
+	{name: implemented, ranked: true, waits: true, held: byExplanation},
 }
 
 // incident is a load under which requests crash engines.
 type incident struct {
 	name              string
-	engines, culprits int
-	// harmless and repeats are requests and repeats of each culprit a second.
+	engines, crashers int
+	// harmless is the rate of harmless requests, repeats that of each crashing request, per
+	// second.
 	harmless, repeats int
-	// others are engines a second that end by themselves.
+	// others is the rate of crashes that no request causes, per second.
 	others float64
-	// popular tells that the harmless requests are of eight kinds.
+	// popular is set if the harmless requests are of simPopular kinds only.
 	popular bool
 }
 
-// simEngine and simRequest are the model's engines and requests. An engine works on all
-// its requests at once.
+// simEngine is an engine of the model. It processes all its requests at once.
 type simEngine struct {
 	key    string
 	starts int
@@ -82,8 +82,8 @@
 	work   []simRun
 }
 
-// simRun is a request that an engine works on since a moment. They are in the order in which
-// they came, so that a seed gives the same run each time.
+// simRun is a request that an engine processes since the given time. Runs are kept in the order
+// of their arrival, so that a seed gives the same simulation each time.
 type simRun struct {
 	request *simRequest
 	began   time.Time
@@ -91,14 +91,14 @@
 
 type simRequest struct {
 	hash    Hash
-	culprit bool
+	crasher bool
 	sends   int
 	tries   int
 }
 
-// outcome is what a way led to.
+// outcome is the result of a strategy.
 type outcome struct {
-	ended, served, lost, refused int
+	crashed, served, lost, refused int
 }
 
 // Times of the model.
@@ -114,10 +114,10 @@
 	simPopular = 8
 )
 
-// simulation plays an incident with one way.
+// simulation runs an incident with one strategy.
 type simulation struct {
 	incident
-	way
+	strategy
 	random   *rand.Rand
 	now      time.Time
 	engines  []*simEngine
@@ -134,14 +134,14 @@
 	request *simRequest
 }
 
-// simReport is evidence on its way to all daemons.
+// simReport is a crash report on its way to all daemons.
 type simReport struct {
-	at  time.Time
-	end End
+	at    time.Time
+	crash Crash
 }
 
-func simulate(i incident, w way, seed uint64) outcome {
-	s := &simulation{incident: i, way: w, random: rand.New(rand.NewPCG(seed, 1)), now: start, evidence: NewEvidence()}
+func simulate(i incident, w strategy, seed uint64) outcome {
+	s := &simulation{incident: i, strategy: w, random: rand.New(rand.NewPCG(seed, 1)), now: start, evidence: NewEvidence()}
 	for n := range i.engines {
 		s.engines = append(s.engines, &simEngine{key: fmt.Sprint("e", n), upAt: start})
 	}
@@ -151,11 +151,11 @@
 	return s.outcome
 }
 
-// step plays a moment.
+// step advances the simulation by simStep.
 func (s *simulation) step() {
 	s.now = s.now.Add(simStep)
 	for len(s.known) > 0 && !s.known[0].at.After(s.now) {
-		s.evidence.Add(s.known[0].end, s.now)
+		s.evidence.Add(s.known[0].crash, s.now)
 		s.known = s.known[1:]
 	}
 	waiting := s.waiting
@@ -176,15 +176,15 @@
 		s.send(&simRequest{hash: simHash(1, kind)})
 	}
 	if s.now.After(start.Add(2 * time.Second)) {
-		for c := range s.culprits {
+		for c := range s.crashers {
 			for range s.draws(float64(s.repeats)) {
-				s.send(&simRequest{hash: simHash(2, uint64(c)), culprit: true})
+				s.send(&simRequest{hash: simHash(2, uint64(c)), crasher: true})
 			}
 		}
 	}
 	for range s.draws(s.others) {
 		if s.now.After(start.Add(2 * time.Second)) {
-			s.end(s.engines[s.random.IntN(len(s.engines))])
+			s.crashEngine(s.engines[s.random.IntN(len(s.engines))])
 		}
 	}
 	for _, e := range s.engines {
@@ -192,7 +192,7 @@
 	}
 }
 
-// draws returns how often something happens in a step.
+// draws returns how many times an event of the given rate happens in a step.
 func (s *simulation) draws(perSecond float64) (n int) {
 	for left := perSecond * simStep.Seconds(); left > 0; left-- {
 		if s.random.Float64() < left {
@@ -211,13 +211,13 @@
 // run advances an engine.
 func (s *simulation) run(e *simEngine) {
 	for _, one := range e.work {
-		if one.request.culprit && s.now.Sub(one.began) >= simCrash {
-			s.end(e)
+		if one.request.crasher && s.now.Sub(one.began) >= simCrash {
+			s.crashEngine(e)
 			return
 		}
 	}
 	e.work = slices.DeleteFunc(e.work, func(one simRun) bool {
-		if one.request.culprit || s.now.Sub(one.began) < simAnswer {
+		if one.request.crasher || s.now.Sub(one.began) < simAnswer {
 			return false
 		}
 		s.outcome.served++
@@ -226,8 +226,8 @@
 	})
 }
 
-// end ends an engine and repeats what it worked on.
-func (s *simulation) end(e *simEngine) {
+// crashEngine crashes an engine and sends its requests again.
+func (s *simulation) crashEngine(e *simEngine) {
 	if e.upAt.After(s.now) {
 		return
 	}
@@ -235,27 +235,27 @@
 	e.work = nil
 	e.upAt = s.now.Add(simBack)
 	e.starts++
-	told := End{Engine: inventory.Engine{ID: fmt.Sprint(e.key, "/", e.starts), Service: "llm", Version: "v1"}}
+	reported := Crash{Engine: inventory.Engine{ID: fmt.Sprint(e.key, "/", e.starts), Service: "llm", Version: "v1"}}
 	for _, one := range cut {
-		told.Requests = append(told.Requests, one.request.hash)
+		reported.Requests = append(reported.Requests, one.request.hash)
 	}
-	s.known = append(s.known, simReport{s.now.Add(simKnown), told})
-	s.outcome.ended++
+	s.known = append(s.known, simReport{s.now.Add(simKnown), reported})
+	s.outcome.crashed++
 	for _, one := range cut {
 		s.send(one.request)
 	}
 }
 
-// send sends a request to an engine, if it may.
+// send sends a request to an engine, unless it is held or waits for its verdict.
 func (s *simulation) send(r *simRequest) {
-	if s.convicts(s.evidence, s.now)[r.hash] {
-		if !r.culprit {
+	if s.held(s.evidence, s.now)[r.hash] {
+		if !r.crasher {
 			s.outcome.refused++
 			s.outcome.lost++
 		}
 		return
 	}
-	if until := s.evidence.settlesAt(r.hash); s.waits && until.After(s.now) {
+	if until := s.evidence.verdictTime(r.hash); s.waits && until.After(s.now) {
 		s.waiting = append(s.waiting, simWaiting{until, r})
 		return
 	}
@@ -266,7 +266,7 @@
 	}
 	e := s.choose(r)
 	if r.tries >= simTries || e == nil {
-		if !r.culprit {
+		if !r.crasher {
 			s.outcome.lost++
 		}
 		return
@@ -274,7 +274,7 @@
 	e.work = append(e.work, simRun{r, s.now})
 }
 
-// choose picks the engine.
+// choose picks the engine for a request, nil if none is up.
 func (s *simulation) choose(r *simRequest) *simEngine {
 	var up []*simEngine
 	byKey := make(map[string]*simEngine)
@@ -289,7 +289,7 @@
 	if len(up) == 0 {
 		return nil
 	}
-	if s.ranked && s.evidence.Ends(r.hash) >= max(s.rankedFrom, 1) {
+	if s.ranked && s.evidence.Crashes(r.hash) >= max(s.rankedFrom, 1) {
 		return byKey[rendezvous.Owner(string(r.hash[:]), keys)]
 	}
 	first, second := up[s.random.IntN(len(up))], up[s.random.IntN(len(up))]
@@ -299,37 +299,37 @@
 	return first
 }
 
-// TestWaysToFindTheCulprit compares the ways by engines and harmless requests lost, over
-// seeds. The bounds on the way in force come from what operators ask for: a request may
-// crash three engines and three more; popular requests are never refused where engines end
-// by themselves.
-func TestWaysToFindTheCulprit(t *testing.T) {
+// TestStrategies compares the strategies by crashed engines and lost harmless requests, over
+// several seeds. The bounds on the implemented strategy come from what operators ask for: a
+// request may crash three engines and three more, and popular requests are never refused where
+// engines crash for unrelated reasons.
+func TestStrategies(t *testing.T) {
 	c := qt.New(t)
 	const seeds = 2
 	for _, i := range []incident{
-		{name: "one culprit, 9 engines", engines: 9, culprits: 1, harmless: 250, repeats: 5},
-		{name: "four culprits, 12 engines", engines: 12, culprits: 4, harmless: 250, repeats: 5},
-		{name: "one culprit, 60 engines", engines: 60, culprits: 1, harmless: 300, repeats: 5},
-		{name: "engines end by themselves", engines: 9, harmless: 250, others: 2},
-		{name: "the same, popular requests", engines: 9, harmless: 250, others: 2, popular: true},
-		{name: "one culprit and ends by themselves", engines: 9, culprits: 1, harmless: 250, repeats: 5, others: 0.5},
+		{name: "one crashing request, 9 engines", engines: 9, crashers: 1, harmless: 250, repeats: 5},
+		{name: "four crashing requests, 12 engines", engines: 12, crashers: 4, harmless: 250, repeats: 5},
+		{name: "one crashing request, 60 engines", engines: 60, crashers: 1, harmless: 300, repeats: 5},
+		{name: "unrelated crashes", engines: 9, harmless: 250, others: 2},
+		{name: "unrelated crashes, popular requests", engines: 9, harmless: 250, others: 2, popular: true},
+		{name: "one crashing request and unrelated crashes", engines: 9, crashers: 1, harmless: 250, repeats: 5, others: 0.5},
 	} {
 		results := make(map[string]outcome)
-		for _, w := range ways {
+		for _, w := range strategies {
 			if w.name == "none" && i.engines > 9 {
-				continue // Nearly all it does is to end engines.
+				continue // It would do little but crash engines.
 			}
 			var sum outcome
 			for seed := range uint64(seeds) {
 				sum.add(simulate(i, w, seed))
 			}
 			results[w.name] = sum
-			t.Logf("%-36s %-28s engines ended %6.1f, harmless lost %6.1f, of them refused %5.1f, served %7.1f", i.name, w.name,
-				float64(sum.ended)/seeds, float64(sum.lost)/seeds, float64(sum.refused)/seeds, float64(sum.served)/seeds)
+			t.Logf("%-44s %-44s engines crashed %6.1f, harmless requests lost %6.1f, of them refused %5.1f, served %7.1f", i.name, w.name,
+				float64(sum.crashed)/seeds, float64(sum.lost)/seeds, float64(sum.refused)/seeds, float64(sum.served)/seeds)
 		}
-		chosen := results[inForce]
-		if i.culprits > 0 && i.others == 0 {
-			c.Check(chosen.ended <= seeds*2*Conviction*i.culprits, qt.IsTrue, qt.Commentf("%s: %d engines ended", i.name, chosen.ended))
+		chosen := results[implemented]
+		if i.crashers > 0 && i.others == 0 {
+			c.Check(chosen.crashed <= seeds*2*Conviction*i.crashers, qt.IsTrue, qt.Commentf("%s: %d engines crashed", i.name, chosen.crashed))
 		}
 		if i.popular {
 			c.Check(chosen.refused, qt.Equals, 0, qt.Commentf(i.name))
@@ -341,7 +341,7 @@
 
 // add sums outcomes.
 func (o *outcome) add(other outcome) {
-	o.ended += other.ended
+	o.crashed += other.crashed
 	o.served += other.served
 	o.lost += other.lost
 	o.refused += other.refused
