--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -36,7 +36,7 @@
 			d.log.Error().Err(err).Str("key", item.Name).Uint64("revision", item.Revision).Msg("record of a quarantine not read")
 		}
 	}
-	d.quarantine.Listed(records, u.Snapshot.Revision)
+	d.quarantine.ApplyRecords(records, u.Snapshot.Revision)
 }
 
 // versionsServing returns the versions of a service whose engines take work.
--- a/gateway/again.go
+++ b/gateway/again.go
@@ -57,7 +57,7 @@
 // takeBudget takes the right to a second send.
 func (g *Gateway) takeBudget(t *task) bool {
 	budget := g.budgets.of(t.service)
-	if g.Quarantine.Ends(t.hash) >= oftenCut {
+	if g.Quarantine.Crashes(t.hash) >= oftenCut {
 		return budget.TakeSpare(time.Now(), spareShare)
 	}
 	return budget.Take(time.Now())
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -46,7 +46,7 @@
 	}
 	g.chooseGroup(t, engines, now)
 	r := t.balanceRequest(g.DataCentre, engines, g.Models)
-	if g.Quarantine.Ends(t.hash) > 0 {
+	if g.Quarantine.Crashes(t.hash) > 0 {
 		r.Among[0] = engines.forSuspect(t.group, t.hash, t.tried)
 	}
 	decision, ok := g.askSure(t, engines, r, now)
@@ -78,7 +78,7 @@
 	if t.runs == 0 {
 		t.trial = g.Introductions.Choose(t.service, t.session, now)
 	}
-	if t.trial && !t.answer.begun() && g.Quarantine.Ends(t.hash) > 0 {
+	if t.trial && !t.answer.begun() && g.Quarantine.Crashes(t.hash) > 0 {
 		// The version before tells whether the request or the new version ends engines.
 		t.trial = false
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -72,16 +72,16 @@
 	// Admit reports whether a request may be sent now, after waiting for a pending verdict.
 	// isRetry is set if the request is held and this send uses up one of its retries.
 	Admit(ctx context.Context, h quarantine.Hash) (ok, isRetry bool)
-	// Ends returns at how many ends of engines a request was that has not ended well since.
-	Ends(h quarantine.Hash) int
+	// Crashes returns at how many ends of engines a request was that has not ended well since.
+	Crashes(h quarantine.Hash) int
 	// Sending begins a send; its context ends when the request comes to be held before an
 	// engine has begun to answer.
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed takes in that a request ended well.
 	Completed(h quarantine.Hash, now time.Time)
-	// Broke takes in that an answer broke off though the request had been sent. It calls
+	// AnswerInterrupted takes in that an answer broke off though the request had been sent. It calls
 	// blame once it is known that no request explains it.
-	Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
+	AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
 	// Wait waits a little until it is known what broke an engine's answer off.
 	Wait(ctx context.Context, engine string)
 	// ConnectionRefused takes in that an engine's host refused a connection.
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -148,7 +148,7 @@
 	service, route, version := t.service, t.route.Name, to.engine.Version
 	blame := func() { g.Introductions.Observe(service, route, version, true, 0) }
 	if e.cut() {
-		g.Quarantine.Broke(to.engine, t.hash, now, blame)
+		g.Quarantine.AnswerInterrupted(to.engine, t.hash, now, blame)
 		return
 	}
 	blame()
--- a/quarantine.go
+++ b/quarantine.go
@@ -125,7 +125,7 @@
 			}
 		}
 		if len(page) < recordsPageSize {
-			q.Listed(records, newest)
+			q.ApplyRecords(records, newest)
 			return nil
 		}
 	}
--- a/quarantine/evidence.go
+++ b/quarantine/evidence.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// Conviction is the number of engine crashes after which a request that was in progress at
+	// CrashThreshold is the number of engine crashes after which a request that was in progress at
 	// all of them is put into quarantine.
-	Conviction = 3
+	CrashThreshold = 3
 	// minSuspectAge is the time after the first crash of a suspect within which other daemons
 	// may still report that it completed there before. No verdict is given earlier.
 	minSuspectAge = 150 * time.Millisecond
@@ -108,7 +108,7 @@
 		e.suspects[h] = s
 	}
 	s.crashes[known.engine] = known
-	if len(s.crashes) >= Conviction {
+	if len(s.crashes) >= CrashThreshold {
 		e.overThreshold[h] = s
 	}
 }
@@ -201,7 +201,7 @@
 	for h := range known.requests {
 		s := e.suspects[h]
 		delete(s.crashes, known.engine)
-		if len(s.crashes) < Conviction {
+		if len(s.crashes) < CrashThreshold {
 			delete(e.overThreshold, h)
 		}
 		if len(s.crashes) == 0 {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -102,7 +102,7 @@
 	heard := slices.Clone(f.flooded)
 	f.mu.Unlock()
 	for _, m := range heard {
-		d.Heard(m, time.Now())
+		d.ApplyReport(m, time.Now())
 	}
 	return d
 }
@@ -134,7 +134,7 @@
 			continue
 		}
 		f.messages++
-		time.AfterFunc(floodDelay, func() { other.Heard(m, time.Now()) })
+		time.AfterFunc(floodDelay, func() { other.ApplyReport(m, time.Now()) })
 	}
 }
 
@@ -161,7 +161,7 @@
 				d.fleet.c.Check(err, qt.IsNil)
 				records = append(records, r)
 			}
-			d.Listed(records, newest)
+			d.ApplyRecords(records, newest)
 		}
 		select {
 		case <-ctx.Done():
@@ -233,7 +233,7 @@
 	f.mu.Unlock()
 	for d, hashes := range cut {
 		for _, h := range hashes {
-			d.Broke(e, h, time.Now(), ignoreFailure)
+			d.AnswerInterrupted(e, h, time.Now(), ignoreFailure)
 		}
 	}
 }
@@ -277,7 +277,7 @@
 // crashThreeEngines crashes as many engines under a request as a verdict needs, each detected
 // by another daemon.
 func (f *testFleet) crashThreeEngines(h Hash) {
-	for i := range Conviction {
+	for i := range CrashThreshold {
 		f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i%len(f.daemons)]: {h}})
 		time.Sleep(150 * time.Millisecond)
 	}
@@ -322,7 +322,7 @@
 		f.mu.Unlock()
 		for n := range 6 {
 			h := Hash{0xc, byte(n)}
-			for i := range Conviction {
+			for i := range CrashThreshold {
 				f.crash(fmt.Sprint("e", n, i), "v1", map[*testDaemon][]Hash{f.daemons[i%2]: {h}})
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -370,7 +370,7 @@
 		f.mu.Lock()
 		f.daemons[3].part = 1
 		f.mu.Unlock()
-		for i := range Conviction {
+		for i := range CrashThreshold {
 			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i]: {crasher}})
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -406,7 +406,7 @@
 // at the same time. One retry is enough to distinguish two tied requests.
 func TestEachRetryIsGrantedToOneDaemon(t *testing.T) {
 	runFleet(t, 3, func(f *testFleet) {
-		for i := range Conviction {
+		for i := range CrashThreshold {
 			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {crasher}, f.daemons[1]: {a}})
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -442,7 +442,7 @@
 
 func TestCompletedTiedRequestIsReleasedEverywhere(t *testing.T) {
 	runFleet(t, 3, func(f *testFleet) {
-		for i := range Conviction {
+		for i := range CrashThreshold {
 			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[0]: {crasher, a}})
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -580,7 +580,7 @@
 			f.down[id] = true
 			f.mu.Unlock()
 			for _, h := range hashes {
-				f.daemons[0].Broke(e, h, time.Now(), func() { mu.Lock(); defer mu.Unlock(); counted[id[:1]]++ })
+				f.daemons[0].AnswerInterrupted(e, h, time.Now(), func() { mu.Lock(); defer mu.Unlock(); counted[id[:1]]++ })
 			}
 		}
 		for i := range 5 {
--- a/quarantine/flood.go
+++ b/quarantine/flood.go
@@ -57,7 +57,7 @@
 		q.Log.Warn().Err(err).Str("key", key).Msg("report of ended engines not read")
 		return
 	}
-	q.Heard(&m, time.Now())
+	q.ApplyReport(&m, time.Now())
 }
 
 // DialWith returns a function for Options.Dial that opens TCP connections with dial and closes
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -25,7 +25,7 @@
 		known.Verdict = v
 	}
 	for h := range q.verdicts {
-		if _, still := verdicts[h]; !still && q.evidence.Crashes(h) >= Conviction {
+		if _, still := verdicts[h]; !still && q.evidence.Crashes(h) >= CrashThreshold {
 			changed = q.releaseLocked(h, "another request explains the ends") || changed
 		}
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -150,9 +150,9 @@
 	return isRetry, isRetry
 }
 
-// Ends returns the number of engine crashes at which a request was in progress, 0 if it has
+// Crashes returns the number of engine crashes at which a request was in progress, 0 if it has
 // completed since.
-func (q *Quarantine) Ends(h Hash) int { return q.evidence.Crashes(h) }
+func (q *Quarantine) Crashes(h Hash) int { return q.evidence.Crashes(h) }
 
 // Held reports whether a request must not be sent to an engine.
 func (q *Quarantine) Held(h Hash) bool {
@@ -184,9 +184,9 @@
 	return q.sends.begin(ctx, h)
 }
 
-// Broke records that an answer was interrupted. It calls countFailure once it is known that no
-// quarantined request explains the interruption.
-func (q *Quarantine) Broke(e inventory.Engine, h Hash, now time.Time, countFailure func()) {
+// AnswerInterrupted records that an answer was interrupted. It calls countFailure once it is
+// known that no quarantined request explains the interruption.
+func (q *Quarantine) AnswerInterrupted(e inventory.Engine, h Hash, now time.Time, countFailure func()) {
 	q.detector.AnswerInterrupted(e, h, now, countFailure)
 }
 
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -184,8 +184,8 @@
 	return len(serving) > 0 && !slices.ContainsFunc(serving, func(version string) bool { return slices.Contains(r.Versions, version) })
 }
 
-// Listed applies the store's records as of a revision. Calls must not overlap.
-func (q *Quarantine) Listed(records []Record, revision uint64) {
+// ApplyRecords applies the store's records as of a revision. Calls must not overlap.
+func (q *Quarantine) ApplyRecords(records []Record, revision uint64) {
 	next := make(map[Hash]Record, len(records))
 	for _, r := range records {
 		next[r.Hash] = r
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -21,8 +21,8 @@
 	notify(q.wake)
 }
 
-// Heard applies the report of another daemon.
-func (q *Quarantine) Heard(m *bronzeturnv1.CrashReport, now time.Time) {
+// ApplyReport applies the report of another daemon.
+func (q *Quarantine) ApplyReport(m *bronzeturnv1.CrashReport, now time.Time) {
 	for _, one := range m.GetEngines() {
 		crash := decodeCrash(one, now)
 		if q.Starts != nil {
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -329,7 +329,7 @@
 		}
 		chosen := results[implemented]
 		if i.crashers > 0 && i.others == 0 {
-			c.Check(chosen.crashed <= seeds*2*Conviction*i.crashers, qt.IsTrue, qt.Commentf("%s: %d engines crashed", i.name, chosen.crashed))
+			c.Check(chosen.crashed <= seeds*2*CrashThreshold*i.crashers, qt.IsTrue, qt.Commentf("%s: %d engines crashed", i.name, chosen.crashed))
 		}
 		if i.popular {
 			c.Check(chosen.refused, qt.Equals, 0, qt.Commentf(i.name))
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -27,17 +27,17 @@
 	// the record of the request.
 	Held(h quarantine.Hash) bool
 	Refused(h quarantine.Hash) quarantine.Record
-	// Ends returns the number of engines that ended while they processed a request, zero once
+	// Crashes returns the number of engines that ended while they processed a request, zero once
 	// it has completed since.
-	Ends(h quarantine.Hash) int
+	Crashes(h quarantine.Hash) int
 	// Sending registers a send. The returned context is canceled if the request is convicted
 	// before the engine begins to answer.
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed records that a request completed.
 	Completed(h quarantine.Hash, now time.Time)
-	// Broke records a broken answer. It calls blame once it is known that no quarantined
+	// AnswerInterrupted records a broken answer. It calls blame once it is known that no quarantined
 	// request explains it.
-	Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
+	AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
 	// Wait waits, for a bounded time, until the cause of an engine's broken answer is known.
 	Wait(ctx context.Context, engine string)
 	// ConnectionRefused records that an engine's host refused a connection.
@@ -80,7 +80,7 @@
 	now := time.Now()
 	switch {
 	case err.Kind == engine.Broken:
-		r.Quarantine.Broke(a.engineStart, a.hash, now, func() {})
+		r.Quarantine.AnswerInterrupted(a.engineStart, a.hash, now, func() {})
 	case err.Kind == engine.Unreachable && errors.Is(err, syscall.ECONNREFUSED):
 		r.Quarantine.ConnectionRefused(a.engineStart.Key(), now)
 	}
--- a/router/race.go
+++ b/router/race.go
@@ -25,7 +25,7 @@
 // canceled. Both count as attempts.
 func (r *Router) race(ctx context.Context, l *launch, first *balance.Decision) (*attempt, *engine.Error) {
 	l.count(first.Engine.GetName())
-	if !l.mayHedge() || l.retrying || r.Quarantine.Ends(l.call.hash) > 0 {
+	if !l.mayHedge() || l.retrying || r.Quarantine.Crashes(l.call.hash) > 0 {
 		return r.send(ctx, l, first)
 	}
 	start := time.Now()
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -210,10 +210,10 @@
 	return q
 }
 
-// Broke implements Quarantine.
-func (q *siteQuarantine) Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
+// AnswerInterrupted implements Quarantine.
+func (q *siteQuarantine) AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
 	q.probeStarted.Store(true)
-	q.Quarantine.Broke(e, h, now, blame)
+	q.Quarantine.AnswerInterrupted(e, h, now, blame)
 }
 
 // configure puts a changed configuration in force.
