--- a/canary/canary.go
+++ b/canary/canary.go
@@ -1,7 +1,7 @@
-// Package canary introduces a new version of a backend service: it gives the
-// version a small, fixed part of the sessions, compares its answers with those
-// of the version before over the whole fleet, and either moves all traffic in
-// steps or none. Nothing here does I/O, reads a clock or starts a goroutine.
+// Package canary introduces a new version of a backend service. It gives the version a small,
+// fixed share of the sessions, compares its answers over the whole fleet with those of the
+// previous version, and then either moves all traffic in steps or rolls back. The package does
+// no I/O, reads no clock and starts no goroutines.
 package canary
 
 import (
@@ -10,22 +10,21 @@
 	"time"
 )
 
-// Options set the pace of introductions.
+// Options configures introductions.
 type Options struct {
-	// TrialShare is the part of the sessions that the new version gets before it
-	// is trusted.
+	// TrialShare is the share of the sessions that the new version gets during the trial.
 	TrialShare float64
-	// ExposureShare bounds the share of all requests between an order and its
-	// deadline that a bad version may get, ExposureSlack how many it may get beyond.
+	// ExposureShare bounds the share of all requests between an order and its deadline that a
+	// bad version may get. ExposureSlack is a number of requests that it may get in addition.
 	ExposureShare, ExposureSlack float64
-	// SettleTime is the time after an order in which no session is moved, so that
-	// all daemons learn of the order and of the sessions in progress.
+	// SettleTime is the time after an order in which no session is moved, so that all daemons
+	// learn of the order and of the sessions in progress.
 	SettleTime time.Duration
-	// SessionGap is the longest pause within one session, with a margin for what daemons
-	// learn late. SessionLapse is the pause after which a request begins a new session.
+	// SessionGap is the longest pause within one session, with a margin for delays between
+	// daemons. SessionLapse is the pause after which a request begins a new session.
 	SessionGap, SessionLapse time.Duration
-	// FinishMargin is how long before the deadline an introduction is declared
-	// complete, at most. It covers the write and a second daemon's try.
+	// FinishMargin is how long before the deadline an introduction is declared complete, at
+	// most. It covers the write to the store and an attempt by a second daemon.
 	FinishMargin time.Duration
 }
 
@@ -45,17 +44,17 @@
 type Order struct {
 	Service string
 	Target  string
-	// ID tells two orders for the same version apart.
+	// ID distinguishes orders for the same version.
 	ID       uint64
 	Duration time.Duration
 }
 
-// State is what has become of an order.
+// State is the state of an order.
 type State uint8
 
 // The states. Only Done and RolledBack are final.
 const (
-	// Pending orders have not been taken up.
+	// Pending orders have not been started.
 	Pending State = iota
 	Running
 	Done
@@ -67,18 +66,18 @@
 	return [...]string{"pending", "running", "done", "rolled_back"}[s]
 }
 
-// Count is what was seen of one version on one route.
+// Count sums up the answers of one version on one route.
 type Count struct {
-	// Bad answers are failures, Slow ones took far longer than usual.
+	// Bad answers are failures. Slow answers took far longer than is usual on the route.
 	Answers, Bad, Slow uint64
-	// LogLatencySum and LogLatencySquares are sums over the logarithms of the
-	// latencies, Latencies their number.
+	// LogLatencySum and LogLatencySquares are the sums of the logarithms of the latencies and
+	// of their squares, Latencies the number of latencies.
 	LogLatencySum, LogLatencySquares float64
 	Latencies                        uint64
 }
 
-// spread returns mean and standard deviation of the logarithms.
-func (c Count) spread() (mean, deviation float64) {
+// logStats returns the mean and the standard deviation of the logarithms of the latencies.
+func (c Count) logStats() (mean, deviation float64) {
 	n := float64(c.Latencies)
 	mean = c.LogLatencySum / n
 	return mean, math.Sqrt(max(c.LogLatencySquares/n-mean*mean, 0))
@@ -93,19 +92,19 @@
 	c.Latencies += o.Latencies
 }
 
-// CountKey names a Count.
+// CountKey identifies a Count.
 type CountKey struct {
 	Route string
 	Trial bool
-	// Pace marks the times between the events of streams. They are counted apart:
-	// a version may be slow in one and not in the other.
+	// Pace marks counts of the mean times between the events of streams. They are kept apart
+	// from the latencies, because a version may be slow in one and not in the other.
 	Pace bool
 }
 
-// base returns the key of the version before.
+// base returns the key of the previous version's count.
 func (k CountKey) base() CountKey { return CountKey{Route: k.Route, Pace: k.Pace} }
 
-// Report is what one daemon tells the others of an introduction.
+// Report is what one daemon reports to the others about an introduction.
 type Report struct {
 	Order  uint64
 	Target string
@@ -114,13 +113,11 @@
 	Held   []uint64
 	// Stopped are the sessions that last ran on versions that have stopped.
 	Stopped []StoppedSession
-	// Condemned is the reason of the daemon's verdict against the version, "" for
-	// none.
+	// Condemned is the reason for which the daemon rolls the version back, "" for none.
 	Condemned string
 }
 
-// Introduction is one order in progress on this daemon. It is safe for
-// concurrent use.
+// Introduction is an order in progress on this daemon. It is safe for concurrent use.
 type Introduction struct {
 	options Options
 
@@ -129,43 +126,42 @@
 	state  State
 	since  time.Time
 	own    map[CountKey]Count
-	held   map[uint64]struct{}
+	pinned map[uint64]struct{}
 	others map[string]Report
-	// usual is what the fleet saw of the version before.
-	usual map[CountKey]Count
-	// pace is the plan, worked out anew until the trial is over.
-	pace pace
-	// grown tells that the trial is over. From then on the load differs from that of
-	// the version before.
-	grown bool
-	// condemned is the reason of a verdict against the version, "" for none.
-	condemned string
+	// baseline holds the fleet's counts of the previous version as of the last review.
+	baseline map[CountKey]Count
+	// schedule is recalculated until the trial is over.
+	schedule schedule
+	// trialOver is set once the trial is over. From then on the load of the engines differs
+	// from that of the previous version's.
+	trialOver bool
+	// rollbackReason is the reason for rolling the version back, "" for none.
+	rollbackReason string
 }
 
-// New returns the introduction of an order first heard of at now.
+// New returns the introduction of an order that this daemon first learned of at now.
 func New(o Options, order Order, state State, now time.Time) *Introduction {
 	return &Introduction{
-		pace:    o.plan(order.Duration, 0, 0, 0),
-		options: o, order: order, state: state, since: now,
-		own: make(map[CountKey]Count), held: make(map[uint64]struct{}), others: make(map[string]Report), usual: make(map[CountKey]Count),
+		schedule: o.plan(order.Duration, 0, 0, 0),
+		options:  o, order: order, state: state, since: now,
+		own: make(map[CountKey]Count), pinned: make(map[uint64]struct{}), others: make(map[string]Report), baseline: make(map[CountKey]Count),
 	}
 }
 
-// Order returns the order.
 func (i *Introduction) Order() Order {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.order
 }
 
-// State returns the state that the store has.
+// State returns the state in the store, as far as this daemon knows it.
 func (i *Introduction) State() State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.state
 }
 
-// SetState takes in the state that the store has.
+// SetState sets the state that the store has. It ignores changes of a final state.
 func (i *Introduction) SetState(s State) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -174,53 +170,52 @@
 	}
 }
 
-// point maps a session to [0, 1). It must be the same on all daemons.
-func point(session uint64) float64 {
+// sessionFraction maps a session to [0, 1). The result must be the same on all daemons.
+func sessionFraction(session uint64) float64 {
 	const golden = 0x9e3779b97f4a7c15
 	return float64((session*golden)>>11) / (1 << 53)
 }
 
-// Trialled tells whether a session is among those that a trial moves, of any
-// order, so that daemons remember only these.
-func (o Options) Trialled(session uint64) bool { return point(session) < o.trialShare() }
+// Trialled reports whether a session is among those that a trial moves. These are the same for
+// all orders, so that daemons need to remember only them.
+func (o Options) Trialled(session uint64) bool { return sessionFraction(session) < o.trialShare() }
 
-// Hold keeps a session, which has run on the version before, on it for the
-// length of the trial.
+// Hold pins a session that has run on the previous version to it for the duration of the trial.
 func (i *Introduction) Hold(session uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.held[session] = struct{}{}
+	i.pinned[session] = struct{}{}
 }
 
-// Choose tells whether a request of the session goes to the new version. A
-// request without a session counts as a session of its own.
+// Choose reports whether a request of the session goes to the new version. A request without a
+// session counts as a session of its own.
 func (i *Introduction) Choose(session uint64, now time.Time) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	switch {
 	case i.state == Done:
 		return true
-	case i.state == RolledBack || i.condemned != "":
+	case i.state == RolledBack || i.rollbackReason != "":
 		return false
 	}
 	age := now.Sub(i.since)
-	at := point(session)
+	at := sessionFraction(session)
 	if age < i.options.SettleTime {
 		if at < i.options.trialShare() {
-			i.held[session] = struct{}{}
+			i.pinned[session] = struct{}{}
 		}
 		return false
 	}
-	if share, moving := i.moving(age); moving {
+	if share, trialOver := i.shareAfterTrial(age); trialOver {
 		return at < share
 	}
-	return at < i.options.trialShare() && !i.isHeld(session)
+	return at < i.options.trialShare() && !i.isPinned(session)
 }
 
-// isHeld tells whether any daemon keeps the session on the version before. The
+// isPinned reports whether any daemon has pinned the session to the previous version. The
 // caller holds mu.
-func (i *Introduction) isHeld(session uint64) bool {
-	if _, ok := i.held[session]; ok {
+func (i *Introduction) isPinned(session uint64) bool {
+	if _, ok := i.pinned[session]; ok {
 		return true
 	}
 	for _, r := range i.others {
@@ -233,14 +228,14 @@
 	return false
 }
 
-// Observe takes in one answer. A latency of zero was not measured.
+// Observe counts one answer. A latency of zero means that it was not measured.
 func (i *Introduction) Observe(route string, trial, bad bool, latency time.Duration) {
 	i.observe(CountKey{Route: route, Trial: trial}, bad, latency)
 }
 
-// ObservePace takes in the mean time between two events of a stream that came whole.
-func (i *Introduction) ObservePace(route string, trial bool, pace time.Duration) {
-	i.observe(CountKey{Route: route, Trial: trial, Pace: true}, false, pace)
+// ObservePace counts the mean time between two events of a complete stream.
+func (i *Introduction) ObservePace(route string, trial bool, interval time.Duration) {
+	i.observe(CountKey{Route: route, Trial: trial, Pace: true}, false, interval)
 }
 
 func (i *Introduction) observe(key CountKey, bad bool, latency time.Duration) {
@@ -252,7 +247,7 @@
 		c.Bad++
 	}
 	if latency > 0 {
-		value := math.Log(latency.Seconds()*1000 + slowFloor)
+		value := math.Log(latency.Seconds()*1000 + latencyOffsetMs)
 		if i.isSlow(key, value) {
 			c.Slow++
 		}
@@ -263,24 +258,24 @@
 	i.own[key] = c
 }
 
-// Report returns what this daemon tells the others.
+// Report returns this daemon's report to the others.
 func (i *Introduction) Report(now time.Time) Report {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	r := Report{Order: i.order.ID, Target: i.order.Target, Age: now.Sub(i.since), Counts: make(map[CountKey]Count, len(i.own)), Condemned: i.condemned}
+	r := Report{Order: i.order.ID, Target: i.order.Target, Age: now.Sub(i.since), Counts: make(map[CountKey]Count, len(i.own)), Condemned: i.rollbackReason}
 	for k, c := range i.own {
 		r.Counts[k] = c
 	}
-	for s := range i.held {
+	for s := range i.pinned {
 		r.Held = append(r.Held, s)
 	}
 	return r
 }
 
-// Heard takes in the report of another daemon. The oldest start that any daemon
-// knows counts, so that one that restarted goes on where the fleet is. A verdict
-// against the version is taken over: the daemons' counts differ a little, and some
-// would declare complete what others no longer send anything to.
+// Heard applies the report of another daemon. The earliest start known to any daemon counts, so
+// that a restarted daemon continues where the fleet is. A decision to roll back is adopted: the
+// daemons' counts differ slightly, and otherwise some daemons could declare a version complete
+// to which others send nothing any more.
 func (i *Introduction) Heard(daemon string, r Report, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -288,33 +283,34 @@
 		return
 	}
 	i.others[daemon] = r
-	if i.condemned == "" {
-		i.condemned = r.Condemned
+	if i.rollbackReason == "" {
+		i.rollbackReason = r.Condemned
 	}
 	if since := now.Add(-r.Age); since.Before(i.since) {
 		i.since = since
 	}
 }
 
-// Verdict is what an introduction has come to on this daemon.
+// Verdict is the result of a review.
 type Verdict struct {
-	// State is what should be in the store now.
+	// State is the state that the store should have.
 	State  State
 	Reason string
-	// Trial and Base sum up the answers of the fleet.
+	// Trial and Base are the fleet's counts of the new and the previous version.
 	Trial, Base Count
-	// Slowdown is the ratio of the latencies to the first event or answer, PaceSlowdown
-	// that of the times between events. They are zero when there are too few.
+	// Slowdown is the ratio of the new version's latencies to the first event or answer to
+	// those of the previous version, PaceSlowdown that of the times between events. They are
+	// zero if there are too few answers.
 	Slowdown, PaceSlowdown float64
-	// SlowPace tells that the times between events condemn the version, Slow that all
-	// latencies together are beyond chance.
+	// SlowPace is set if the times between events are reason to roll back, Slow if the slowdown
+	// of all latencies together is statistically significant.
 	SlowPace, Slow bool
 	Age            time.Duration
-	// Whole is the age from which the new version gets everything.
+	// Whole is the age from which the new version gets all traffic.
 	Whole time.Duration
 }
 
-// Review judges the introduction. A version once condemned stays so.
+// Review evaluates the introduction. A decision to roll back is final.
 func (i *Introduction) Review(now time.Time) Verdict {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -322,44 +318,44 @@
 	v := Verdict{State: Running, Age: now.Sub(i.since)}
 	for key, c := range sums {
 		if !key.Trial {
-			i.usual[key] = c
+			i.baseline[key] = c
 		}
 		switch {
-		case key.Pace: // Of answers that are counted already.
+		case key.Pace: // These answers are counted under their other key.
 		case key.Trial:
 			v.Trial.add(c)
 		default:
 			v.Base.add(c)
 		}
 	}
-	if !i.grown {
-		i.pace = i.options.plan(i.order.Duration, v.Age, v.Trial.Answers, v.Base.Answers)
+	if !i.trialOver {
+		i.schedule = i.options.plan(i.order.Duration, v.Age, v.Trial.Answers, v.Base.Answers)
 	}
-	_, i.grown = i.moving(v.Age)
-	if !i.grown {
+	_, i.trialOver = i.shareAfterTrial(v.Age)
+	if !i.trialOver {
 		first := compareLatencies(sums, func(k CountKey) bool { return !k.Pace })
 		paces := compareLatencies(sums, func(k CountKey) bool { return k.Pace })
 		v.Slowdown = first.slowdown(slowFactor, minLatencies)
 		v.PaceSlowdown = paces.slowdown(paces.paceFactor(), minPaces)
 		v.SlowPace = v.PaceSlowdown > paces.paceFactor()
-		v.Slow = compareLatencies(sums, func(CountKey) bool { return true }).certain()
+		v.Slow = compareLatencies(sums, func(CountKey) bool { return true }).significant()
 	}
-	if i.condemned == "" {
-		i.condemned = condemn(sums, v)
+	if i.rollbackReason == "" {
+		i.rollbackReason = rollbackReason(sums, v)
 	}
-	v.Whole = i.pace.whole
+	v.Whole = i.schedule.fullTraffic
 	switch {
 	case i.state == Done || i.state == RolledBack:
 		v.State = i.state
-	case i.condemned != "":
-		v.State, v.Reason = RolledBack, i.condemned
-	case v.Age >= i.options.finish(i.order.Duration, i.pace):
+	case i.rollbackReason != "":
+		v.State, v.Reason = RolledBack, i.rollbackReason
+	case v.Age >= i.options.finishAge(i.order.Duration, i.schedule):
 		v.State, v.Reason = Done, "no fault found"
 	}
 	return v
 }
 
-// sum adds up the counts of all daemons. The caller holds mu.
+// sum returns the counts of all daemons, added up. The caller holds mu.
 func (i *Introduction) sum() map[CountKey]Count {
 	sums := make(map[CountKey]Count)
 	merge := func(from map[CountKey]Count) {
--- a/canary/canary_test.go
+++ b/canary/canary_test.go
@@ -26,7 +26,7 @@
 	return New(DefaultOptions(), Order{Service: "s", Target: "v2", ID: 5, Duration: duration}, Running, start)
 }
 
-// share is the part of many sessions that runs on the new version.
+// share returns the share of many sessions that runs on the new version.
 func share(i *Introduction, now time.Time) float64 {
 	const sessions = 5000
 	n := 0
@@ -38,7 +38,7 @@
 	return float64(n) / sessions
 }
 
-func TestNothingMovesBeforeAllDaemonsKnow(t *testing.T) {
+func TestNoSessionMovesBeforeSettleTime(t *testing.T) {
 	i := newIntroduction()
 	qt.Check(t, share(i, start.Add(time.Second)), qt.Equals, 0.0)
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestSessionsInProgressStayInTheTrial(t *testing.T) {
+func TestSessionsInProgressStayDuringTrial(t *testing.T) {
 	c := qt.New(t)
 	i, other := newIntroduction(), newIntroduction()
 	var moved []uint64
@@ -73,7 +73,7 @@
 	}
 }
 
-// observe feeds answers of both versions.
+// observe counts answers of both versions.
 func observe(i *Introduction, base, baseBad, trial, trialBad int, latency, trialLatency time.Duration) {
 	for n := range base {
 		i.Observe("r", false, n < baseBad, latency)
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestVersionWithErrorsIsCondemnedForGood(t *testing.T) {
+func TestErrorsCauseFinalRollback(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	observe(i, 500, 5, 20, 5, 0, 0)
@@ -95,7 +95,7 @@
 	c.Check(share(i, start.Add(20*time.Second)), qt.Equals, 0.0)
 }
 
-func TestErrorsOnOneRouteCondemn(t *testing.T) {
+func TestErrorsOnOneRouteCauseRollback(t *testing.T) {
 	i := newIntroduction()
 	for n := range 200 {
 		i.Observe("good", true, false, 0)
@@ -111,13 +111,13 @@
 	qt.Check(t, v.State, qt.Equals, RolledBack)
 }
 
-func TestVersionAsBadAsTheOneBeforeIsKept(t *testing.T) {
+func TestSameErrorRateCausesNoRollback(t *testing.T) {
 	i := newIntroduction()
 	observe(i, 1000, 100, 100, 12, 50*time.Millisecond, 60*time.Millisecond)
 	qt.Check(t, i.Review(start.Add(5*time.Second)).State, qt.Equals, Running)
 }
 
-func TestSlowVersionIsCondemned(t *testing.T) {
+func TestSlowVersionIsRolledBack(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	observe(i, 200, 0, 15, 0, 200*time.Millisecond, 900*time.Millisecond)
@@ -129,7 +129,7 @@
 	c.Check(fast.Review(start.Add(5*time.Second)).State, qt.Equals, Running)
 }
 
-func TestFleetsCountsAddUp(t *testing.T) {
+func TestCountsOfAllDaemonsAddUp(t *testing.T) {
 	i, other := newIntroduction(), newIntroduction()
 	observe(i, 100, 0, 6, 2, 0, 0)
 	observe(other, 100, 0, 6, 2, 0, 0)
@@ -139,7 +139,7 @@
 	qt.Check(t, i.Review(now).State, qt.Equals, RolledBack)
 }
 
-func TestVerdictOfOneDaemonHoldsForAll(t *testing.T) {
+func TestRollbackIsAdoptedByAllDaemons(t *testing.T) {
 	c := qt.New(t)
 	i, other := newIntroduction(), newIntroduction()
 	observe(other, 100, 0, 12, 6, 0, 0)
@@ -156,7 +156,7 @@
 	c.Check(third.Review(start.Add(duration)).State, qt.Equals, RolledBack)
 }
 
-func TestReportOfAnotherOrderDoesNotCount(t *testing.T) {
+func TestReportOfAnotherOrderIsIgnored(t *testing.T) {
 	i := newIntroduction()
 	other := New(DefaultOptions(), Order{Service: "s", Target: "v2", ID: 4, Duration: duration}, Running, start)
 	observe(other, 100, 0, 50, 50, 0, 0)
@@ -164,7 +164,7 @@
 	qt.Check(t, i.Review(start.Add(4*time.Second)).State, qt.Equals, Running)
 }
 
-func TestRestartedDaemonGoesOnWhereTheFleetIs(t *testing.T) {
+func TestRestartedDaemonContinuesWhereFleetIs(t *testing.T) {
 	old := newIntroduction()
 	now := start.Add(23200 * time.Millisecond)
 	late := New(DefaultOptions(), old.Order(), Running, now)
@@ -182,10 +182,10 @@
 	qt.Check(t, i.State(), qt.Equals, Done)
 }
 
-// TestSessionsNeverHopBetweenVersions asks several daemons for the same sessions
-// at random times: in the first half no session changes its version, and later
-// none goes back unless the version was condemned.
-func TestSessionsNeverHopBetweenVersions(t *testing.T) {
+// TestSessionsNeverMoveBack asks several daemons for the same sessions at random times. In the
+// first half no session changes its version, and later none returns to the previous version,
+// unless the new one is rolled back.
+func TestSessionsNeverMoveBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := []*Introduction{newIntroduction(), newIntroduction(), newIntroduction()}
 		last := map[uint64]bool{}
@@ -216,9 +216,9 @@
 	})
 }
 
-// TestSomeSlowAnswersAreNoFault: engines of a new version have read no prompts, and
-// some of their answers take longer without anything being wrong.
-func TestSomeSlowAnswersAreNoFault(t *testing.T) {
+// TestSomeSlowAnswersCauseNoRollback guards against rolling back a version because its engines
+// have empty prompt caches, which makes some of their answers slower.
+func TestSomeSlowAnswersCauseNoRollback(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	for n := range 4000 {
@@ -242,7 +242,7 @@
 	c.Check(i.Review(start.Add(6*time.Second)).State, qt.Equals, Running)
 }
 
-func TestSlowAnswersCondemn(t *testing.T) {
+func TestSlowAnswersCauseRollback(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	for n := range 100 {
@@ -261,9 +261,9 @@
 	c.Check(v.State, qt.Equals, RolledBack)
 }
 
-// TestSlownessBetweenEventsCondemns has a version that begins its answers as fast as
-// the one before and goes on at a third of its pace.
-func TestSlownessBetweenEventsCondemns(t *testing.T) {
+// TestSlowStreamsCauseRollback covers a version that begins its answers as fast as the previous
+// one and streams them at a third of its speed.
+func TestSlowStreamsCauseRollback(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	for n := range 400 {
@@ -282,9 +282,9 @@
 	c.Check(v.Slowdown < 1.3, qt.IsTrue, qt.Commentf("%v", v.Slowdown))
 }
 
-// TestFewSlowPacesMayBeChance: the paces of a version vary so much that some slow ones
-// in a small sample say nothing.
-func TestFewSlowPacesMayBeChance(t *testing.T) {
+// TestFewSlowPacesAreNotSignificant guards against a rollback for some slow streams in a small
+// sample of a version whose times between events vary widely.
+func TestFewSlowPacesAreNotSignificant(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
 	for n := range 400 {
@@ -295,13 +295,13 @@
 		i.ObservePace("r", true, time.Duration(160<<(n%2))*time.Millisecond)
 	}
 	v := i.Review(start.Add(5 * time.Second))
-	c.Check(v.PaceSlowdown, qt.Equals, slowPace)
+	c.Check(v.PaceSlowdown, qt.Equals, slowPaceFactor)
 	c.Check(v.State, qt.Equals, Running)
 }
 
-// TestSlowerEnginesAreNoFault: a trial runs on few engines, and with many answers it is
-// certain that these are slower than most.
-func TestSlowerEnginesAreNoFault(t *testing.T) {
+// TestSlowerEnginesCauseNoRollback guards against a rollback because a trial runs on few
+// engines. With many answers it becomes significant that these are slower than most.
+func TestSlowerEnginesCauseNoRollback(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		percent int
@@ -316,19 +316,19 @@
 			}
 			i.Review(start.Add(3 * time.Second))
 			for n := range 162 {
-				usual := time.Duration(60+n%81) * time.Millisecond
-				i.Observe("r", true, false, usual*time.Duration(test.percent)/100)
-				i.ObservePace("r", true, usual*time.Duration(test.percent)/100)
+				baseline := time.Duration(60+n%81) * time.Millisecond
+				i.Observe("r", true, false, baseline*time.Duration(test.percent)/100)
+				i.ObservePace("r", true, baseline*time.Duration(test.percent)/100)
 			}
 			c.Check(i.Review(start.Add(6*time.Second)).State, qt.Equals, test.want)
 		})
 	}
 }
 
-// TestEnginesThatHaveReadNoPromptsYetAreNoFault is the start of a version on one new engine:
-// it reads whole prompts of which the others hold the larger part, and its first thirty
-// answers all begin later.
-func TestEnginesThatHaveReadNoPromptsYetAreNoFault(t *testing.T) {
+// TestEmptyPromptCachesCauseNoRollback covers the start of a version on one new engine. It
+// processes whole prompts of which the other engines have cached the larger part, so that its
+// first thirty answers all begin later.
+func TestEmptyPromptCachesCauseNoRollback(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		percent int
@@ -342,17 +342,17 @@
 			}
 			i.Review(start.Add(3 * time.Second))
 			for n := range 31 {
-				usual := time.Duration(150+(n*37)%101) * time.Millisecond
-				i.Observe("r", true, false, usual*time.Duration(test.percent)/100)
+				baseline := time.Duration(150+(n*37)%101) * time.Millisecond
+				i.Observe("r", true, false, baseline*time.Duration(test.percent)/100)
 			}
 			c.Check(i.Review(start.Add(5*time.Second)).State, qt.Equals, test.want)
 		})
 	}
 }
 
-// TestFewAnswersAreEnoughWhenAllAreSlow has a version of a plain service of which half
-// of the answers take long.
-func TestFewAnswersAreEnoughWhenAllAreSlow(t *testing.T) {
+// TestFewSlowAnswersCauseRollback covers a version of a plain service of which half of the
+// answers take long.
+func TestFewSlowAnswersCauseRollback(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		factor int
@@ -377,17 +377,17 @@
 	}
 }
 
-// TestVersionWhoseFaultStaysHiddenGetsNoMoreThanTheBound adds up what a version
-// gets until its deadline that shows no fault, for many durations, bounds, rates and
-// parts of the trial's sessions that were held on the version before.
-func TestVersionWhoseFaultStaysHiddenGetsNoMoreThanTheBound(t *testing.T) {
+// TestExposureToHiddenFaultIsBounded adds up the requests that a version without a visible
+// fault gets until its deadline, for many durations, bounds, request rates and shares of pinned
+// sessions.
+func TestExposureToHiddenFaultIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := DefaultOptions()
 		o.ExposureShare = rapid.SampledFrom([]float64{0.07, 0.0975, 0.15, 0.3}).Draw(t, "allowed")
 		o.ExposureSlack = rapid.SampledFrom([]float64{0, 30}).Draw(t, "slack")
 		length := time.Duration(rapid.IntRange(12, 60).Draw(t, "seconds")) * time.Second
 		perSecond := rapid.SampledFrom([]int{20, 100, 500}).Draw(t, "rate")
-		held := rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "held")
+		pinned := rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "held")
 		i := New(o, Order{Service: "s", Target: "v2", ID: 1, Duration: length}, Running, start)
 		const tick = 100 * time.Millisecond
 		exposed, all, finished := 0.0, 0.0, false
@@ -396,8 +396,8 @@
 			finished = finished || i.Review(now).State == Done
 			n := float64(perSecond) * tick.Seconds()
 			got := n * share(i, now)
-			if _, moving := i.moving(age); !moving {
-				got *= 1 - held
+			if _, trialOver := i.shareAfterTrial(age); !trialOver {
+				got *= 1 - pinned
 			}
 			exposed, all = exposed+got, all+n
 			key := CountKey{Route: "r"}
@@ -414,21 +414,21 @@
 	})
 }
 
-func TestFewEnginesGetTheLoadOfOne(t *testing.T) {
+func TestEngineCountOfNewVersion(t *testing.T) {
 	c := qt.New(t)
 	i := newIntroduction()
-	trial, stress := start.Add(5*time.Second), start.Add(22*time.Second)
+	trial, step := start.Add(5*time.Second), start.Add(22*time.Second)
 	c.Check(i.Width(9, 0.1, trial), qt.Equals, 1)
-	c.Check(i.Width(9, 0.1, stress), qt.Equals, 1)
+	c.Check(i.Width(9, 0.1, step), qt.Equals, 1)
 	c.Check(i.Width(90, 0.1, trial), qt.Equals, 4)
-	c.Check(i.Width(90, 0.1, stress), qt.Equals, 4)
-	c.Check(i.Width(90, 0.3, stress), qt.Equals, 9)
+	c.Check(i.Width(90, 0.1, step), qt.Equals, 4)
+	c.Check(i.Width(90, 0.3, step), qt.Equals, 9)
 	c.Check(i.Width(9, 0.1, start.Add(23200*time.Millisecond)) > 1000, qt.IsTrue)
-	// Sixty engines' share of the trial is that of 2.7 of them.
+	// The trial share of 60 engines corresponds to 2.7 engines.
 	c.Check(i.Width(60, 0.1, trial), qt.Equals, 3)
 	c.Check(i.Width(50, 0.1, trial), qt.Equals, 2)
-	// Engines that are nearly full take no more than the ones before.
+	// Nearly full engines get no more load than those of the previous version.
 	c.Check(i.Width(90, 0.9, trial), qt.Equals, 4)
-	c.Check(i.Width(90, 0.9, stress), qt.Equals, 27)
+	c.Check(i.Width(90, 0.9, step), qt.Equals, 27)
 	c.Check(i.Width(0, 0, trial), qt.Equals, 1)
 }
--- a/canary/driver.go
+++ b/canary/driver.go
@@ -3,31 +3,30 @@
 import "time"
 
 const (
-	// rankDelay is how much longer each daemon waits than the one before it in order
-	// of preference until it writes a state, so that usually one does.
+	// rankDelay is the delay between the writes of daemons of consecutive rank, so that usually
+	// only one of them writes a state.
 	rankDelay = 700 * time.Millisecond
-	// doneDelay stands in for rankDelay when a version is to be declared complete: the
-	// deadline is near, and a second write does no harm.
+	// doneDelay replaces rankDelay when a version is to be declared complete: the deadline is
+	// near, and a second write does no harm.
 	doneDelay = 50 * time.Millisecond
-	// writePause is the least time between two tries of one daemon.
-	writePause = 300 * time.Millisecond
+	// minWriteInterval is the least time between two attempts of one daemon.
+	minWriteInterval = 300 * time.Millisecond
 )
 
-// Driver decides when one daemon writes the state of an introduction into the store.
-// All daemons drive; a write counts only under the revision that its writer knows, so
-// that one that was frozen, or whose answer was lost, changes nothing that others have
-// decided meanwhile. It is for one goroutine.
+// Driver decides when a daemon writes the state of an introduction to the store. Every daemon
+// has a Driver. A write succeeds only under the revision that its writer knows, so that a
+// daemon that was paused, or did not receive the store's answer, cannot undo what others have
+// decided meanwhile. It is not safe for concurrent use.
 type Driver struct {
-	// wanted is the state that should be written, since wantedSince.
+	// wanted is the state to write, wantedSince the time since which it is the same.
 	wanted      State
 	wantedSince time.Time
 	tried       time.Time
 }
 
-// Due tells whether the daemon should write the verdict now, when the store has the
-// state have and the daemon stands at a place in the order of preference. New tells
-// that the verdict is not the one of before.
-func (d *Driver) Due(have, verdict State, place int, now time.Time) (due, isNew bool) {
+// Due reports whether the daemon of the given rank should write the verdict now, if the store
+// has the state have. isNew is set if the verdict differs from that of the previous call.
+func (d *Driver) Due(have, verdict State, rank int, now time.Time) (due, isNew bool) {
 	if verdict == have {
 		return false, false
 	}
@@ -38,7 +37,7 @@
 	if verdict == Done {
 		delay = doneDelay
 	}
-	if now.Sub(d.wantedSince) < time.Duration(max(place, 0))*delay || now.Sub(d.tried) < writePause {
+	if now.Sub(d.wantedSince) < time.Duration(max(rank, 0))*delay || now.Sub(d.tried) < minWriteInterval {
 		return false, isNew
 	}
 	d.tried = now
--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPreferredDaemonWritesFirstAndTheNextOnesFollow(t *testing.T) {
+func TestDaemonsWriteInOrderOfRank(t *testing.T) {
 	c := qt.New(t)
 	var first, second Driver
 	due, isNew := first.Due(Pending, Running, 0, start)
@@ -20,7 +20,7 @@
 	due, isNew = second.Due(Pending, Running, 1, start.Add(rankDelay))
 	c.Check(due, qt.IsTrue, qt.Commentf("nobody else wrote"))
 	c.Check(isNew, qt.IsFalse)
-	due, _ = second.Due(Pending, Running, 1, start.Add(rankDelay+writePause/2))
+	due, _ = second.Due(Pending, Running, 1, start.Add(rankDelay+minWriteInterval/2))
 	c.Check(due, qt.IsFalse, qt.Commentf("it has just tried"))
 	due, _ = second.Due(Running, Running, 1, start.Add(time.Minute))
 	c.Check(due, qt.IsFalse, qt.Commentf("it is written"))
@@ -29,14 +29,14 @@
 	c.Check(due, qt.IsTrue)
 }
 
-// write is a call of the store under way.
+// write is a call to the store in progress.
 type write struct {
 	revision int
 	state    State
 	at       time.Duration
 }
 
-// simStore is a store with conditional writes that may be carried out late.
+// simStore is a store with conditional writes that may be applied late.
 type simStore struct {
 	t        *rapid.T
 	state    State
@@ -44,8 +44,8 @@
 	pending  []write
 }
 
-// settle carries out the writes that are due and checks each change.
-func (s *simStore) settle(now time.Duration) {
+// applyDue applies the writes that are due and checks each change.
+func (s *simStore) applyDue(now time.Duration) {
 	var left []write
 	for _, w := range s.pending {
 		switch {
@@ -62,21 +62,22 @@
 	s.pending = left
 }
 
-// simDaemon is one daemon that drives an introduction.
+// simDaemon is a daemon that drives an introduction.
 type simDaemon struct {
 	*Introduction
 	driver   Driver
 	revision int
-	// frozen is how many more steps it does nothing, dead that it is gone.
-	frozen int
+	// paused is the number of further steps in which it does nothing. dead is set once it has
+	// crashed.
+	paused int
 	dead   bool
 }
 
-// TestDriversUnderPausesLostAnswersAndDeaths lets several daemons drive one
-// introduction while they freeze, die, learn of the state late, and while writes are
-// carried out seconds after they were sent. A final state never changes, a version
-// without a fault is completed, and as long as one daemon lives the introduction ends.
-func TestDriversUnderPausesLostAnswersAndDeaths(t *testing.T) {
+// TestDriversUnderPausesLateWritesAndCrashes lets several daemons drive one introduction while
+// they pause, crash and learn of the state late, and while writes are applied seconds after
+// they were sent. A final state never changes, a version without a fault is completed, and the
+// introduction ends as long as one daemon survives.
+func TestDriversUnderPausesLateWritesAndCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick, length = 100 * time.Millisecond, 12 * time.Second
 		store := &simStore{t: t, state: Pending, revision: 1}
@@ -90,22 +91,22 @@
 		bad := rapid.Bool().Draw(t, "bad")
 		badAt := time.Duration(rapid.IntRange(2000, 9000).Draw(t, "fault_ms")) * time.Millisecond
 		survivor := rapid.IntRange(0, n-1).Draw(t, "survivor")
-		calm := length + time.Second
+		undisturbedFrom := length + time.Second
 		for at := time.Duration(0); at < length+12*time.Second; at += tick {
 			now := start.Add(at)
-			store.settle(at)
+			store.applyDue(at)
 			for place, d := range daemons {
-				if at < calm {
-					if d.frozen == 0 && rapid.IntRange(0, 39).Draw(t, "freeze") == 0 {
-						d.frozen = rapid.IntRange(1, 40).Draw(t, "steps")
+				if at < undisturbedFrom {
+					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "freeze") == 0 {
+						d.paused = rapid.IntRange(1, 40).Draw(t, "steps")
 					}
 					d.dead = d.dead || place != survivor && rapid.IntRange(0, 199).Draw(t, "die") == 0
 				}
-				if d.frozen > 0 || d.dead {
-					d.frozen = max(d.frozen-1, 0)
+				if d.paused > 0 || d.dead {
+					d.paused = max(d.paused-1, 0)
 					continue
 				}
-				if rapid.IntRange(0, 3).Draw(t, "news") == 0 || at >= calm {
+				if rapid.IntRange(0, 3).Draw(t, "news") == 0 || at >= undisturbedFrom {
 					d.SetState(store.state)
 					d.revision = store.revision
 				}
@@ -116,14 +117,14 @@
 					}
 				}
 				for other, o := range daemons {
-					if other != place && o.frozen == 0 && !o.dead {
+					if other != place && o.paused == 0 && !o.dead {
 						d.Heard(string(rune('a'+other)), o.Report(now), now)
 					}
 				}
 				verdict := d.Review(now)
 				if due, _ := d.driver.Due(d.State(), verdict.State, place, now); due {
 					late := time.Duration(0)
-					if at < calm && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
+					if at < undisturbedFrom && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 						late = time.Duration(rapid.IntRange(0, 4000).Draw(t, "late_ms")) * time.Millisecond
 					}
 					store.pending = append(store.pending, write{d.revision, verdict.State, at + late})
@@ -134,7 +135,7 @@
 			t.Fatalf("ended as %v", store.state)
 		}
 		if !bad && store.state != Done {
-			t.Fatalf("good version ended as %v", store.state)
+			t.Fatalf("version without a fault ended as %v", store.state)
 		}
 	})
 }
--- a/canary/judge.go
+++ b/canary/judge.go
@@ -2,79 +2,80 @@
 
 import "math"
 
-// Evidence needed for a verdict.
+// Thresholds for rolling a version back.
 const (
-	// minBad is the number of bad answers below which no version is condemned. A
-	// few failures have causes of their own, such as one engine's.
+	// minBad is the number of bad answers below which no version is rolled back. A few failures
+	// may have other causes, such as a single faulty engine.
 	minBad = 4
-	// A version is condemned when its share of bad answers is above that of the
-	// version before by badMargin and by deviations standard deviations of the
-	// difference, or of slow ones by slowMargin and slowShareDeviations. Slowness needs
-	// more, since the engines of the two versions do not have the same load and those
-	// of the new one have read no prompts yet.
+	// A version is rolled back if its share of bad answers exceeds that of the previous version
+	// by badMargin and by badDeviations standard deviations of the difference, or its share of
+	// slow answers by slowMargin and slowShareDeviations. Slowness needs more evidence, because
+	// the engines of the two versions differ in load and those of the new one have empty prompt
+	// caches.
 	badMargin           = 0.1
 	badDeviations       = 3.0
 	slowMargin          = 0.25
 	slowShareDeviations = 4.0
-	// slowFactor is the ratio of the latencies to the first event that condemns, slowPace
-	// that of the times between events. New engines have read no prompts yet, which
-	// delays first events only. It needs minLatencies measured answers, or minPaces,
-	// which vary less, and has to be slowDeviations standard errors from one.
+	// slowFactor is the ratio of the latencies to the first event above which a version is
+	// rolled back, slowPaceFactor that of the times between events. The latter is lower,
+	// because empty prompt caches of new engines delay first events only. The ratio needs
+	// minLatencies measured answers, or minPaces, which vary less, and must differ from one by
+	// slowDeviations standard errors.
 	slowFactor     = 2.2
-	slowPace       = 1.75
+	slowPaceFactor = 1.75
 	minLatencies   = 12
 	minPaces       = 8
 	slowDeviations = 4.0
-	// Fewer answers are enough when all their latencies together, minCertain at least,
-	// are certainDeviations standard errors from those of the version before, and
-	// certainFactor times as long. The engines of a new version have read no prompts yet:
-	// where most of a prompt is shared, their first events take 1.3 to 1.8 times as long
-	// without being slow. Versions that are slow by far were 2.5 to 4 times as long.
-	minCertain        = 10
-	certainDeviations = 5.0
-	certainFactor     = 2.0
-	// From manyAnswers on, what the few engines of a trial differ from the others becomes
-	// certain too: good versions on slower engines were seen 1.57 times as long between
-	// events. So more is asked for then; with fewer answers a suspicion has to do.
-	manyAnswers  = 40
-	manySlowPace = 2.0
-	// leastDeviation is the least standard deviation of the logarithms that is taken to
-	// be usual, for services whose answers all take the same time.
-	leastDeviation = 0.2
-	// slowFloor is added to latencies before they are compared, in milliseconds,
-	// so that short ones do not look like slowness.
-	slowFloor = 10.0
-	// An answer is slow when it took slowAnswer times the usual time on its route
-	// and was slowAnswerDeviations beyond it.
-	slowAnswer           = 3.5
+	// Fewer answers are enough if all their latencies together, at least minSignificant, differ
+	// from those of the previous version by significantDeviations standard errors and are
+	// significantFactor times as long. Engines of a new version have empty prompt caches: where
+	// most of a prompt is shared, their first events take 1.3 to 1.8 times as long without a
+	// fault. Versions with a serious slowdown took 2.5 to 4 times as long.
+	minSignificant        = 10
+	significantDeviations = 5.0
+	significantFactor     = 2.0
+	// From manyAnswers on, differences between the few engines of a trial and the others become
+	// significant too: good versions on slower engines took up to 1.57 times as long between
+	// events. So the required ratio is higher then.
+	manyAnswers           = 40
+	manyAnswersPaceFactor = 2.0
+	// minDeviation is the least standard deviation of the logarithms that is assumed for the
+	// previous version, for services whose answers all take the same time.
+	minDeviation = 0.2
+	// latencyOffsetMs is added to latencies before they are compared, so that small differences
+	// between short ones do not count as slowness.
+	latencyOffsetMs = 10.0
+	// An answer is slow if it took slowAnswerFactor times the usual time on its route and
+	// exceeds it by slowAnswerDeviations standard deviations.
+	slowAnswerFactor     = 3.5
 	slowAnswerDeviations = 2.0
-	// After the trial each new engine has more load than those of the version
-	// before, and it takes slowLoaded times the usual time.
-	slowLoaded = 4.0
+	// loadedSlowAnswerFactor replaces slowAnswerFactor after the trial, when each new engine
+	// has more load than those of the previous version.
+	loadedSlowAnswerFactor = 4.0
 )
 
-// isSlow compares a latency with what is usual on the route with the version
-// before, as of the last review. The caller holds mu.
+// isSlow compares the logarithm of a latency with the previous version's latencies on the
+// route, as of the last review. The caller holds mu.
 func (i *Introduction) isSlow(key CountKey, value float64) bool {
-	usual, ok := i.usual[key.base()]
-	if !ok || usual.Latencies < minLatencies {
+	baseline, ok := i.baseline[key.base()]
+	if !ok || baseline.Latencies < minLatencies {
 		return false
 	}
-	mean, deviation := usual.spread()
-	times := slowAnswer
-	if i.grown {
-		times = slowLoaded
+	mean, deviation := baseline.logStats()
+	times := slowAnswerFactor
+	if i.trialOver {
+		times = loadedSlowAnswerFactor
 	}
 	return value > mean+max(math.Log(times), slowAnswerDeviations*deviation)
 }
 
-// condemn returns the reason against the version, or "".
-func condemn(sums map[CountKey]Count, v Verdict) string {
-	if fails(v.Trial, v.Base) {
+// rollbackReason returns the reason for rolling the version back, or "".
+func rollbackReason(sums map[CountKey]Count, v Verdict) string {
+	if isWorse(v.Trial, v.Base) {
 		return "errors"
 	}
 	for key, trial := range sums {
-		if key.Trial && fails(trial, sums[key.base()]) {
+		if key.Trial && isWorse(trial, sums[key.base()]) {
 			return "errors on one route"
 		}
 	}
@@ -89,14 +90,14 @@
 	return ""
 }
 
-// fails compares the shares of bad answers, and of slow ones.
-func fails(trial, base Count) bool {
+// isWorse compares the shares of bad and of slow answers.
+func isWorse(trial, base Count) bool {
 	return exceeds(trial.Bad, trial.Answers, base.Bad, base.Answers, badMargin, badDeviations) ||
 		exceeds(trial.Slow, trial.Answers, base.Slow, base.Answers, slowMargin, slowShareDeviations)
 }
 
-// exceeds tells whether hits among n answers are more than usual among m.
-func exceeds(hits, n, usual, m uint64, margin, deviations float64) bool {
+// exceeds reports whether hits among n answers are significantly more than baseline among m.
+func exceeds(hits, n, baseline, m uint64, margin, deviations float64) bool {
 	if hits < minBad {
 		return false
 	}
@@ -104,31 +105,31 @@
 	if m == 0 {
 		return share > max(margin, deviations*math.Sqrt(share*(1-share)/float64(n)))
 	}
-	both := float64(hits+usual) / float64(n+m)
+	both := float64(hits+baseline) / float64(n+m)
 	deviation := math.Sqrt(both * (1 - both) * (1/float64(n) + 1/float64(m)))
-	return share-float64(usual)/float64(m) > max(margin, deviations*deviation)
+	return share-float64(baseline)/float64(m) > max(margin, deviations*deviation)
 }
 
-// latencies compares the latencies of the new version with those of the one before.
-type latencies struct {
-	// logs is the sum of the logarithms of the ratios, over so many answers, of which
-	// the version before lets expect the given variance.
+// latencyComparison compares the latencies of the new version with those of the previous one.
+type latencyComparison struct {
+	// logs is the sum of the logarithms of the ratios and answers their number. variance is the
+	// variance of the sum that the previous version's latencies lead to expect.
 	logs, answers, variance float64
-	// deviations is the sum of the logarithms in standard deviations of their kind.
+	// deviations is the sum of the logarithms, each in standard deviations on its route.
 	deviations float64
 }
 
-// compareLatencies sums up over the keys that are wanted.
-func compareLatencies(sums map[CountKey]Count, wanted func(CountKey) bool) latencies {
-	var l latencies
+// compareLatencies compares the latencies under the keys for which include returns true.
+func compareLatencies(sums map[CountKey]Count, include func(CountKey) bool) latencyComparison {
+	var l latencyComparison
 	for key, trial := range sums {
 		base := sums[key.base()]
-		if !key.Trial || !wanted(key) || trial.Latencies == 0 || base.Latencies < minLatencies {
+		if !key.Trial || !include(key) || trial.Latencies == 0 || base.Latencies < minLatencies {
 			continue
 		}
 		n := float64(trial.Latencies)
-		mean, deviation := base.spread()
-		deviation = max(deviation, leastDeviation)
+		mean, deviation := base.logStats()
+		deviation = max(deviation, minDeviation)
 		more := trial.LogLatencySum - n*mean
 		l.logs += more
 		l.answers += n
@@ -138,12 +139,12 @@
 	return l
 }
 
-// ratio returns how many times as long the new version takes.
-func (l latencies) ratio() float64 { return math.Exp(l.logs / l.answers) }
+// ratio returns the ratio of the new version's latencies to those of the previous one.
+func (l latencyComparison) ratio() float64 { return math.Exp(l.logs / l.answers) }
 
-// slowdown returns the ratio, zero when there are not enough answers, and no more than
-// the given factor while it may be chance.
-func (l latencies) slowdown(factor, enough float64) float64 {
+// slowdown returns the ratio, or zero if there are not enough answers. While the ratio is not
+// statistically significant, it returns at most the given factor.
+func (l latencyComparison) slowdown(factor, enough float64) float64 {
 	if l.answers < enough {
 		return 0
 	}
@@ -153,15 +154,17 @@
 	return l.ratio()
 }
 
-// certain tells whether all latencies together are beyond chance, and enough to matter.
-func (l latencies) certain() bool {
-	return l.answers >= minCertain && l.deviations > certainDeviations*math.Sqrt(l.answers) && l.ratio() > certainFactor
+// significant reports whether the slowdown of all latencies together is statistically
+// significant and large enough to matter.
+func (l latencyComparison) significant() bool {
+	return l.answers >= minSignificant && l.deviations > significantDeviations*math.Sqrt(l.answers) && l.ratio() > significantFactor
 }
 
-// paceFactor returns the ratio of the times between events that condemns.
-func (l latencies) paceFactor() float64 {
+// paceFactor returns the ratio of the times between events above which a version is rolled
+// back.
+func (l latencyComparison) paceFactor() float64 {
 	if l.answers >= manyAnswers {
-		return manySlowPace
+		return manyAnswersPaceFactor
 	}
-	return slowPace
+	return slowPaceFactor
 }
--- a/canary/pace.go
+++ b/canary/pace.go
@@ -5,134 +5,136 @@
 	"time"
 )
 
-// A fault may show only when the new version has a good part of the work, or never
-// before it has all. So what a bad version may get before its deadline is shared
-// out: some for the trial, some for one step, and the rest for everything, shortly
-// before the deadline. A version without a fault that shows is declared complete
-// inside the bound, and a bad one that hides has had no more than the bound.
+// A fault may show only when the new version has a large share of the load, or not before it
+// has all of it. So the exposure that a bad version may have before its deadline is divided: a
+// part for the trial, a part for one step, and the rest for a phase with all traffic shortly
+// before the deadline. A version without a visible fault is declared complete within the bound,
+// and a bad version without one has had no more exposure than the bound.
 const (
-	// trialPart is the part of the exposure allowed that the trial may use.
-	trialPart = 0.3
-	// exposurePart is the part that is planned with. The rest covers answers that are
-	// still to come, streams that go on at the new version when the engines of the
-	// one before stop, and load that rises at the end. Played with a fault that does
-	// not show, a plan of 0.8 of the bound came to between 0.7 and 1.08 of it.
-	exposurePart = 0.65
-	// slackPart bounds what the slack in requests adds, as a part of the order's
-	// duration, for daemons that have not heard of the others' counts.
-	slackPart = 0.1
-	// stepShare is the part of the sessions in the step between trial and everything,
-	// stepTime how long it lasts at most, stepPart how much of the plan it uses.
-	stepShare = 0.3
-	stepTime  = 1500 * time.Millisecond
-	stepPart  = 0.12
-	// leastWhole is the shortest time with everything before the deadline: less would
-	// leave no time to declare the version complete.
-	leastWhole = 700 * time.Millisecond
-	// finishPart is the part of the time with everything that is left when the version
-	// is declared complete, if that is sooner than the margin. With 0.75 one write in
-	// some dozen plays came too late.
-	finishPart = 0.85
+	// trialBudgetShare is the share of the allowed exposure that the trial may use.
+	trialBudgetShare = 0.3
+	// plannedBudgetShare is the share of the allowed exposure that is planned for. The rest
+	// covers answers still to come, streams that move to the new version when the engines of
+	// the previous one stop, and load that rises towards the end. In simulations with a fault
+	// that does not show, a planned share of 0.8 led to between 0.7 and 1.08 of the allowed
+	// exposure.
+	plannedBudgetShare = 0.65
+	// maxSlackShare bounds what the slack in requests adds, as a share of the order's duration,
+	// for daemons that do not know the other daemons' counts yet.
+	maxSlackShare = 0.1
+	// stepShare is the share of the sessions in the step between the trial and all traffic,
+	// maxStepDuration bounds its duration, and stepBudgetShare is the share of the planned
+	// exposure that it uses.
+	stepShare       = 0.3
+	maxStepDuration = 1500 * time.Millisecond
+	stepBudgetShare = 0.12
+	// minFullTraffic is the shortest phase with all traffic before the deadline. A shorter one
+	// would leave no time to declare the version complete.
+	minFullTraffic = 700 * time.Millisecond
+	// finishShare is the share of the phase with all traffic that is left when the version is
+	// declared complete, if that is less than FinishMargin. With 0.75, one write in about a
+	// dozen simulations was late.
+	finishShare = 0.85
 )
 
-// Some versions are bad under load only, and a share that is spread over all new
-// engines would load none of them. So each new engine gets up to loadFactor times
-// what one of the version before gets, and stressFactor times in the step after the
-// trial, but no more than would fill fullSlots of its slots: beyond that the callers
-// would pay for the test.
+// Some versions fail only under load, and a share of the traffic that is spread over all new
+// engines would load none of them. So each new engine gets up to trialLoadFactor times the load
+// of an engine of the previous version, and stepLoadFactor times in the step after the trial,
+// but no more than fills maxSlotUse of its slots: beyond that, callers would suffer from the
+// test.
 const (
-	loadFactor   = 1.0
-	stressFactor = 6.0
-	fullSlots    = 0.85
+	trialLoadFactor = 1.0
+	stepLoadFactor  = 6.0
+	maxSlotUse      = 0.85
 )
 
-// pace is the plan of one introduction: when the step begins after the order, and
-// when the new version gets everything.
-type pace struct {
-	step, whole time.Duration
+// schedule holds the ages at which the step begins and at which the new version gets all
+// traffic.
+type schedule struct {
+	step, fullTraffic time.Duration
 }
 
-// trialShare returns the part of the sessions in the trial.
-func (o Options) trialShare() float64 { return min(o.TrialShare, trialPart*o.ExposureShare) }
+// trialShare returns the share of the sessions in the trial.
+func (o Options) trialShare() float64 { return min(o.TrialShare, trialBudgetShare*o.ExposureShare) }
 
-// plan works the pace out from what the fleet has counted by age. Without counts it
-// expects the trial's share.
-func (o Options) plan(length, age time.Duration, trial, base uint64) pace {
+// plan calculates the schedule from the fleet's counts at the given age. Without counts it
+// assumes the trial's share.
+func (o Options) plan(length, age time.Duration, trial, base uint64) schedule {
 	budget := o.ExposureShare * length.Seconds()
 	spent, share := 0.0, o.trialShare()
 	if all := float64(trial + base); all > 0 && age > o.SettleTime {
 		perSecond := all / age.Seconds()
-		budget += min(o.ExposureSlack/perSecond, slackPart*length.Seconds())
+		budget += min(o.ExposureSlack/perSecond, maxSlackShare*length.Seconds())
 		spent = float64(trial) / perSecond
 		share = spent / (age - o.SettleTime).Seconds()
 	} else {
 		age = o.SettleTime
 	}
-	budget *= exposurePart
-	step := min(stepTime.Seconds(), stepPart*budget/stepShare)
+	budget *= plannedBudgetShare
+	step := min(maxStepDuration.Seconds(), stepBudgetShare*budget/stepShare)
 	left := budget - spent - step*stepShare - share*((length-age).Seconds()-step)
-	whole := max(left/max(1-share, 1-stepShare), leastWhole.Seconds())
+	fullTraffic := max(left/max(1-share, 1-stepShare), minFullTraffic.Seconds())
 	// Sessions in progress stay on their version in the first half.
 	half := length / 2
-	p := pace{whole: max(length-seconds(whole), half+seconds(step))}
-	p.step = max(p.whole-seconds(step), half)
+	p := schedule{fullTraffic: max(length-seconds(fullTraffic), half+seconds(step))}
+	p.step = max(p.fullTraffic-seconds(step), half)
 	return p
 }
 
-// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// finish returns the age at which the version is declared complete.
-func (o Options) finish(length time.Duration, p pace) time.Duration {
-	return max(length-min(o.FinishMargin, seconds(finishPart*(length-p.whole).Seconds())), 0)
+// finishAge returns the age at which the version is declared complete.
+func (o Options) finishAge(length time.Duration, p schedule) time.Duration {
+	return max(length-min(o.FinishMargin, seconds(finishShare*(length-p.fullTraffic).Seconds())), 0)
 }
 
-// NextReview returns when the introduction should be judged again: after the usual
-// interval, or just when it is to be declared complete, and from then on in the pace
-// in which further daemons try to write that.
-func (i *Introduction) NextReview(now time.Time, usual time.Duration) time.Duration {
+// NextReview returns the delay until the next review: the given interval, or less if the
+// version is to be declared complete sooner. After that it is the delay at which further
+// daemons try to write that state.
+func (i *Introduction) NextReview(now time.Time, interval time.Duration) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	left := i.options.finish(i.order.Duration, i.pace) - now.Sub(i.since)
+	left := i.options.finishAge(i.order.Duration, i.schedule) - now.Sub(i.since)
 	if left <= 0 {
 		return doneDelay
 	}
-	return min(usual, left)
+	return min(interval, left)
 }
 
-// moving returns the share of the sessions after the trial. The caller holds mu.
-func (i *Introduction) moving(age time.Duration) (share float64, moving bool) {
+// shareAfterTrial returns the new version's share of the sessions and whether the trial is
+// over. The caller holds mu.
+func (i *Introduction) shareAfterTrial(age time.Duration) (share float64, over bool) {
 	switch {
-	case age < i.pace.step:
+	case age < i.schedule.step:
 		return 0, false
-	case age < i.pace.whole:
+	case age < i.schedule.fullTraffic:
 		return stepShare, true
 	}
 	return 1, true
 }
 
-// Width returns on how many engines the new version should run now, when the
-// version before runs on so many and uses a part of their slots: as many as its
-// share keeps busy, and all once it has everything.
+// Width returns the number of engines on which the new version should run now, if the previous
+// version runs on before engines and uses the given share of their slots. It is as many as the
+// new version's share of the traffic keeps busy, and all once that version gets all traffic.
 func (i *Introduction) Width(before int, used float64, now time.Time) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	share, moving := i.moving(now.Sub(i.since))
-	factor := stressFactor
+	share, trialOver := i.shareAfterTrial(now.Sub(i.since))
+	factor := stepLoadFactor
 	switch {
-	case !moving:
-		share, factor = i.options.trialShare(), loadFactor
+	case !trialOver:
+		share, factor = i.options.trialShare(), trialLoadFactor
 	case share >= 1:
 		return math.MaxInt
 	}
 	if used > 0 {
-		factor = max(min(factor, fullSlots/used), 1)
+		factor = max(min(factor, maxSlotUse/used), 1)
 	}
-	wanted := share * float64(before) / factor
-	if !moving {
+	engines := share * float64(before) / factor
+	if !trialOver {
 		// One engine in place of nearly two would have nearly twice the usual load, and
 		// its answers would look slow.
-		wanted = math.Round(wanted)
+		engines = math.Round(engines)
 	}
-	return max(int(wanted), 1)
+	return max(int(engines), 1)
 }
--- a/canary/sessions_test.go
+++ b/canary/sessions_test.go
@@ -9,12 +9,12 @@
 
 const testLapse = 5 * time.Second
 
-// stoppedV1 says that v1 alone has stopped.
+// stoppedV1 reports that v1 alone has stopped.
 func stoppedV1(version string) bool { return version == "v1" }
 
-// TestSessionOfAStoppedVersionLapses guards against requests that leave their session's
-// version for another one while that session goes on.
-func TestSessionOfAStoppedVersionLapses(t *testing.T) {
+// TestSessionOfStoppedVersionLapses guards against requests that move to another version while
+// their session goes on.
+func TestSessionOfStoppedVersionLapses(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewSessions(testLapse), time.Unix(1000, 0)
 	s.Ran(1, "v1", now)
@@ -25,18 +25,18 @@
 	c.Check(s.Lapses(3, stoppedV1, now), qt.Equals, now.Add(testLapse-time.Second))
 	c.Check(s.Lapses(4, stoppedV1, now).IsZero(), qt.IsTrue)
 	c.Check(s.Lapses(1, stoppedV1, now.Add(testLapse)).IsZero(), qt.IsTrue)
-	// A later run on the version that serves ends the wait.
+	// A later run on the serving version ends the wait.
 	s.Ran(1, "v2", now.Add(time.Second))
 	c.Check(s.Lapses(1, stoppedV1, now.Add(time.Second)).IsZero(), qt.IsTrue)
-	// What the others tell may be older than what this daemon knows.
+	// Reports of others may be older than this daemon's own run.
 	s.Heard(1, now)
 	c.Check(s.Lapses(1, stoppedV1, now.Add(time.Second)).IsZero(), qt.IsTrue)
 }
 
-// TestOwnRunsAreToldForAWhile guards against a daemon that forgets its own runs as they come
-// back from the others with times rounded up, and against reports that hold thousands of
-// sessions for longer than it takes to tell of them.
-func TestOwnRunsAreToldForAWhile(t *testing.T) {
+// TestOwnRunsAreReportedForLimitedTime guards against a daemon that loses its own runs when
+// they are reported back with times rounded up, and against reports that hold thousands of
+// sessions for longer than it takes to spread them.
+func TestOwnRunsAreReportedForLimitedTime(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewSessions(testLapse), time.Unix(1000, 0)
 	s.Ran(1, "v1", now)
@@ -45,22 +45,23 @@
 	s.Heard(3, now)
 	ordered := now.Add(time.Second)
 	c.Check(s.Stopped(stoppedV1, ordered, now), qt.DeepEquals, []StoppedSession{{Session: 1, Ended: -time.Second}})
-	c.Check(s.Stopped(stoppedV1, ordered, now.Add(tellFor-time.Millisecond)), qt.HasLen, 1)
-	c.Check(s.Stopped(stoppedV1, ordered, now.Add(tellFor)), qt.HasLen, 0)
-	c.Check(s.Lapses(1, stoppedV1, now.Add(tellFor)).IsZero(), qt.IsFalse)
-	// One that ended just before it lapses is not told of.
+	c.Check(s.Stopped(stoppedV1, ordered, now.Add(reportDuration-time.Millisecond)), qt.HasLen, 1)
+	c.Check(s.Stopped(stoppedV1, ordered, now.Add(reportDuration)), qt.HasLen, 0)
+	c.Check(s.Lapses(1, stoppedV1, now.Add(reportDuration)).IsZero(), qt.IsFalse)
+	// A lapsed session is not reported.
 	s.Ran(4, "v1", now)
 	c.Check(s.Stopped(stoppedV1, ordered, now.Add(testLapse)), qt.HasLen, 0)
 }
 
-// TestSessionsAreForgotten guards against memory that grows with all sessions ever seen.
-func TestSessionsAreForgotten(t *testing.T) {
+// TestLapsedSessionsAreDropped guards against memory use that grows with all sessions ever
+// seen.
+func TestLapsedSessionsAreDropped(t *testing.T) {
 	c := qt.New(t)
 	s, now := NewSessions(testLapse), time.Unix(1000, 0)
 	for n := range uint64(20_000) {
 		now = now.Add(100 * time.Millisecond)
 		s.Ran(n, "v1", now)
-		c.Assert(len(s.last) <= 2*minSweep, qt.IsTrue)
+		c.Assert(len(s.last) <= 2*minSweepSize, qt.IsTrue)
 	}
 	for n := range uint64(2 * maxSessions) {
 		s.Ran(n, "v1", now)
