--- a/canary/judge.go
+++ b/canary/judge.go
@@ -36,7 +36,8 @@
 	significantFactor     = 2.0
 	// From manyAnswers on, differences between the few engines of a trial and the others become
 	// significant too: good versions on slower engines took up to 1.57 times as long between
-	// events. So the required ratio is higher then.
+	// events. So the required ratio is higher then, while with fewer answers the lower one has
+	// to suffice.
 	manyAnswers           = 40
 	manyAnswersPaceFactor = 2.0
 	// minDeviation is the least standard deviation of the logarithms that is assumed for the
