--- a/canary/canary.go
+++ b/canary/canary.go
@@ -110,11 +110,11 @@
 	Target string
 	Age    time.Duration
 	Counts map[CountKey]Count
-	Held   []uint64
+	Pinned []uint64
 	// Stopped are the sessions that last ran on versions that have stopped.
 	Stopped []StoppedSession
-	// Condemned is the reason for which the daemon rolls the version back, "" for none.
-	Condemned string
+	// RollbackReason is the reason for which the daemon rolls the version back, "" for none.
+	RollbackReason string
 }
 
 // Introduction is an order in progress on this daemon. It is safe for concurrent use.
@@ -176,12 +176,12 @@
 	return float64((session*golden)>>11) / (1 << 53)
 }
 
-// Trialled reports whether a session is among those that a trial moves. These are the same for
+// InTrial reports whether a session is among those that a trial moves. These are the same for
 // all orders, so that daemons need to remember only them.
-func (o Options) Trialled(session uint64) bool { return sessionFraction(session) < o.trialShare() }
+func (o Options) InTrial(session uint64) bool { return sessionFraction(session) < o.trialShare() }
 
-// Hold pins a session that has run on the previous version to it for the duration of the trial.
-func (i *Introduction) Hold(session uint64) {
+// Pin pins a session that has run on the previous version to it for the duration of the trial.
+func (i *Introduction) Pin(session uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.pinned[session] = struct{}{}
@@ -219,7 +219,7 @@
 		return true
 	}
 	for _, r := range i.others {
-		for _, h := range r.Held {
+		for _, h := range r.Pinned {
 			if h == session {
 				return true
 			}
@@ -262,21 +262,21 @@
 func (i *Introduction) Report(now time.Time) Report {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	r := Report{Order: i.order.ID, Target: i.order.Target, Age: now.Sub(i.since), Counts: make(map[CountKey]Count, len(i.own)), Condemned: i.rollbackReason}
+	r := Report{Order: i.order.ID, Target: i.order.Target, Age: now.Sub(i.since), Counts: make(map[CountKey]Count, len(i.own)), RollbackReason: i.rollbackReason}
 	for k, c := range i.own {
 		r.Counts[k] = c
 	}
 	for s := range i.pinned {
-		r.Held = append(r.Held, s)
+		r.Pinned = append(r.Pinned, s)
 	}
 	return r
 }
 
-// Heard applies the report of another daemon. The earliest start known to any daemon counts, so
-// that a restarted daemon continues where the fleet is. A decision to roll back is adopted: the
-// daemons' counts differ slightly, and otherwise some daemons could declare a version complete
-// to which others send nothing any more.
-func (i *Introduction) Heard(daemon string, r Report, now time.Time) {
+// ApplyReport applies the report of another daemon. The earliest start known to any daemon
+// counts, so that a restarted daemon continues where the fleet is. A decision to roll back is
+// adopted: the daemons' counts differ slightly, and otherwise some daemons could declare a
+// version complete to which others send nothing any more.
+func (i *Introduction) ApplyReport(daemon string, r Report, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if r.Order != i.order.ID || r.Target != i.order.Target {
@@ -284,7 +284,7 @@
 	}
 	i.others[daemon] = r
 	if i.rollbackReason == "" {
-		i.rollbackReason = r.Condemned
+		i.rollbackReason = r.RollbackReason
 	}
 	if since := now.Add(-r.Age); since.Before(i.since) {
 		i.since = since
@@ -306,8 +306,8 @@
 	// of all latencies together is statistically significant.
 	SlowPace, Slow bool
 	Age            time.Duration
-	// Whole is the age from which the new version gets all traffic.
-	Whole time.Duration
+	// FullTrafficAge is the age from which the new version gets all traffic.
+	FullTrafficAge time.Duration
 }
 
 // Review evaluates the introduction. A decision to roll back is final.
@@ -343,7 +343,7 @@
 	if i.rollbackReason == "" {
 		i.rollbackReason = rollbackReason(sums, v)
 	}
-	v.Whole = i.schedule.fullTraffic
+	v.FullTrafficAge = i.schedule.fullTraffic
 	switch {
 	case i.state == Done || i.state == RolledBack:
 		v.State = i.state
--- a/canary/canary_test.go
+++ b/canary/canary_test.go
@@ -60,14 +60,14 @@
 	i, other := newIntroduction(), newIntroduction()
 	var moved []uint64
 	for s := range uint64(1000) {
-		if i.options.Trialled(s) {
+		if i.options.InTrial(s) {
 			moved = append(moved, s)
 		}
 	}
-	i.Hold(moved[0])
+	i.Pin(moved[0])
 	i.Choose(moved[1], start.Add(time.Second))
-	other.Hold(moved[2])
-	i.Heard("other", other.Report(start.Add(time.Second)), start.Add(time.Second))
+	other.Pin(moved[2])
+	i.ApplyReport("other", other.Report(start.Add(time.Second)), start.Add(time.Second))
 	for n, s := range moved {
 		c.Check(i.Choose(s, start.Add(5*time.Second)), qt.Equals, n > 2, qt.Commentf("session %d", n))
 	}
@@ -135,7 +135,7 @@
 	observe(other, 100, 0, 6, 2, 0, 0)
 	now := start.Add(4 * time.Second)
 	qt.Check(t, i.Review(now).State, qt.Equals, Running)
-	i.Heard("other", other.Report(now), now)
+	i.ApplyReport("other", other.Report(now), now)
 	qt.Check(t, i.Review(now).State, qt.Equals, RolledBack)
 }
 
@@ -147,12 +147,12 @@
 	now := start.Add(4 * time.Second)
 	c.Assert(other.Review(now).State, qt.Equals, RolledBack)
 	c.Assert(i.Review(now).State, qt.Equals, Running)
-	i.Heard("other", other.Report(now), now)
+	i.ApplyReport("other", other.Report(now), now)
 	v := i.Review(now)
 	c.Check(v.State, qt.Equals, RolledBack)
 	c.Check(v.Reason, qt.Equals, "errors")
 	third := newIntroduction()
-	third.Heard("first", i.Report(now), now)
+	third.ApplyReport("first", i.Report(now), now)
 	c.Check(third.Review(start.Add(duration)).State, qt.Equals, RolledBack)
 }
 
@@ -160,7 +160,7 @@
 	i := newIntroduction()
 	other := New(DefaultOptions(), Order{Service: "s", Target: "v2", ID: 4, Duration: duration}, Running, start)
 	observe(other, 100, 0, 50, 50, 0, 0)
-	i.Heard("other", other.Report(start.Add(time.Second)), start.Add(time.Second))
+	i.ApplyReport("other", other.Report(start.Add(time.Second)), start.Add(time.Second))
 	qt.Check(t, i.Review(start.Add(4*time.Second)).State, qt.Equals, Running)
 }
 
@@ -168,7 +168,7 @@
 	old := newIntroduction()
 	now := start.Add(23200 * time.Millisecond)
 	late := New(DefaultOptions(), old.Order(), Running, now)
-	late.Heard("old", old.Report(now), now)
+	late.ApplyReport("old", old.Report(now), now)
 	qt.Check(t, share(late, now.Add(time.Millisecond)), qt.Equals, 1.0)
 }
 
@@ -197,7 +197,7 @@
 			for n, d := range daemons {
 				for m, o := range daemons {
 					if n != m {
-						d.Heard(string(rune('a'+m)), o.Report(now), now)
+						d.ApplyReport(string(rune('a'+m)), o.Report(now), now)
 					}
 				}
 			}
@@ -418,17 +418,17 @@
 	c := qt.New(t)
 	i := newIntroduction()
 	trial, step := start.Add(5*time.Second), start.Add(22*time.Second)
-	c.Check(i.Width(9, 0.1, trial), qt.Equals, 1)
-	c.Check(i.Width(9, 0.1, step), qt.Equals, 1)
-	c.Check(i.Width(90, 0.1, trial), qt.Equals, 4)
-	c.Check(i.Width(90, 0.1, step), qt.Equals, 4)
-	c.Check(i.Width(90, 0.3, step), qt.Equals, 9)
-	c.Check(i.Width(9, 0.1, start.Add(23200*time.Millisecond)) > 1000, qt.IsTrue)
+	c.Check(i.EngineCount(9, 0.1, trial), qt.Equals, 1)
+	c.Check(i.EngineCount(9, 0.1, step), qt.Equals, 1)
+	c.Check(i.EngineCount(90, 0.1, trial), qt.Equals, 4)
+	c.Check(i.EngineCount(90, 0.1, step), qt.Equals, 4)
+	c.Check(i.EngineCount(90, 0.3, step), qt.Equals, 9)
+	c.Check(i.EngineCount(9, 0.1, start.Add(23200*time.Millisecond)) > 1000, qt.IsTrue)
 	// The trial share of 60 engines corresponds to 2.7 engines.
-	c.Check(i.Width(60, 0.1, trial), qt.Equals, 3)
-	c.Check(i.Width(50, 0.1, trial), qt.Equals, 2)
+	c.Check(i.EngineCount(60, 0.1, trial), qt.Equals, 3)
+	c.Check(i.EngineCount(50, 0.1, trial), qt.Equals, 2)
 	// Nearly full engines get no more load than those of the previous version.
-	c.Check(i.Width(90, 0.9, trial), qt.Equals, 4)
-	c.Check(i.Width(90, 0.9, step), qt.Equals, 27)
-	c.Check(i.Width(0, 0, trial), qt.Equals, 1)
+	c.Check(i.EngineCount(90, 0.9, trial), qt.Equals, 4)
+	c.Check(i.EngineCount(90, 0.9, step), qt.Equals, 27)
+	c.Check(i.EngineCount(0, 0, trial), qt.Equals, 1)
 }
--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -118,7 +118,7 @@
 				}
 				for other, o := range daemons {
 					if other != place && o.paused == 0 && !o.dead {
-						d.Heard(string(rune('a'+other)), o.Report(now), now)
+						d.ApplyReport(string(rune('a'+other)), o.Report(now), now)
 					}
 				}
 				verdict := d.Review(now)
--- a/canary/pace.go
+++ b/canary/pace.go
@@ -113,10 +113,11 @@
 	return 1, true
 }
 
-// Width returns the number of engines on which the new version should run now, if the previous
-// version runs on before engines and uses the given share of their slots. It is as many as the
-// new version's share of the traffic keeps busy, and all once that version gets all traffic.
-func (i *Introduction) Width(before int, used float64, now time.Time) int {
+// EngineCount returns the number of engines on which the new version should run now, if the
+// previous version runs on before engines and uses the given share of their slots. It is as
+// many as the new version's share of the traffic keeps busy, and all once that version gets all
+// traffic.
+func (i *Introduction) EngineCount(before int, used float64, now time.Time) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	share, trialOver := i.shareAfterTrial(now.Sub(i.since))
--- a/canary/sessions.go
+++ b/canary/sessions.go
@@ -66,9 +66,9 @@
 	s.record(session, lastRun{version: version, ended: ended})
 }
 
-// Heard records that the session ran on a version that has stopped, as reported by another
-// daemon. This daemon's own runs are reported back to it with slightly different times.
-func (s *Sessions) Heard(session uint64, ended time.Time) {
+// RanElsewhere records that the session ran on a version that has stopped, as reported by
+// another daemon. This daemon's own runs are reported back to it with slightly different times.
+func (s *Sessions) RanElsewhere(session uint64, ended time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if known, ok := s.last[session]; ok && ended.Sub(known.ended) < maxRunTimeSkew {
--- a/canary/sessions_test.go
+++ b/canary/sessions_test.go
@@ -19,7 +19,7 @@
 	s, now := NewSessions(testLapse), time.Unix(1000, 0)
 	s.Ran(1, "v1", now)
 	s.Ran(2, "v2", now)
-	s.Heard(3, now.Add(-time.Second))
+	s.RanElsewhere(3, now.Add(-time.Second))
 	c.Check(s.Lapses(1, stoppedV1, now), qt.Equals, now.Add(testLapse))
 	c.Check(s.Lapses(2, stoppedV1, now).IsZero(), qt.IsTrue)
 	c.Check(s.Lapses(3, stoppedV1, now), qt.Equals, now.Add(testLapse-time.Second))
@@ -29,7 +29,7 @@
 	s.Ran(1, "v2", now.Add(time.Second))
 	c.Check(s.Lapses(1, stoppedV1, now.Add(time.Second)).IsZero(), qt.IsTrue)
 	// Reports of others may be older than this daemon's own run.
-	s.Heard(1, now)
+	s.RanElsewhere(1, now)
 	c.Check(s.Lapses(1, stoppedV1, now.Add(time.Second)).IsZero(), qt.IsTrue)
 }
 
@@ -41,8 +41,8 @@
 	s, now := NewSessions(testLapse), time.Unix(1000, 0)
 	s.Ran(1, "v1", now)
 	s.Ran(2, "v2", now)
-	s.Heard(1, now.Add(time.Millisecond))
-	s.Heard(3, now)
+	s.RanElsewhere(1, now.Add(time.Millisecond))
+	s.RanElsewhere(3, now)
 	ordered := now.Add(time.Second)
 	c.Check(s.Stopped(stoppedV1, ordered, now), qt.DeepEquals, []StoppedSession{{Session: 1, Ended: -time.Second}})
 	c.Check(s.Stopped(stoppedV1, ordered, now.Add(reportDuration-time.Millisecond)), qt.HasLen, 1)
--- a/entry/canaryreports.go
+++ b/entry/canaryreports.go
@@ -19,11 +19,11 @@
 // stop sending to it at once. What they count is added up over the tree.
 func (i *introductions) tellVerdict(service string, known *introduction, now time.Time) {
 	report := known.Report(now)
-	if known.told || report.Condemned == "" {
+	if known.told || report.RollbackReason == "" {
 		return
 	}
 	known.told = true
-	report.Counts, report.Held = nil, nil
+	report.Counts, report.Pinned = nil, nil
 	data, err := proto.Marshal(reportMessage(report))
 	if err != nil {
 		i.daemon.log.Error().Err(err).Str("service", service).Msg("verdict not encoded")
@@ -42,7 +42,7 @@
 	}
 	for service, known := range i.settling(now) {
 		r := known.Report(now)
-		r.Counts, r.Held = nil, nil
+		r.Counts, r.Pinned = nil, nil
 		reports[service] = reportMessage(i.withStopped(service, r, now))
 	}
 	return reports
@@ -58,7 +58,7 @@
 		return
 	}
 	report, now := reportOf(others), time.Now()
-	known.Heard(fleetName, report, now)
+	known.ApplyReport(fleetName, report, now)
 	i.heardStopped(service, report, now)
 }
 
@@ -74,8 +74,8 @@
 
 // reportMessage encodes a report.
 func reportMessage(r canary.Report) *tally.Report {
-	m := &tally.Report{Target: r.Target, Order: r.Order, AgeMs: uint64(max(r.Age.Milliseconds(), 0)), Condemned: r.Condemned}
-	m.HeldSessions = r.Held[:min(len(r.Held), maxReportSessions)]
+	m := &tally.Report{Target: r.Target, Order: r.Order, AgeMs: uint64(max(r.Age.Milliseconds(), 0)), Condemned: r.RollbackReason}
+	m.HeldSessions = r.Pinned[:min(len(r.Pinned), maxReportSessions)]
 	for _, s := range r.Stopped[:min(len(r.Stopped), maxReportSessions)] {
 		m.StoppedSessions = append(m.StoppedSessions, &bronzeturnv1.StoppedSession{Session: s.Session, EndedMs: int32(s.Ended.Milliseconds())})
 	}
@@ -92,7 +92,7 @@
 func reportOf(m *tally.Report) canary.Report {
 	r := canary.Report{
 		Order: m.GetOrder(), Target: m.GetTarget(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
-		Counts: make(map[canary.CountKey]canary.Count), Held: m.GetHeldSessions(), Condemned: m.GetCondemned(),
+		Counts: make(map[canary.CountKey]canary.Count), Pinned: m.GetHeldSessions(), RollbackReason: m.GetCondemned(),
 	}
 	for _, s := range m.GetStoppedSessions() {
 		r.Stopped = append(r.Stopped, canary.StoppedSession{Session: s.GetSession(), Ended: time.Duration(s.GetEndedMs()) * time.Millisecond})
@@ -121,7 +121,7 @@
 		return
 	}
 	if known := i.known(service); known != nil {
-		known.Heard(daemon, reportOf(&m), time.Now())
+		known.ApplyReport(daemon, reportOf(&m), time.Now())
 	}
 }
 
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -109,7 +109,7 @@
 	c := qt.New(t)
 	i := newTestIntroductions(engineOf("a", "v1"))
 	session := uint64(0)
-	for !i.daemon.Settings.Introductions.Trialled(session) {
+	for !i.daemon.Settings.Introductions.InTrial(session) {
 		session++
 	}
 	i.Choose("s", session, time.Now())
--- a/entry/introductions.go
+++ b/entry/introductions.go
@@ -104,7 +104,7 @@
 		i.rank(view)
 		for session, at := range i.recent[order.Service] {
 			if now.Sub(at) < i.daemon.Settings.Introductions.SessionGap {
-				known.Hold(session)
+				known.Pin(session)
 			}
 		}
 		i.daemon.log.Info().Str("service", order.Service).Str("target", order.Target).Uint64("order", order.ID).
@@ -215,7 +215,7 @@
 		before = append(before, e.Key())
 		slots += max(e.Slots, 1)
 	}
-	return known.Width(len(before), i.daemon.busyShare(before, float64(slots)), now)
+	return known.EngineCount(len(before), i.daemon.busyShare(before, float64(slots)), now)
 }
 
 // assign implements gateway.Assign.
@@ -329,7 +329,7 @@
 	i.mu.Lock()
 	known := i.byService[service]
 	running := known != nil && known.State() < canary.Done
-	if !running && i.daemon.Settings.Introductions.Trialled(session) {
+	if !running && i.daemon.Settings.Introductions.InTrial(session) {
 		i.remember(service, session, now)
 	}
 	i.mu.Unlock()
--- a/entry/review.go
+++ b/entry/review.go
@@ -70,7 +70,7 @@
 		i.daemon.log.Info().Str("service", service).Str("target", known.Order().Target).Stringer("verdict", verdict.State).
 			Str("reason", verdict.Reason).Uint64("trial_answers", verdict.Trial.Answers).Uint64("trial_bad", verdict.Trial.Bad).Uint64("trial_slow", verdict.Trial.Slow).
 			Uint64("base_answers", verdict.Base.Answers).Uint64("base_bad", verdict.Base.Bad).Uint64("base_slow", verdict.Base.Slow).
-			Float64("slowdown", verdict.Slowdown).Float64("pace_slowdown", verdict.PaceSlowdown).Dur("age_ms", verdict.Age).Dur("whole_ms", verdict.Whole).Msg("verdict on an introduction")
+			Float64("slowdown", verdict.Slowdown).Float64("pace_slowdown", verdict.PaceSlowdown).Dur("age_ms", verdict.Age).Dur("whole_ms", verdict.FullTrafficAge).Msg("verdict on an introduction")
 	}
 	if due {
 		i.write(ctx, service, known, verdict.State)
--- a/entry/sessions.go
+++ b/entry/sessions.go
@@ -80,6 +80,6 @@
 func (i *introductions) heardStopped(service string, r canary.Report, now time.Time) {
 	sessions, ordered := i.sessionsOf(service), now.Add(-r.Age)
 	for _, s := range r.Stopped {
-		sessions.Heard(s.Session, ordered.Add(s.Ended))
+		sessions.RanElsewhere(s.Session, ordered.Add(s.Ended))
 	}
 }
