--- a/tally/report.go
+++ b/tally/report.go
@@ -7,17 +7,17 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Report is what one or several daemons have counted of one introduction.
+// Report holds the counts of one introduction by one or more daemons.
 type Report = bronzeturnv1.CanaryReport
 
-// mostSessions bounds the sessions of a sum that are held, mostStopped those that have last run
+// maxPinnedSessions bounds the pinned sessions in a sum, maxStoppedSessions those that last ran
 // on versions that have stopped.
 const (
-	mostSessions = 4096
-	mostStopped  = 4096
+	maxPinnedSessions  = 4096
+	maxStoppedSessions = 4096
 )
 
-// countKey names a count within a report.
+// countKey identifies a count within a report.
 type countKey struct {
 	route       string
 	trial, pace bool
@@ -27,14 +27,14 @@
 	return countKey{route: c.GetRoute(), trial: c.GetTrial(), pace: c.GetPace()}
 }
 
-// sameOrder tells whether two reports are of one introduction.
+// sameOrder reports whether two reports are of the same introduction.
 func sameOrder(a, b *Report) bool {
 	return a.GetOrder() == b.GetOrder() && a.GetTarget() == b.GetTarget()
 }
 
-// sum adds up the reports that are of the first one's introduction: counts are added,
-// sessions united; the oldest start and any verdict hold for all.
-func sum(first *Report, others ...*Report) *Report {
+// addReports adds up those of the reports that are of the first one's introduction. Counts are
+// added and sessions united. The earliest start and any decision to roll back hold for all.
+func addReports(first *Report, others ...*Report) *Report {
 	total := &Report{Order: first.GetOrder(), Target: first.GetTarget()}
 	counts := make(map[countKey]*bronzeturnv1.CanaryCount)
 	for _, r := range append([]*Report{first}, others...) {
@@ -48,49 +48,49 @@
 		total.HeldSessions = append(total.HeldSessions, r.GetHeldSessions()...)
 		total.StoppedSessions = append(total.StoppedSessions, r.GetStoppedSessions()...)
 		for _, c := range r.GetCounts() {
-			add(counts, c, 1)
+			addCount(counts, c, 1)
 		}
 	}
 	slices.Sort(total.HeldSessions)
 	total.HeldSessions = slices.Compact(total.HeldSessions)
-	total.HeldSessions = total.HeldSessions[:min(len(total.HeldSessions), mostSessions)]
+	total.HeldSessions = total.HeldSessions[:min(len(total.HeldSessions), maxPinnedSessions)]
 	total.StoppedSessions = latestRuns(total.StoppedSessions)
-	total.Counts = listOf(counts)
+	total.Counts = nonEmptyCounts(counts)
 	return total
 }
 
-// latestRuns bounds the runs to the latest. A session may be among them more than once, with
-// its runs at several daemons.
+// latestRuns returns at most maxStoppedSessions of the runs, the latest ones. A session may be
+// among them several times, with its runs at several daemons.
 func latestRuns(runs []*bronzeturnv1.StoppedSession) []*bronzeturnv1.StoppedSession {
-	if len(runs) <= mostStopped {
+	if len(runs) <= maxStoppedSessions {
 		return runs
 	}
 	slices.SortFunc(runs, func(a, b *bronzeturnv1.StoppedSession) int { return cmp.Compare(b.GetEndedMs(), a.GetEndedMs()) })
-	return runs[:mostStopped]
+	return runs[:maxStoppedSessions]
 }
 
-// without returns a total less what one daemon has put into it.
-func without(total, own *Report) *Report {
+// subtractReport returns a total without the counts of one daemon.
+func subtractReport(total, own *Report) *Report {
 	rest := &Report{
 		Order: total.GetOrder(), Target: total.GetTarget(), AgeMs: total.GetAgeMs(),
 		HeldSessions: total.GetHeldSessions(), StoppedSessions: total.GetStoppedSessions(), Condemned: total.GetCondemned(),
 	}
 	counts := make(map[countKey]*bronzeturnv1.CanaryCount)
 	for _, c := range total.GetCounts() {
-		add(counts, c, 1)
+		addCount(counts, c, 1)
 	}
 	if sameOrder(total, own) {
 		for _, c := range own.GetCounts() {
-			add(counts, c, -1)
+			addCount(counts, c, -1)
 		}
 	}
-	rest.Counts = listOf(counts)
+	rest.Counts = nonEmptyCounts(counts)
 	return rest
 }
 
-// add adds a count, or takes it away with a sign of -1. A total that lags behind may hold
-// less than what is taken from it; nothing is left then.
-func add(counts map[countKey]*bronzeturnv1.CanaryCount, c *bronzeturnv1.CanaryCount, sign int) {
+// addCount adds a count, or subtracts it with a sign of -1. A total that lags behind may hold
+// less than what is subtracted; the result is zero then.
+func addCount(counts map[countKey]*bronzeturnv1.CanaryCount, c *bronzeturnv1.CanaryCount, sign int) {
 	key := keyOf(c)
 	held := counts[key]
 	if held == nil {
@@ -101,24 +101,24 @@
 		counts[key] = &bronzeturnv1.CanaryCount{Route: key.route, Trial: key.trial, Pace: key.pace}
 		return
 	}
-	held.Answers = shifted(held.Answers, c.Answers, sign)
-	held.Bad = shifted(held.Bad, c.Bad, sign)
-	held.Slow = shifted(held.Slow, c.Slow, sign)
-	held.Latencies = shifted(held.Latencies, c.Latencies, sign)
+	held.Answers = addClamped(held.Answers, c.Answers, sign)
+	held.Bad = addClamped(held.Bad, c.Bad, sign)
+	held.Slow = addClamped(held.Slow, c.Slow, sign)
+	held.Latencies = addClamped(held.Latencies, c.Latencies, sign)
 	held.LogLatencySum += float64(sign) * c.LogLatencySum
 	held.LogLatencySquares += float64(sign) * c.LogLatencySquares
 }
 
-// shifted returns a number plus or minus another, at least 0.
-func shifted(n, by uint64, sign int) uint64 {
+// addClamped returns n plus or minus by, at least 0.
+func addClamped(n, by uint64, sign int) uint64 {
 	if sign > 0 {
 		return n + by
 	}
 	return n - min(n, by)
 }
 
-// listOf returns the counts that hold anything.
-func listOf(counts map[countKey]*bronzeturnv1.CanaryCount) []*bronzeturnv1.CanaryCount {
+// nonEmptyCounts returns the counts that are not zero.
+func nonEmptyCounts(counts map[countKey]*bronzeturnv1.CanaryCount) []*bronzeturnv1.CanaryCount {
 	var list []*bronzeturnv1.CanaryCount
 	for _, c := range counts {
 		if c.Answers > 0 || c.Latencies > 0 {
--- a/tally/tally.go
+++ b/tally/tally.go
@@ -1,9 +1,8 @@
-// Package tally adds up what the daemons of a fleet have counted of the versions that are
-// being introduced. Each daemon sends the sums of itself and all below it to its parent
-// in a tree, the roots exchange theirs, and the answers bring the fleet's sums down. So
-// every daemon knows nearly the same within a second or two, at a cost that does not grow
-// with the fleet, and a verdict rests on all counts rather than on those of whoever was
-// heard first.
+// Package tally adds up what the daemons of a fleet have counted of the versions that are being
+// introduced. Each daemon sends the sums of its subtree to its parent in a tree, the roots
+// exchange theirs, and the responses carry the fleet's sums down. So all daemons know nearly
+// the same within a second or two, at a cost for each daemon that does not grow with the fleet,
+// and a verdict is based on all counts instead of those that arrived first.
 package tally
 
 import (
@@ -22,27 +21,28 @@
 )
 
 const (
-	// baseInterval is the time between two rounds while something is being introduced, and
-	// perDaemon what each daemon of the fleet adds to it: few daemons that see much each
-	// learn of each other within half a second, as far as a bad version can have harmed by
-	// then; of 410, in a tree of four levels, all know the same within 3 s, against the 5 s
-	// within which a bad version must get no more work, at 900 calls a second together.
-	baseInterval = 150 * time.Millisecond
-	perDaemon    = 700 * time.Microsecond
-	// quietInterval is the time between two looks at whether something is.
-	quietInterval = backoff.IdleInterval
+	// baseInterval is the time between two rounds while a version is being introduced, and
+	// intervalPerDaemon what each daemon of the fleet adds to it. In a small fleet, daemons
+	// that each see much traffic learn of each other's counts within half a second, which
+	// limits the harm of a bad version until then. In a fleet of 410 daemons, a tree of four
+	// levels, all know the same within 3 s, at 900 calls a second in total. A bad version must
+	// get no more work within 5 s.
+	baseInterval      = 150 * time.Millisecond
+	intervalPerDaemon = 700 * time.Microsecond
+	// idleInterval is the time between two checks for an introduction while there is none.
+	idleInterval = backoff.IdleInterval
 	// callTimeout bounds one exchange.
 	callTimeout = 500 * time.Millisecond
-	// keepFor is how long the sums of a daemon that is not heard again count.
-	keepFor = 3 * time.Second
+	// sumsTTL is how long the sums of a daemon count after it last sent them.
+	sumsTTL = 3 * time.Second
 )
 
-// Place is where a daemon stands in the tree.
+// Place is the position of a daemon in the tree.
 type Place struct {
-	// Depth is the number of steps from the roots, 0 for a root.
+	// Depth is the distance from the roots, 0 for a root.
 	Depth int
-	// Roots are the other roots, for a root; Parents the daemons to send to, the usual
-	// one first, for others.
+	// Roots are the other roots, if the daemon is a root. Parents are the daemons to send to,
+	// the preferred one first, if it is not.
 	Roots, Parents []string
 	// Live is the number of live daemons.
 	Live int
@@ -50,54 +50,54 @@
 
 // interval returns the time between two rounds.
 func (p Place) interval() time.Duration {
-	return baseInterval + time.Duration(p.Live)*perDaemon
+	return baseInterval + time.Duration(p.Live)*intervalPerDaemon
 }
 
-// Options are what a Tally needs. All fields are required.
+// Options configures a Tally. All fields are required.
 type Options struct {
 	// Self is this daemon's name.
 	Self string
-	// Place returns where this daemon stands now.
+	// Place returns this daemon's current position.
 	Place func() Place
-	// Client opens calls to a daemon, nil when its address is not known.
+	// Client returns a client for calls to a daemon, nil if its address is not known.
 	Client func(daemon string) bronzeturnv1connect.TallyServiceClient
-	// Own returns what this daemon has counted, by service, of what is being introduced.
+	// Own returns this daemon's counts of the versions being introduced, by service.
 	Own func() map[string]*Report
-	// Others takes what all other daemons together have counted of a service.
+	// Others receives the sums of all other daemons for a service.
 	Others func(service string, others *Report)
 	Log    zerolog.Logger
 }
 
-// Tally takes part in the adding up. It is safe for concurrent use.
+// Tally exchanges sums with the other daemons. It is safe for concurrent use.
 type Tally struct {
 	Options
 
 	mu sync.Mutex
-	// below are the sums of the daemons that send to this one, roots those of the
-	// other roots, by name.
+	// below holds the sums of the daemons that send to this one, roots those of the other
+	// roots, by name.
 	below, roots map[string]sums
-	// total are the fleet's, by service, as they came from above.
+	// total holds the fleet's sums by service, as received from the parent.
 	total map[string]*Report
 }
 
-// sums are what one daemon sent last.
+// sums are the last ones that a daemon sent.
 type sums struct {
 	reports map[string]*Report
 	at      time.Time
 }
 
-// New returns a Tally that takes part once Run is called.
+// New returns a Tally. It exchanges no sums until Run is called.
 func New(o Options) *Tally {
 	return &Tally{Options: o, below: make(map[string]sums), roots: make(map[string]sums), total: make(map[string]*Report)}
 }
 
 // Run exchanges sums until ctx ends.
 func (t *Tally) Run(ctx context.Context) error {
-	_ = backoff.Tick(ctx, quietInterval) // The loop ends with ctx.
+	_ = backoff.Tick(ctx, idleInterval) // The loop ends with ctx.
 	for ctx.Err() == nil {
 		own := t.Own()
 		if len(own) == 0 {
-			_ = backoff.Tick(ctx, quietInterval) // The loop ends with ctx.
+			_ = backoff.Tick(ctx, idleInterval) // The loop ends with ctx.
 			continue
 		}
 		t.round(ctx, own)
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// round sends this daemon's sums on, and passes on what the others have counted.
+// round sends this daemon's sums and passes the others' sums to Options.Others.
 func (t *Tally) round(ctx context.Context, own map[string]*Report) {
 	place := t.Place()
 	if place.Depth == 0 {
@@ -121,25 +121,25 @@
 	total := t.totals(place, own)
 	for service, report := range own {
 		if all := total[service]; all != nil && sameOrder(all, report) {
-			t.Others(service, without(all, report))
+			t.Others(service, subtractReport(all, report))
 		}
 	}
 }
 
-// send sends this daemon's sums to its parent, or else the next that answers.
+// send sends this daemon's sums to the first parent that answers.
 func (t *Tally) send(ctx context.Context, place Place, own map[string]*Report) {
-	for _, parent := range place.Parents[:min(len(place.Parents), mostParents)] {
+	for _, parent := range place.Parents[:min(len(place.Parents), maxParentsTried)] {
 		if t.exchange(ctx, parent, place, own) {
 			return
 		}
 	}
 }
 
-// mostParents bounds the daemons tried in one round.
-const mostParents = 2
+// maxParentsTried bounds the parents tried in one round.
+const maxParentsTried = 2
 
-// exchange sends this daemon's sums to another and takes in the answer. It tells whether
-// the other answered.
+// exchange sends this daemon's sums to another daemon, stores the response, and reports whether
+// there was one.
 func (t *Tally) exchange(ctx context.Context, daemon string, place Place, own map[string]*Report) bool {
 	client := t.Client(daemon)
 	if client == nil {
@@ -164,18 +164,19 @@
 	return true
 }
 
-// subtree returns the sums of this daemon and all below it but the one that they are
-// sent to, which may have been below until just now.
+// subtree returns the sums of this daemon and all below it. It leaves out the daemon that they
+// are sent to, which may have been below this one until just now.
 func (t *Tally) subtree(to string, own map[string]*Report) map[string]*Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.subtreeLocked(to, own)
 }
 
+// subtreeLocked is subtree for callers that hold mu. It drops expired sums.
 func (t *Tally) subtreeLocked(to string, own map[string]*Report) map[string]*Report {
 	now := time.Now()
-	maps.DeleteFunc(t.below, func(_ string, s sums) bool { return now.Sub(s.at) > keepFor })
-	maps.DeleteFunc(t.roots, func(_ string, s sums) bool { return now.Sub(s.at) > keepFor })
+	maps.DeleteFunc(t.below, func(_ string, s sums) bool { return now.Sub(s.at) > sumsTTL })
+	maps.DeleteFunc(t.roots, func(_ string, s sums) bool { return now.Sub(s.at) > sumsTTL })
 	all := make(map[string]*Report, len(own))
 	for service, report := range own {
 		parts := make([]*Report, 0, len(t.below))
@@ -184,13 +185,13 @@
 				parts = append(parts, s.reports[service])
 			}
 		}
-		all[service] = sum(report, parts...)
+		all[service] = addReports(report, parts...)
 	}
 	return all
 }
 
-// totals returns the fleet's sums as far as this daemon knows them: a root adds up the
-// roots', others go by what came from above.
+// totals returns the fleet's sums as far as this daemon knows them. A root adds up the sums of
+// all roots, other daemons return what their parent sent.
 func (t *Tally) totals(place Place, own map[string]*Report) map[string]*Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,12 +204,12 @@
 		for _, s := range t.roots {
 			parts = append(parts, s.reports[service])
 		}
-		all[service] = sum(report, parts...)
+		all[service] = addReports(report, parts...)
 	}
 	return all
 }
 
-// Add takes in the sums of another daemon and returns the answer to it.
+// Add stores the sums of another daemon and returns the response to it.
 func (t *Tally) Add(m *bronzeturnv1.AddRequest) *bronzeturnv1.AddResponse {
 	place, own := t.Place(), t.Own()
 	received := sums{reports: reportsOf(m.GetTallies()), at: time.Now()}
@@ -229,7 +230,7 @@
 	return &bronzeturnv1.AddResponse{Tallies: messages(t.totals(place, own))}
 }
 
-// messages returns the reports as they are sent, in the order of their services.
+// messages encodes the reports, ordered by service.
 func messages(reports map[string]*Report) []*bronzeturnv1.ServiceTally {
 	var list []*bronzeturnv1.ServiceTally
 	for _, service := range slices.Sorted(maps.Keys(reports)) {
@@ -238,7 +239,7 @@
 	return list
 }
 
-// reportsOf returns the reports by their services.
+// reportsOf decodes reports by service.
 func reportsOf(list []*bronzeturnv1.ServiceTally) map[string]*Report {
 	reports := make(map[string]*Report, len(list))
 	for _, m := range list {
--- a/tally/tally_test.go
+++ b/tally/tally_test.go
@@ -18,20 +18,21 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// way is the time of a message between daemons of two data centres.
-const way = 1400 * time.Microsecond
+// messageDelay is the one-way delay of a message between daemons of two data centres.
+const messageDelay = 1400 * time.Microsecond
 
 var errDown = errors.New("down")
 
-// member is one daemon of a fleet under test.
+// member is a daemon of a fleet under test.
 type member struct {
 	*Tally
 	place   atomic.Pointer[Place]
 	answers atomic.Uint64
-	// heard are the answers that all others have counted, as it knows.
-	heard atomic.Uint64
-	down  atomic.Bool
-	calls atomic.Uint64
+	// othersAnswers is the number of answers that all others have counted, as far as this
+	// daemon knows.
+	othersAnswers atomic.Uint64
+	down          atomic.Bool
+	calls         atomic.Uint64
 }
 
 // client calls a member.
@@ -39,24 +40,24 @@
 
 // Add implements bronzeturnv1connect.TallyServiceClient.
 func (c client) Add(_ context.Context, r *connect.Request[bronzeturnv1.AddRequest]) (*connect.Response[bronzeturnv1.AddResponse], error) {
-	time.Sleep(way)
+	time.Sleep(messageDelay)
 	if c.to.down.Load() {
 		return nil, errDown
 	}
 	c.to.calls.Add(1)
 	answer := c.to.Add(r.Msg)
-	time.Sleep(way)
+	time.Sleep(messageDelay)
 	return connect.NewResponse(answer), nil
 }
 
-// reportWith returns a report with so many answers of the new version.
+// reportWith returns a report with the given number of answers of the new version.
 func reportWith(answers uint64, sessions ...uint64) *Report {
 	return &Report{Order: 7, Target: "v2", HeldSessions: sessions, Counts: []*bronzeturnv1.CanaryCount{
 		{Route: "r", Trial: true, Answers: answers, Latencies: answers, LogLatencySum: float64(answers)},
 	}}
 }
 
-// answersOf returns the answers in a report.
+// answersOf returns the number of answers in a report.
 func answersOf(r *Report) uint64 {
 	n := uint64(0)
 	for _, c := range r.GetCounts() {
@@ -65,8 +66,8 @@
 	return n
 }
 
-// newFleet starts three roots and below them, in each of some branches, levels of 2, 16
-// and the rest.
+// newFleet starts three roots and below them a number of branches, each with levels of 2, 16
+// and the remaining daemons.
 func newFleet(ctx context.Context, size, branches int) map[string]*member {
 	fleet := make(map[string]*member)
 	add := func(name string, place Place) {
@@ -78,7 +79,7 @@
 			Self: name, Place: func() Place { return *m.place.Load() },
 			Client: func(daemon string) bronzeturnv1connect.TallyServiceClient { return client{fleet[daemon]} },
 			Own:    func() map[string]*Report { return map[string]*Report{"s": reportWith(m.answers.Load())} },
-			Others: func(_ string, others *Report) { m.heard.Store(answersOf(others)) },
+			Others: func(_ string, others *Report) { m.othersAnswers.Store(answersOf(others)) },
 			Log:    zerolog.Nop(),
 		})
 		fleet[name] = m
@@ -105,11 +106,11 @@
 	return fleet
 }
 
-// TestSumsReachTheWholeFleetSoon: pattern of a bad version on a large fleet, where each
-// daemon sees a few answers a second. All know nearly all counts within the 5 s that a
-// bad version may go on after it shows, less 2 s for the verdict's way and for work that is
-// under way, and nobody has more calls than a small host bears.
-func TestSumsReachTheWholeFleetSoon(t *testing.T) {
+// TestSumsReachWholeFleet covers a bad version on large fleets, where each daemon sees a few
+// answers a second. All daemons must know the counts within 3 s: a bad version must get no more
+// work 5 s after its fault shows, of which 2 s are for spreading the verdict and for work in
+// progress. No daemon may get more calls than a small host can handle.
+func TestSumsReachWholeFleet(t *testing.T) {
 	for _, test := range []struct{ size, branches int }{{6, 3}, {91, 4}, {295, 5}, {410, 4}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
@@ -118,7 +119,7 @@
 			fleet := newFleet(ctx, test.size, test.branches)
 			time.Sleep(5 * time.Second)
 			for name, m := range fleet {
-				c.Check(m.heard.Load(), qt.Equals, uint64(test.size-1), qt.Commentf(name))
+				c.Check(m.othersAnswers.Load(), qt.Equals, uint64(test.size-1), qt.Commentf(name))
 			}
 			before := fleet["root-0"].calls.Load()
 			for _, m := range fleet {
@@ -126,9 +127,9 @@
 			}
 			began := time.Now()
 			for name, m := range fleet {
-				for m.heard.Load() != uint64(11*(test.size-1)) {
+				for m.othersAnswers.Load() != uint64(11*(test.size-1)) {
 					time.Sleep(10 * time.Millisecond)
-					c.Assert(time.Since(began) < 3*time.Second, qt.IsTrue, qt.Commentf("%s knows of %d", name, m.heard.Load()))
+					c.Assert(time.Since(began) < 3*time.Second, qt.IsTrue, qt.Commentf("%s knows of %d", name, m.othersAnswers.Load()))
 				}
 			}
 			rate := float64(fleet["root-0"].calls.Load()-before) / time.Since(began).Seconds()
@@ -138,10 +139,9 @@
 	}
 }
 
-// TestLossOfDaemonsOnTheWayIsBridged takes a root and a daemon of each level away: those
-// below send to the next one, nothing counts twice for long, and what the lost ones had
-// counted themselves is forgotten.
-func TestLossOfDaemonsOnTheWayIsBridged(t *testing.T) {
+// TestLostDaemonsAreBypassed removes a root and a daemon of each level. The daemons below send
+// to the next one, no counts are added twice for long, and the lost daemons' own counts expire.
+func TestLostDaemonsAreBypassed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -152,20 +152,20 @@
 		lost := []string{"root-1", "d-0-0", "d-3-5", "d-4-30"}
 		for _, name := range lost {
 			fleet[name].down.Store(true)
-			fleet[name].place.Store(&Place{}) // It is cut off both ways.
+			fleet[name].place.Store(&Place{}) // It is cut off in both directions.
 		}
-		time.Sleep(2*keepFor + 2*time.Second)
+		time.Sleep(2*sumsTTL + 2*time.Second)
 		for name, m := range fleet {
 			if !m.down.Load() {
-				c.Check(m.heard.Load(), qt.Equals, uint64(size-1-len(lost)), qt.Commentf(name))
+				c.Check(m.othersAnswers.Load(), qt.Equals, uint64(size-1-len(lost)), qt.Commentf(name))
 			}
 		}
 	})
 }
 
-// TestNothingGoesRoundInACircle has two daemons take each other for their parent, as
-// daemons with different views may: neither takes in what comes from its own level.
-func TestNothingGoesRoundInACircle(t *testing.T) {
+// TestCyclesDoNotAddUp covers two daemons that take each other for their parent, as daemons
+// with different views may. Neither adds sums from its own level.
+func TestCyclesDoNotAddUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -175,14 +175,14 @@
 		fleet["d-0-1"].place.Store(&Place{Depth: 2, Parents: []string{"d-0-0"}})
 		time.Sleep(time.Minute)
 		for name, m := range fleet {
-			c.Check(m.heard.Load() < 13, qt.IsTrue, qt.Commentf("%s counts %d", name, m.heard.Load()))
+			c.Check(m.othersAnswers.Load() < 13, qt.IsTrue, qt.Commentf("%s counts %d", name, m.othersAnswers.Load()))
 		}
 	})
 }
 
-// TestSumsHoldTheStoppedSessionsOfOneIntroduction guards against sessions that are lost on the
-// way, that a report of another introduction brings in, or that grow without bound.
-func TestSumsHoldTheStoppedSessionsOfOneIntroduction(t *testing.T) {
+// TestSumsHoldStoppedSessionsOfOneIntroduction guards against stopped sessions that are lost,
+// that come from a report of another introduction, or that grow without bound.
+func TestSumsHoldStoppedSessionsOfOneIntroduction(t *testing.T) {
 	c := qt.New(t)
 	runs := func(ended ...int32) *Report {
 		r := reportWith(1)
@@ -193,31 +193,31 @@
 	}
 	foreign := runs(900, 900, 900)
 	foreign.Order = 8
-	total := sum(runs(-300, 20), runs(-200, 10, -5), foreign)
+	total := addReports(runs(-300, 20), runs(-200, 10, -5), foreign)
 	var got []int32
 	for _, run := range total.GetStoppedSessions() {
 		got = append(got, run.GetEndedMs())
 	}
 	slices.Sort(got)
 	c.Check(got, qt.DeepEquals, []int32{-300, -200, -5, 10, 20})
-	c.Check(without(total, runs(-300)).GetStoppedSessions(), qt.HasLen, len(got))
+	c.Check(subtractReport(total, runs(-300)).GetStoppedSessions(), qt.HasLen, len(got))
 	var many []int32
-	for n := range int32(mostStopped + 10) {
+	for n := range int32(maxStoppedSessions + 10) {
 		many = append(many, n)
 	}
-	kept := sum(runs(many...)).GetStoppedSessions()
-	c.Check(kept, qt.HasLen, mostStopped)
-	c.Check(kept[0].GetEndedMs(), qt.Equals, int32(mostStopped+9)) // The latest are kept.
+	kept := addReports(runs(many...)).GetStoppedSessions()
+	c.Check(kept, qt.HasLen, maxStoppedSessions)
+	c.Check(kept[0].GetEndedMs(), qt.Equals, int32(maxStoppedSessions+9)) // The latest are kept.
 }
 
 func TestSumsAreOfOneIntroduction(t *testing.T) {
 	c := qt.New(t)
 	other := reportWith(50)
 	other.Order = 8
-	total := sum(reportWith(3, 9, 4), reportWith(2, 4, 5), other, nil)
+	total := addReports(reportWith(3, 9, 4), reportWith(2, 4, 5), other, nil)
 	c.Check(answersOf(total), qt.Equals, uint64(5))
 	c.Check(total.GetHeldSessions(), qt.DeepEquals, []uint64{4, 5, 9})
-	c.Check(answersOf(without(total, reportWith(3))), qt.Equals, uint64(2))
-	c.Check(answersOf(without(total, reportWith(9))), qt.Equals, uint64(0))
-	c.Check(answersOf(without(total, other)), qt.Equals, uint64(5))
+	c.Check(answersOf(subtractReport(total, reportWith(3))), qt.Equals, uint64(2))
+	c.Check(answersOf(subtractReport(total, reportWith(9))), qt.Equals, uint64(0))
+	c.Check(answersOf(subtractReport(total, other)), qt.Equals, uint64(5))
 }
