--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -95,12 +95,12 @@
 		for at := time.Duration(0); at < length+12*time.Second; at += tick {
 			now := start.Add(at)
 			store.applyDue(at)
-			for place, d := range daemons {
+			for rank, d := range daemons {
 				if at < undisturbedFrom {
 					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "freeze") == 0 {
 						d.paused = rapid.IntRange(1, 40).Draw(t, "steps")
 					}
-					d.dead = d.dead || place != survivor && rapid.IntRange(0, 199).Draw(t, "die") == 0
+					d.dead = d.dead || rank != survivor && rapid.IntRange(0, 199).Draw(t, "die") == 0
 				}
 				if d.paused > 0 || d.dead {
 					d.paused = max(d.paused-1, 0)
@@ -110,19 +110,19 @@
 					d.SetState(store.state)
 					d.revision = store.revision
 				}
-				if bad && at >= badAt && place == survivor {
+				if bad && at >= badAt && rank == survivor {
 					for range 3 {
 						d.Observe("r", true, true, 0)
 						d.Observe("r", false, false, 0)
 					}
 				}
 				for other, o := range daemons {
-					if other != place && o.paused == 0 && !o.dead {
+					if other != rank && o.paused == 0 && !o.dead {
 						d.ApplyReport(string(rune('a'+other)), o.Report(now), now)
 					}
 				}
 				verdict := d.Review(now)
-				if due, _ := d.driver.Due(d.State(), verdict.State, place, now); due {
+				if due, _ := d.driver.Due(d.State(), verdict.State, rank, now); due {
 					late := time.Duration(0)
 					if at < undisturbedFrom && rapid.IntRange(0, 3).Draw(t, "late") == 0 {
 						late = time.Duration(rapid.IntRange(0, 4000).Draw(t, "late_ms")) * time.Millisecond
--- a/quarantine/detector.go
+++ b/quarantine/detector.go
@@ -25,8 +25,8 @@
 	// secondDialDelay is the delay before a second connection attempt: a dying process may
 	// accept connections for some milliseconds after it has closed the first ones.
 	secondDialDelay = 150 * time.Millisecond
-	// minProbeInterval is the least time between two probes of an engine. Some faulty engines
-	// interrupt many answers without crashing.
+	// minProbeInterval is the least time from the end of a probe of an engine to the next one.
+	// Some faulty engines interrupt many answers without crashing.
 	minProbeInterval = 500 * time.Millisecond
 	// dialTimeout bounds one connection attempt. A time-out is not evidence of a crash.
 	dialTimeout = 350 * time.Millisecond
@@ -129,8 +129,8 @@
 	}
 }
 
-// Refused records that a new connection was refused. That alone does not show a
-// crash, as the engine may have been shut down.
+// Refused records that a new connection was refused. That alone does not show a crash, as the
+// engine may have been shut down.
 func (d *Detector) Refused(engine string, now time.Time) { d.recordCrash(engine, CauseRefused, now) }
 
 // Replaced records that another start answers or registers at the engine's address.
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -53,8 +53,8 @@
 	fleet *testFleet
 	name  string
 	stop  context.CancelFunc
-	// part identifies the side of a network partition.
-	part int
+	// partition identifies the side of a network partition.
+	partition int
 }
 
 const (
@@ -130,7 +130,7 @@
 	defer f.mu.Unlock()
 	f.flooded = append(f.flooded, m)
 	for _, other := range f.daemons {
-		if other == d || other.part != d.part {
+		if other == d || other.partition != d.partition {
 			continue
 		}
 		f.messages++
@@ -172,7 +172,7 @@
 
 // Create, Update and Delete implement Store.
 func (d *testDaemon) Create(ctx context.Context, key string, value []byte) (objectstore.Object, error) {
-	d.fleet.hang(ctx)
+	d.fleet.waitIfSilent(ctx)
 	if d.fleet.isUnavailable() {
 		return objectstore.Object{}, errUnavailable
 	}
@@ -180,7 +180,7 @@
 }
 
 func (d *testDaemon) Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
-	d.fleet.hang(ctx)
+	d.fleet.waitIfSilent(ctx)
 	if d.fleet.isUnavailable() {
 		return objectstore.Object{}, errUnavailable
 	}
@@ -188,7 +188,7 @@
 }
 
 func (d *testDaemon) Delete(ctx context.Context, key string, revision uint64) error {
-	d.fleet.hang(ctx)
+	d.fleet.waitIfSilent(ctx)
 	if d.fleet.isUnavailable() {
 		return errUnavailable
 	}
@@ -209,8 +209,8 @@
 	return f.unavailable || f.silent
 }
 
-// hang blocks until ctx ends if the store is silent.
-func (f *testFleet) hang(ctx context.Context) {
+// waitIfSilent blocks until ctx ends if the store is silent.
+func (f *testFleet) waitIfSilent(ctx context.Context) {
 	f.mu.Lock()
 	silent := f.silent
 	f.mu.Unlock()
@@ -226,12 +226,12 @@
 }
 
 // crash crashes an engine and interrupts requests of some daemons.
-func (f *testFleet) crash(id, version string, cut map[*testDaemon][]Hash) {
+func (f *testFleet) crash(id, version string, interrupted map[*testDaemon][]Hash) {
 	e := inventory.Engine{ID: id, Service: "llm", Version: version, Address: "10.0.0.1/" + id}
 	f.mu.Lock()
 	f.down[e.Address] = true
 	f.mu.Unlock()
-	for d, hashes := range cut {
+	for d, hashes := range interrupted {
 		for _, h := range hashes {
 			d.AnswerInterrupted(e, h, time.Now(), ignoreFailure)
 		}
@@ -339,16 +339,16 @@
 // crash interrupted, as most of them complete elsewhere.
 func TestCompletionAfterOneCrashCostsNoMessage(t *testing.T) {
 	runFleet(t, 3, func(f *testFleet) {
-		var cut []Hash
+		var interrupted []Hash
 		for i := range 50 {
-			cut = append(cut, Hash{byte(i), 1})
+			interrupted = append(interrupted, Hash{byte(i), 1})
 		}
-		f.crash("e1", "v1", map[*testDaemon][]Hash{f.daemons[0]: cut})
+		f.crash("e1", "v1", map[*testDaemon][]Hash{f.daemons[0]: interrupted})
 		time.Sleep(time.Second)
 		f.mu.Lock()
 		before := f.messages
 		f.mu.Unlock()
-		for _, h := range cut {
+		for _, h := range interrupted {
 			f.daemons[0].Completed(h, time.Now())
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -356,10 +356,10 @@
 		f.c.Check(f.messages, qt.Equals, before)
 		f.mu.Unlock()
 		// The daemon that saw them complete still reports it when it matters.
-		f.crash("e2", "v1", map[*testDaemon][]Hash{f.daemons[1]: cut[:1]})
-		f.crash("e3", "v1", map[*testDaemon][]Hash{f.daemons[2]: cut[:1]})
+		f.crash("e2", "v1", map[*testDaemon][]Hash{f.daemons[1]: interrupted[:1]})
+		f.crash("e3", "v1", map[*testDaemon][]Hash{f.daemons[2]: interrupted[:1]})
 		time.Sleep(time.Second)
-		f.c.Check(f.held(cut[0]), qt.HasLen, 0)
+		f.c.Check(f.held(interrupted[0]), qt.HasLen, 0)
 	})
 }
 
@@ -368,7 +368,7 @@
 func TestPartitionedDaemonLearnsFromStore(t *testing.T) {
 	runFleet(t, 4, func(f *testFleet) {
 		f.mu.Lock()
-		f.daemons[3].part = 1
+		f.daemons[3].partition = 1
 		f.mu.Unlock()
 		for i := range CrashThreshold {
 			f.crash(fmt.Sprint("e", i), "v1", map[*testDaemon][]Hash{f.daemons[i]: {crasher}})
@@ -602,12 +602,12 @@
 	const daemons, engines, cutEach = 300, 50, 24
 	runFleet(t, daemons, func(f *testFleet) {
 		for i := range engines {
-			cut := make(map[*testDaemon][]Hash)
+			interrupted := make(map[*testDaemon][]Hash)
 			for j := range cutEach {
 				d := f.daemons[f.random.IntN(daemons)]
-				cut[d] = append(cut[d], Hash{byte(i), byte(i >> 8), byte(j), 9})
+				interrupted[d] = append(interrupted[d], Hash{byte(i), byte(i >> 8), byte(j), 9})
 			}
-			f.crash(fmt.Sprint("e", i), "v1", cut)
+			f.crash(fmt.Sprint("e", i), "v1", interrupted)
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
--- a/quarantine/flood.go
+++ b/quarantine/flood.go
@@ -39,7 +39,7 @@
 	return func(m *bronzeturnv1.CrashReport) {
 		data, err := proto.Marshal(m)
 		if err != nil {
-			log.Error().Err(err).Msg("report of ended engines not encoded")
+			log.Error().Err(err).Msg("crash report not encoded")
 			return
 		}
 		now := uint64(time.Now().UnixMilli())
@@ -54,7 +54,7 @@
 	}
 	var m bronzeturnv1.CrashReport
 	if err := proto.Unmarshal(value, &m); err != nil {
-		q.Log.Warn().Err(err).Str("key", key).Msg("report of ended engines not read")
+		q.Log.Warn().Err(err).Str("key", key).Msg("crash report not decoded")
 		return
 	}
 	q.ApplyReport(&m, time.Now())
--- a/quarantine/handler.go
+++ b/quarantine/handler.go
@@ -36,7 +36,7 @@
 	}
 	data, err := protojson.Marshal(list)
 	if err != nil {
-		q.Log.Error().Err(err).Msg("list of the quarantine not encoded")
+		q.Log.Error().Err(err).Msg("list of quarantined requests not encoded")
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -213,7 +213,7 @@
 func (q *Quarantine) Completed(h Hash, now time.Time) {
 	if q.evidence.Completed(h, now) >= minCrashesToAnnounce || q.Held(h) {
 		q.announceHarmless(h)
-		q.release(h, "it ended well")
+		q.release(h, "it completed")
 	}
 }
 
@@ -221,7 +221,7 @@
 func (q *Quarantine) engineCrashed(crash Crash) {
 	now := time.Now()
 	if q.Starts != nil {
-		q.Starts.Ended(crash.Engine, now)
+		q.Starts.RecordCrash(crash.Engine, now)
 	}
 	q.metrics.ended.Inc()
 	q.announceHarmless(q.evidence.Add(crash, now)...)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -26,14 +26,14 @@
 	for _, one := range m.GetEngines() {
 		crash := decodeCrash(one, now)
 		if q.Starts != nil {
-			crash.Engine = q.Starts.Told(crash.Engine, now)
+			crash.Engine = q.Starts.RecordReported(crash.Engine, now)
 		}
 		q.announceHarmless(q.evidence.Add(crash, now)...)
 		q.detector.PeerReported(crash.Engine, now)
 	}
 	for _, h := range decodeHashes(m.GetHarmless()) {
 		q.evidence.CompletedByPeer(h, now)
-		q.release(h, "it ended well at another daemon")
+		q.release(h, "it completed at another daemon")
 	}
 	for _, h := range decodeHashes(m.GetCleared()) {
 		q.forget(h, "cleared by an operator")
--- a/quarantine/starts.go
+++ b/quarantine/starts.go
@@ -43,9 +43,9 @@
 	return e
 }
 
-// Ended records the crash of the given start of an engine. It ignores crashes of earlier
+// RecordCrash records the crash of the given start of an engine. It ignores crashes of earlier
 // starts.
-func (s *StartTracker) Ended(e inventory.Engine, now time.Time) {
+func (s *StartTracker) RecordCrash(e inventory.Engine, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.Started.Equal(s.byID[e.ID].current) {
@@ -53,9 +53,9 @@
 	}
 }
 
-// Told records a crash that another daemon detected, unless it is already known, and returns e
-// with the start that crashed, as this daemon identifies it.
-func (s *StartTracker) Told(e inventory.Engine, now time.Time) inventory.Engine {
+// RecordReported records a crash that another daemon detected, unless it is already known, and
+// returns e with the start that crashed, as this daemon identifies it.
+func (s *StartTracker) RecordReported(e inventory.Engine, now time.Time) inventory.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.byID[e.ID]
--- a/quarantine/starts_test.go
+++ b/quarantine/starts_test.go
@@ -17,18 +17,18 @@
 	e := inventory.Engine{ID: "engine-1"}
 	s := NewStartTracker()
 	first := s.Current(e)
-	s.Ended(first, now)
-	c.Check(s.Told(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, first.Key())
+	s.RecordCrash(first, now)
+	c.Check(s.RecordReported(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, first.Key())
 
 	now = now.Add(time.Minute)
 	second := s.Current(e)
 	c.Check(second.Key(), qt.Not(qt.Equals), first.Key())
-	c.Check(s.Told(e, now).Key(), qt.Equals, second.Key())
-	s.Ended(second, now.Add(sameCrashWindow/2))
-	c.Check(s.Told(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, second.Key())
+	c.Check(s.RecordReported(e, now).Key(), qt.Equals, second.Key())
+	s.RecordCrash(second, now.Add(sameCrashWindow/2))
+	c.Check(s.RecordReported(e, now.Add(sameCrashWindow/2)).Key(), qt.Equals, second.Key())
 
 	third := s.Current(e)
 	c.Check(third.Key(), qt.Not(qt.Equals), second.Key())
-	s.Ended(first, now.Add(time.Minute)) // A late report of an earlier start is ignored.
+	s.RecordCrash(first, now.Add(time.Minute)) // A late report of an earlier start is ignored.
 	c.Check(s.Current(e).Key(), qt.Equals, third.Key())
 }
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -70,16 +70,16 @@
 	harmless, repeats int
 	// others is the rate of crashes that no request causes, per second.
 	others float64
-	// popular is set if the harmless requests are of simPopular kinds only.
+	// popular is set if the harmless requests are of only simPopularKinds kinds.
 	popular bool
 }
 
 // simEngine is an engine of the model. It processes all its requests at once.
 type simEngine struct {
-	key    string
-	starts int
-	upAt   time.Time
-	work   []simRun
+	key     string
+	starts  int
+	upAt    time.Time
+	running []simRun
 }
 
 // simRun is a request that an engine processes since the given time. Runs are kept in the order
@@ -101,17 +101,18 @@
 	crashed, served, lost, refused int
 }
 
-// Times of the model.
+// Parameters of the model: times, attempts of a request at engines before its caller repeats
+// it, tries of a caller, and kinds of popular requests.
 const (
-	simStep    = 5 * time.Millisecond
-	simFor     = 12 * time.Second
-	simAnswer  = 1200 * time.Millisecond
-	simCrash   = 60 * time.Millisecond
-	simBack    = 1200 * time.Millisecond
-	simKnown   = 60 * time.Millisecond
-	simSends   = 3
-	simTries   = 2
-	simPopular = 8
+	simStep         = 5 * time.Millisecond
+	simDuration     = 12 * time.Second
+	simAnswerTime   = 1200 * time.Millisecond
+	simTimeToCrash  = 60 * time.Millisecond
+	simRestartTime  = 1200 * time.Millisecond
+	simReportDelay  = 60 * time.Millisecond
+	simSendsPerTry  = 3
+	simMaxTries     = 2
+	simPopularKinds = 8
 )
 
 // simulation runs an incident with one strategy.
@@ -122,7 +123,7 @@
 	now      time.Time
 	engines  []*simEngine
 	evidence *Evidence
-	known    []simReport
+	reports  []simReport
 	waiting  []simWaiting
 	outcome  outcome
 	next     uint64
@@ -145,7 +146,7 @@
 	for n := range i.engines {
 		s.engines = append(s.engines, &simEngine{key: fmt.Sprint("e", n), upAt: start})
 	}
-	for s.now.Before(start.Add(simFor)) {
+	for s.now.Before(start.Add(simDuration)) {
 		s.step()
 	}
 	return s.outcome
@@ -154,9 +155,9 @@
 // step advances the simulation by simStep.
 func (s *simulation) step() {
 	s.now = s.now.Add(simStep)
-	for len(s.known) > 0 && !s.known[0].at.After(s.now) {
-		s.evidence.Add(s.known[0].crash, s.now)
-		s.known = s.known[1:]
+	for len(s.reports) > 0 && !s.reports[0].at.After(s.now) {
+		s.evidence.Add(s.reports[0].crash, s.now)
+		s.reports = s.reports[1:]
 	}
 	waiting := s.waiting
 	s.waiting = nil
@@ -171,7 +172,7 @@
 		s.next++
 		kind := s.next
 		if s.popular {
-			kind %= simPopular
+			kind %= simPopularKinds
 		}
 		s.send(&simRequest{hash: simHash(1, kind)})
 	}
@@ -210,14 +211,14 @@
 
 // run advances an engine.
 func (s *simulation) run(e *simEngine) {
-	for _, one := range e.work {
-		if one.request.crasher && s.now.Sub(one.began) >= simCrash {
+	for _, one := range e.running {
+		if one.request.crasher && s.now.Sub(one.began) >= simTimeToCrash {
 			s.crashEngine(e)
 			return
 		}
 	}
-	e.work = slices.DeleteFunc(e.work, func(one simRun) bool {
-		if one.request.crasher || s.now.Sub(one.began) < simAnswer {
+	e.running = slices.DeleteFunc(e.running, func(one simRun) bool {
+		if one.request.crasher || s.now.Sub(one.began) < simAnswerTime {
 			return false
 		}
 		s.outcome.served++
@@ -231,17 +232,17 @@
 	if e.upAt.After(s.now) {
 		return
 	}
-	cut := e.work
-	e.work = nil
-	e.upAt = s.now.Add(simBack)
+	interrupted := e.running
+	e.running = nil
+	e.upAt = s.now.Add(simRestartTime)
 	e.starts++
 	reported := Crash{Engine: inventory.Engine{ID: fmt.Sprint(e.key, "/", e.starts), Service: "llm", Version: "v1"}}
-	for _, one := range cut {
+	for _, one := range interrupted {
 		reported.Requests = append(reported.Requests, one.request.hash)
 	}
-	s.known = append(s.known, simReport{s.now.Add(simKnown), reported})
+	s.reports = append(s.reports, simReport{s.now.Add(simReportDelay), reported})
 	s.outcome.crashed++
-	for _, one := range cut {
+	for _, one := range interrupted {
 		s.send(one.request)
 	}
 }
@@ -260,18 +261,18 @@
 		return
 	}
 	r.sends++
-	if r.sends > simSends {
+	if r.sends > simSendsPerTry {
 		r.sends = 1
 		r.tries++
 	}
 	e := s.choose(r)
-	if r.tries >= simTries || e == nil {
+	if r.tries >= simMaxTries || e == nil {
 		if !r.crasher {
 			s.outcome.lost++
 		}
 		return
 	}
-	e.work = append(e.work, simRun{r, s.now})
+	e.running = append(e.running, simRun{r, s.now})
 }
 
 // choose picks the engine for a request, nil if none is up.
@@ -293,7 +294,7 @@
 		return byKey[rendezvous.Owner(string(r.hash[:]), keys)]
 	}
 	first, second := up[s.random.IntN(len(up))], up[s.random.IntN(len(up))]
-	if len(second.work) < len(first.work) {
+	if len(second.running) < len(first.running) {
 		return second
 	}
 	return first
