--- a/quarantine/evidence_test.go
+++ b/quarantine/evidence_test.go
@@ -157,7 +157,7 @@
 			e.Completed(b, at(now+0.1))
 			now += rapid.Float64Range(0.2, 90).Draw(t, "pause")
 			if all, _ := verdictHashes(e, at(now)); len(all) > 0 {
-				t.Fatalf("convicted %v", all)
+				t.Fatalf("verdicts on harmless requests: %v", all)
 			}
 		}
 	})
