--- a/entry/canaryreports.go
+++ b/entry/canaryreports.go
@@ -20,11 +20,11 @@
 // the daemons are not part of it; they are summed over the tree by package tally.
 func (i *introductions) publishVerdict(service string, intro *introduction, now time.Time) {
 	report := intro.Report(now)
-	if intro.verdictPublished || report.Condemned == "" {
+	if intro.verdictPublished || report.RollbackReason == "" {
 		return
 	}
 	intro.verdictPublished = true
-	report.Counts, report.Held = nil, nil
+	report.Counts, report.Pinned = nil, nil
 	data, err := proto.Marshal(encodeReport(report))
 	if err != nil {
 		i.daemon.log.Error().Err(err).Str("service", service).Msg("failed to encode verdict on an introduction")
@@ -43,7 +43,7 @@
 	}
 	for service, intro := range i.recentlyEnded(now) {
 		r := intro.Report(now)
-		r.Counts, r.Held = nil, nil
+		r.Counts, r.Pinned = nil, nil
 		reports[service] = encodeReport(i.withStopped(service, r, now))
 	}
 	return reports
@@ -59,7 +59,7 @@
 		return
 	}
 	report, now := decodeReport(others), time.Now()
-	intro.Heard(fleetName, report, now)
+	intro.ApplyReport(fleetName, report, now)
 	i.receiveStoppedSessions(service, report, now)
 }
 
@@ -75,8 +75,8 @@
 
 // encodeReport converts a report to its wire format.
 func encodeReport(r canary.Report) *tally.Report {
-	m := &tally.Report{Target: r.Target, Order: r.Order, AgeMs: uint64(max(r.Age.Milliseconds(), 0)), Condemned: r.Condemned}
-	m.HeldSessions = r.Held[:min(len(r.Held), maxReportSessions)]
+	m := &tally.Report{Target: r.Target, Order: r.Order, AgeMs: uint64(max(r.Age.Milliseconds(), 0)), Condemned: r.RollbackReason}
+	m.HeldSessions = r.Pinned[:min(len(r.Pinned), maxReportSessions)]
 	for _, s := range r.Stopped[:min(len(r.Stopped), maxReportSessions)] {
 		m.StoppedSessions = append(m.StoppedSessions, &bronzeturnv1.StoppedSession{Session: s.Session, EndedMs: int32(s.Ended.Milliseconds())})
 	}
@@ -93,7 +93,7 @@
 func decodeReport(m *tally.Report) canary.Report {
 	r := canary.Report{
 		Order: m.GetOrder(), Target: m.GetTarget(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond,
-		Counts: make(map[canary.CountKey]canary.Count), Held: m.GetHeldSessions(), Condemned: m.GetCondemned(),
+		Counts: make(map[canary.CountKey]canary.Count), Pinned: m.GetHeldSessions(), RollbackReason: m.GetCondemned(),
 	}
 	for _, s := range m.GetStoppedSessions() {
 		r.Stopped = append(r.Stopped, canary.StoppedSession{Session: s.GetSession(), Ended: time.Duration(s.GetEndedMs()) * time.Millisecond})
@@ -122,7 +122,7 @@
 		return
 	}
 	if intro := i.get(service); intro != nil {
-		intro.Heard(daemon, decodeReport(&m), time.Now())
+		intro.ApplyReport(daemon, decodeReport(&m), time.Now())
 	}
 }
 
--- a/entry/introductions.go
+++ b/entry/introductions.go
@@ -106,7 +106,7 @@
 		i.rankEngines(view)
 		for session, at := range i.recent[order.Service] {
 			if now.Sub(at) < i.daemon.Settings.Introductions.SessionGap {
-				intro.Hold(session)
+				intro.Pin(session)
 			}
 		}
 		i.daemon.log.Info().Str("service", order.Service).Str("target", order.Target).Uint64("order", order.ID).
@@ -218,7 +218,7 @@
 		base = append(base, e.Key())
 		slots += max(e.Slots, 1)
 	}
-	return intro.Width(len(base), i.daemon.busyShare(base, float64(slots)), now)
+	return intro.EngineCount(len(base), i.daemon.busyShare(base, float64(slots)), now)
 }
 
 // assign implements gateway.Assign.
@@ -333,7 +333,7 @@
 	i.mu.Lock()
 	intro := i.byService[service]
 	running := intro != nil && intro.State() < canary.Done
-	if !running && i.daemon.Settings.Introductions.Trialled(session) {
+	if !running && i.daemon.Settings.Introductions.InTrial(session) {
 		i.recordSession(service, session, now)
 	}
 	i.mu.Unlock()
--- a/gateway/again.go
+++ b/gateway/again.go
@@ -59,7 +59,7 @@
 // takeBudget takes one attempt from the retry budget and reports whether there was one.
 func (g *Gateway) takeBudget(t *task) bool {
 	budget := g.budgets.forService(t.service)
-	if g.Quarantine.Ends(t.hash) >= suspectCrashes {
+	if g.Quarantine.Crashes(t.hash) >= suspectCrashes {
 		return budget.TakeUnreserved(time.Now(), reservedBudgetShare)
 	}
 	return budget.Take(time.Now())
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -48,7 +48,7 @@
 	}
 	g.chooseGroup(t, engines, now)
 	r := t.balanceRequest(g.DataCentre, engines, g.Models)
-	if g.Quarantine.Ends(t.hash) > 0 {
+	if g.Quarantine.Crashes(t.hash) > 0 {
 		r.Candidates[0] = engines.forSuspect(t.group, t.hash, t.tried)
 	}
 	decision, ok := g.chooseUnsuspected(t, engines, r, now)
@@ -80,7 +80,7 @@
 	if t.runs == 0 {
 		t.trial = g.Introductions.Choose(t.service, t.session, now)
 	}
-	if t.trial && !t.answer.begun() && g.Quarantine.Ends(t.hash) > 0 {
+	if t.trial && !t.answer.begun() && g.Quarantine.Crashes(t.hash) > 0 {
 		// The version in force shows whether the request or the new version crashes engines.
 		t.trial = false
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -77,17 +77,17 @@
 	// Admit reports whether a request may be sent now, after waiting for a pending verdict.
 	// isRetry is set if the request is held and this send uses up one of its retries.
 	Admit(ctx context.Context, h quarantine.Hash) (ok, isRetry bool)
-	// Ends returns how many engines ended while the request ran on them, since it last
+	// Crashes returns how many engines ended while the request ran on them, since it last
 	// completed.
-	Ends(h quarantine.Hash) int
+	Crashes(h quarantine.Hash) int
 	// Sending registers a send. The returned context is cancelled if the request is put
 	// into quarantine before the engine has begun to answer.
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed records that a request was answered completely.
 	Completed(h quarantine.Hash, now time.Time)
-	// Broke records that the connection was lost after the request had been sent. It calls
+	// AnswerInterrupted records that the connection was lost after the request had been sent. It calls
 	// blame once it is known that no request in quarantine explains the loss.
-	Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
+	AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
 	// Wait waits for a short time until it is known why an engine's connections were lost.
 	Wait(ctx context.Context, engine string)
 	// ConnectionRefused records that an engine's host refused a connection.
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -149,7 +149,7 @@
 	service, route, version := t.service, t.route.Name, to.engine.Version
 	blame := func() { g.Introductions.Observe(service, route, version, true, 0) }
 	if e.connectionLost() {
-		g.Quarantine.Broke(to.engine, t.hash, now, blame)
+		g.Quarantine.AnswerInterrupted(to.engine, t.hash, now, blame)
 		return
 	}
 	blame()
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -211,10 +211,10 @@
 	return q
 }
 
-// Broke implements Quarantine.
-func (q *fixtureQuarantine) Broke(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
+// AnswerInterrupted implements Quarantine.
+func (q *fixtureQuarantine) AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func()) {
 	q.probeStarted.Store(true)
-	q.Quarantine.Broke(e, h, now, blame)
+	q.Quarantine.AnswerInterrupted(e, h, now, blame)
 }
 
 // configure applies the configuration of the tests after a change.
