--- a/admission/admission.go
+++ b/admission/admission.go
@@ -26,9 +26,9 @@
 	CostMicros int64
 }
 
-// Used is what a request used in the end. It replaces the estimates of the
+// ActualUsage is what a request used in the end. It replaces the estimates of the
 // Request. The zero value is that of a request that never ran.
-type Used struct {
+type ActualUsage struct {
 	Tokens     int64
 	CostMicros int64
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -115,12 +115,12 @@
 			_, err := d.Acquire(context.Background(), request("org", 100, 100*time.Millisecond))
 			c.Assert(failure.From(err).Code, qt.Equals, failure.CodeNoCapacity)
 		}
-		ticket.Release(Used{Tokens: 100})
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 		c.Assert(inUse(d, "org"), qt.Equals, [2]int{0, 0})
 		second, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
-		second.Release(Used{})
+		second.Release(ActualUsage{})
 		_, err = d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(failure.From(err).Code, qt.Equals, failure.CodeLimitExceeded)
 		_, err = d.Acquire(context.Background(), request("other", 100, time.Minute))
@@ -145,7 +145,7 @@
 		start := time.Now()
 		go func() {
 			time.Sleep(3 * time.Second)
-			ticket.Release(Used{Tokens: 100})
+			ticket.Release(ActualUsage{Tokens: 100})
 		}()
 		second, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
@@ -159,10 +159,10 @@
 		defer cancel()
 		_, err = d.Acquire(ctx, request("org", 100, 20*time.Second))
 		c.Assert(errors.Is(err, context.DeadlineExceeded), qt.IsTrue)
-		second.Release(Used{Tokens: 100})
+		second.Release(ActualUsage{Tokens: 100})
 		third, err := d.Acquire(context.Background(), request("org", 100, 20*time.Second))
 		c.Assert(err, qt.IsNil)
-		third.Release(Used{})
+		third.Release(ActualUsage{})
 	})
 }
 
@@ -217,7 +217,7 @@
 	l.longest.Store(max(l.longest.Load(), int64(ticket.Waited(start))))
 	l.done.Add(1)
 	time.Sleep(time.Second)
-	ticket.Release(Used{Tokens: 100})
+	ticket.Release(ActualUsage{Tokens: 100})
 }
 
 func TestAcquireAllocations(t *testing.T) {
@@ -228,7 +228,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 	})
 	qt.Assert(t, allocations, qt.Equals, 1.0) // the ticket
 }
@@ -257,7 +257,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 	}
 }
 
@@ -278,7 +278,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			ticket.Release(Used{Tokens: 100})
+			ticket.Release(ActualUsage{Tokens: 100})
 		}
 	})
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -92,7 +92,7 @@
 		admitted++
 		go func() {
 			time.Sleep(hold)
-			ticket.Release(Used{Tokens: 100, CostMicros: 100})
+			ticket.Release(ActualUsage{Tokens: 100, CostMicros: 100})
 		}()
 	}
 	return admitted
@@ -221,7 +221,7 @@
 						time.Sleep(400 * time.Millisecond)
 						running.Add(-1)
 						spent.Add(100)
-						ticket.Release(Used{CostMicros: 100})
+						ticket.Release(ActualUsage{CostMicros: 100})
 					}()
 				}
 			}()
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -23,7 +23,7 @@
 
 // Release ends the admission and settles what the request used. Only the
 // first call has an effect.
-func (t *Ticket) Release(used Used) {
+func (t *Ticket) Release(used ActualUsage) {
 	if !t.released.CompareAndSwap(false, true) {
 		return
 	}
--- a/router/admit.go
+++ b/router/admit.go
@@ -14,7 +14,7 @@
 type grant struct {
 	reservation *ledger.Reservation
 	ticket      *admission.Ticket
-	used        admission.Used
+	used        admission.ActualUsage
 	released    bool
 }
 
