--- a/admission/admission.go
+++ b/admission/admission.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// SetRoom tells what the engines of a group last reported, which bounds the
+// SetGroupLoad tells what the engines of a group last reported, which bounds the
 // bulk requests of this daemon. Call it about once a second. A group whose room
 // was never set bounds them by its slots alone.
-func (c *Controller) SetRoom(groupName string, r Room) {
+func (c *Controller) SetGroupLoad(groupName string, r GroupLoad) {
 	if g, ok := c.groups.Load(groupName); ok {
 		g.(*group).setRoom(time.Now(), r)
 	}
--- a/admission/group.go
+++ b/admission/group.go
@@ -98,7 +98,7 @@
 }
 
 // setRoom changes the bound on bulk requests and starts those that now fit.
-func (g *group) setRoom(now time.Time, r Room) {
+func (g *group) setRoom(now time.Time, r GroupLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.SetBulkLimit(r)
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -274,8 +274,8 @@
 	qt.Check(t, d, qt.Equals, StartNow)
 }
 
-func roomOf(sharers int, busy []int) Room {
-	room := Room{Sharers: sharers}
+func roomOf(sharers int, busy []int) GroupLoad {
+	room := GroupLoad{Daemons: sharers}
 	for _, b := range busy {
 		room.Add(40, b)
 	}
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -214,7 +214,7 @@
 		if q == nil {
 			continue
 		}
-		room := admission.Room{Sharers: daemonCount}
+		room := admission.GroupLoad{Daemons: daemonCount}
 		for _, e := range d.sim.serving[v.GetName()] {
 			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < reportValid {
 				room.Add(int(e.GetSlots()), int(report.requests))
--- a/room.go
+++ b/room.go
@@ -44,10 +44,10 @@
 
 // rooms adds up the engines of each version. Engines without a fresh report are
 // left out.
-func (o *occupancy) rooms(engines []*bronzeturnv1.Engine, sharers int, now time.Time) map[string]admission.Room {
+func (o *occupancy) rooms(engines []*bronzeturnv1.Engine, sharers int, now time.Time) map[string]admission.GroupLoad {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	rooms := make(map[string]admission.Room)
+	rooms := make(map[string]admission.GroupLoad)
 	for _, e := range engines {
 		report, ok := o.reports[e.GetName()]
 		if !ok || now.Sub(report.at) > roomFresh {
@@ -55,7 +55,7 @@
 		}
 		for _, version := range e.GetVersions() {
 			room := rooms[version]
-			room.Sharers = sharers
+			room.Daemons = sharers
 			room.Add(int(e.GetSlots()), report.requests)
 			rooms[version] = room
 		}
@@ -87,7 +87,7 @@
 	for backoff.Sleep(ctx, roomInterval) == nil {
 		visible, sharers := d.compiler.visibleEngines(), d.compiler.sharers()
 		for version, room := range d.decisions.occupancy.rooms(visible, sharers, time.Now()) {
-			d.decisions.admission.SetRoom(version, room)
+			d.decisions.admission.SetGroupLoad(version, room)
 		}
 		d.fleet.members.SetLoad(d.loadShare())
 	}
