--- a/admission/accounts.go
+++ b/admission/accounts.go
@@ -32,10 +32,10 @@
 	return &c.shards[maphash.String(shardSeed, organisation)%accountShards]
 }
 
-// Update puts limits in force, given the number of live daemons. Counts and
+// SetLimits puts limits in force, given the number of live daemons. Counts and
 // spend of organisations whose limit changed are kept; their shares follow
 // with the next report. Organisations without a limit are not bounded.
-func (c *Controller) Update(limits []*bronzeturnv1.Limit, liveDaemons int) {
+func (c *Controller) SetLimits(limits []*bronzeturnv1.Limit, liveDaemons int) {
 	live := max(liveDaemons, 1)
 	c.live.Store(int64(live))
 	wanted := make(map[string]amounts, len(limits))
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -74,7 +74,7 @@
 				d.SetCapacity("pool/version", test.slots)
 				if test.limit != nil {
 					test.limit.Organisation = "org"
-					d.Update([]*bronzeturnv1.Limit{test.limit}, test.live)
+					d.SetLimits([]*bronzeturnv1.Limit{test.limit}, test.live)
 				}
 				r := request("org", 100, time.Duration(day)*time.Second)
 				r.CostMicros = test.r.CostMicros
@@ -105,7 +105,7 @@
 		c := qt.New(t)
 		d := alone(t)
 		d.SetCapacity("pool/version", 1)
-		d.Update([]*bronzeturnv1.Limit{
+		d.SetLimits([]*bronzeturnv1.Limit{
 			{Organisation: "org", RequestsPerSecond: 2, ConcurrentRequests: 2},
 			{Organisation: "other", RequestsPerSecond: 2, ConcurrentRequests: 2},
 		}, 1)
@@ -244,7 +244,7 @@
 			ConcurrentRequests: 1 << 30, DailySpendMicros: 1 << 50,
 		})
 	}
-	d.Update(limits, 1)
+	d.SetLimits(limits, 1)
 	return d
 }
 
--- a/admission/conservation_test.go
+++ b/admission/conservation_test.go
@@ -282,13 +282,13 @@
 func TestSharesFollowAChangedLimit(t *testing.T) {
 	d := alone(t)
 	limit := &bronzeturnv1.Limit{Organisation: "org", RequestsPerSecond: 100}
-	d.Update([]*bronzeturnv1.Limit{limit}, 4)
+	d.SetLimits([]*bronzeturnv1.Limit{limit}, 4)
 	a := d.shard("org").accounts["org"]
 	now := time.Now()
 	a.apply(now, usage{}, 7, grantResult{sequence: 1, amounts: amounts{80}, validity: time.Minute})
-	d.Update([]*bronzeturnv1.Limit{{Organisation: "org", RequestsPerSecond: 10, TokensPerSecond: 400}}, 4)
+	d.SetLimits([]*bronzeturnv1.Limit{{Organisation: "org", RequestsPerSecond: 10, TokensPerSecond: 400}}, 4)
 	qt.Check(t, a.allowance(now), qt.Equals, amounts{8, 100, 0, 0})
-	d.Update(nil, 4)
+	d.SetLimits(nil, 4)
 	qt.Check(t, d.shard("org").accounts["org"], qt.IsNil)
 }
 
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -70,7 +70,7 @@
 			},
 		})
 		c.Assert(err, qt.IsNil)
-		d.Update([]*bronzeturnv1.Limit{limit}, n)
+		d.SetLimits([]*bronzeturnv1.Limit{limit}, n)
 		f.daemons[i] = d
 		go func() { _ = d.Run(ctx) }()
 	}
--- a/admission/role.go
+++ b/admission/role.go
@@ -2,9 +2,9 @@
 
 import bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 
-// Coordinated returns the organisations among the given limits whose shares
+// CoordinatedOrganisations returns the organisations among the given limits whose shares
 // this daemon is preferred to hand out now, for status pages.
-func (c *Controller) Coordinated(limits []*bronzeturnv1.Limit) []string {
+func (c *Controller) CoordinatedOrganisations(limits []*bronzeturnv1.Limit) []string {
 	var names []string
 	for _, limit := range limits {
 		name := limit.GetOrganisation()
--- a/compiler.go
+++ b/compiler.go
@@ -107,7 +107,7 @@
 		Engines:  c.decisions.engines.Plan(register, selected.Sees),
 	}
 	c.decisions.versions.Use(tables.Versions)
-	c.decisions.admission.Update(rules.GetLimits(), len(c.live))
+	c.decisions.admission.SetLimits(rules.GetLimits(), len(c.live))
 	c.setCapacities(register)
 	c.dropBreakers(register)
 	c.publish(tables)
--- a/roles.go
+++ b/roles.go
@@ -21,7 +21,7 @@
 		return roles
 	}
 	limits := tables.Snapshot.Rules().GetLimits()
-	roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_LIMIT_COORDINATOR, d.decisions.admission.Coordinated(limits))
+	roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_LIMIT_COORDINATOR, d.decisions.admission.CoordinatedOrganisations(limits))
 	var versions, pools []string
 	for _, v := range tables.Snapshot.Register().GetVersions() {
 		versions = append(versions, v.GetName())
--- a/router/rechoose_test.go
+++ b/router/rechoose_test.go
@@ -120,7 +120,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				s := newSite(t)
-				s.Admission.Update([]*bronzeturnv1.Limit{{Organisation: "depot", DailySpendMicros: test.limit}}, 1)
+				s.Admission.SetLimits([]*bronzeturnv1.Limit{{Organisation: "depot", DailySpendMicros: test.limit}}, 1)
 				got := s.send(report)
 				if test.version != "" {
 					c.Assert(got.whole(report), qt.IsTrue, qt.Commentf("%s", got.Body))
--- a/router/refusal_test.go
+++ b/router/refusal_test.go
@@ -81,7 +81,7 @@
 		{name: "leaving", prepare: func(_ *testing.T, s *site) { s.StopAdmitting() },
 			code: failure.CodeLeaving, status: 503, retry: true},
 		{name: "limit of the organisation", prepare: func(t *testing.T, s *site) {
-			s.Admission.Update([]*bronzeturnv1.Limit{{Organisation: "depot", ConcurrentRequests: 1}}, 1)
+			s.Admission.SetLimits([]*bronzeturnv1.Limit{{Organisation: "depot", ConcurrentRequests: 1}}, 1)
 			_, err := s.Admission.Acquire(context.Background(), admission.Request{Organisation: "depot", Deadline: time.Now().Add(time.Second), Group: cheap})
 			qt.Assert(t, err, qt.IsNil)
 		}, code: failure.CodeLimitExceeded, status: 429, retry: true},
