--- a/admission/queue.go
+++ b/admission/queue.go
@@ -52,8 +52,8 @@
 	return &Item{organisation: organisation, class: classOf(priority), tokens: tokens}
 }
 
-// Latest returns when a waiting request has to be taken out and refused.
-func (it *Item) Latest() time.Time { return it.latest }
+// LatestStart returns when a waiting request has to be taken out and refused.
+func (it *Item) LatestStart() time.Time { return it.latest }
 
 // flow holds the waiting requests of one organisation in one class.
 type flow struct {
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -145,7 +145,7 @@
 		s.launch(r, r.decision.Version)
 	case admission.WaitTurn:
 		d.waiting[item] = r
-		s.after(item.Latest().Sub(s.now), func() { d.giveUp(item) })
+		s.after(item.LatestStart().Sub(s.now), func() { d.giveUp(item) })
 	case admission.Refuse:
 		s.noRoom(r)
 	}
