--- a/compiler.go
+++ b/compiler.go
@@ -106,7 +106,7 @@
 		Versions: selection.NewPlan(register, rules),
 		Engines:  c.decisions.engines.Plan(register, selected.Sees),
 	}
-	c.decisions.versions.Use(tables.Versions)
+	c.decisions.versions.SetPlan(tables.Versions)
 	c.decisions.admission.SetLimits(rules.GetLimits(), len(c.live))
 	c.setCapacities(register)
 	c.dropBreakers(register)
--- a/measure/learn.go
+++ b/measure/learn.go
@@ -59,7 +59,7 @@
 			good = draw < s.truth.quality(version, st.kind, now)
 		}
 	}
-	_, _ = s.versions.Rated(quality.Rated{
+	_, _ = s.versions.ObserveRating(quality.Rated{
 		Organisation: organisation, Version: version, Kind: st.kind, Accepted: accepted,
 		Score: s.score(organisation, good), At: now,
 	})
--- a/ratings.go
+++ b/ratings.go
@@ -61,7 +61,7 @@
 
 // judge runs the sequential test over ratings merged by this daemon.
 func (l *learning) judge(c quality.Counts, now time.Time) {
-	l.sync.Changed(c.Version, l.versions.Judge(c, now))
+	l.sync.Changed(c.Version, l.versions.EvaluateVersion(c, now))
 }
 
 // start begins to exchange and to poll.
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -224,7 +224,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	state := s.balancer.State
 	tables := &Tables{Snapshot: snapshot, Versions: selection.NewPlan(snapshot.Register(), snapshot.Rules()), Engines: state.Plan(snapshot.Register(), nil)}
-	s.Versions.Use(tables.Versions)
+	s.Versions.SetPlan(tables.Versions)
 	s.current.Store(tables)
 }
 
--- a/selection/learning_test.go
+++ b/selection/learning_test.go
@@ -65,7 +65,7 @@
 	reg, rules := tr.site()
 	plan := selection.NewPlan(reg, rules)
 	policy := selection.NewPolicy(selection.Options{}, quality.NewStore(quality.Options{}), rollout.NewController(rollout.Options{}))
-	policy.Use(plan)
+	policy.SetPlan(plan)
 	rng := rand.New(rand.NewPCG(tr.seed, 0))
 	truth := append([]float64(nil), tr.quality...)
 	var queue []lateRating
@@ -78,7 +78,7 @@
 		}
 		for len(queue) > 0 && queue[0].due <= i {
 			queue[0].event.At = now
-			if _, err := policy.Rated(queue[0].event); err != nil {
+			if _, err := policy.ObserveRating(queue[0].event); err != nil {
 				t.Fatal(err)
 			}
 			queue = queue[1:]
--- a/selection/policy.go
+++ b/selection/policy.go
@@ -50,9 +50,9 @@
 	return &Policy{options: o, quality: q, rollout: r}
 }
 
-// Use makes p the plan by which ratings are judged and takes its priors over.
+// SetPlan makes p the plan by which ratings are judged and takes its priors over.
 // Call it whenever a configuration comes into force.
-func (y *Policy) Use(p *Plan) {
+func (y *Policy) SetPlan(p *Plan) {
 	y.bind(p)
 	y.current.Store(p)
 }
@@ -105,13 +105,13 @@
 	b.rows[k*len(p.versions)+v] = r
 }
 
-// Rated is the event of one rating on a daemon that does not exchange ratings
+// ObserveRating is the event of one rating on a daemon that does not exchange ratings
 // with others: it updates the estimate and judges the version.
-func (y *Policy) Rated(e quality.Rated) (rollout.Change, error) {
+func (y *Policy) ObserveRating(e quality.Rated) (rollout.Change, error) {
 	if err := y.quality.Observe(e); err != nil {
 		return rollout.Unchanged, err
 	}
-	return y.Judge(quality.Counts{
+	return y.EvaluateVersion(quality.Counts{
 		Organisation: e.Organisation,
 		Version:      e.Version,
 		Kind:         e.Kind,
@@ -121,9 +121,9 @@
 	}, e.At), nil
 }
 
-// Judge runs the sequential test and the roll-out of a version over ratings
+// EvaluateVersion runs the sequential test and the roll-out of a version over ratings
 // that the estimates already hold. One daemon per version calls it.
-func (y *Policy) Judge(c quality.Counts, now time.Time) rollout.Change {
+func (y *Policy) EvaluateVersion(c quality.Counts, now time.Time) rollout.Change {
 	p := y.current.Load()
 	if p == nil {
 		return rollout.Unchanged
--- a/selection/property_test.go
+++ b/selection/property_test.go
@@ -71,11 +71,11 @@
 	w.quality = quality.NewStore(quality.Options{})
 	w.rollout = rollout.NewController(rollout.Options{})
 	w.policy = selection.NewPolicy(selection.Options{ExploreShare: 0.5}, w.quality, w.rollout)
-	w.policy.Use(w.plan())
+	w.policy.SetPlan(w.plan())
 	for _, v := range w.reg.Versions {
 		score := rapid.Float64Range(0, 1).Draw(t, "score")
 		for i := range rapid.IntRange(0, 40).Draw(t, "ratings") {
-			_, err := w.policy.Rated(quality.Rated{
+			_, err := w.policy.ObserveRating(quality.Rated{
 				Organisation: fmt.Sprintf("o%d", i%3), Version: v.Name, Kind: "quick", Score: score, At: start,
 			})
 			if err != nil {
--- a/selection/rollout_test.go
+++ b/selection/rollout_test.go
@@ -40,7 +40,7 @@
 func newFixture(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules, o rollout.Options) *fixture {
 	f := &fixture{plan: selection.NewPlan(reg, rules), rollout: rollout.NewController(o), now: start}
 	f.policy = selection.NewPolicy(selection.Options{}, quality.NewStore(quality.Options{}), f.rollout)
-	f.policy.Use(f.plan)
+	f.policy.SetPlan(f.plan)
 	return f
 }
 
@@ -49,7 +49,7 @@
 func (f *fixture) rate(t *testing.T, version string, score float64, n int) {
 	t.Helper()
 	for i := range n {
-		change, err := f.policy.Rated(quality.Rated{
+		change, err := f.policy.ObserveRating(quality.Rated{
 			Organisation: []string{"workshop", "depot"}[i%2], Version: version, Kind: "quick", Score: score, At: f.now,
 		})
 		qt.Assert(t, err, qt.IsNil)
