--- a/measure/policy.go
+++ b/measure/policy.go
@@ -77,7 +77,7 @@
 	}
 	request := selection.Request{
 		Organisation: r.organisation, Kind: r.kind.GetName(), Key: r.key, InConversation: r.conversation != nil,
-		PromptTokens: r.prompt, Deadline: r.deadline, Tried: r.noRoom,
+		PromptTokens: r.prompt, Deadline: r.deadline, FailedVersions: r.noRoom,
 	}
 	if r.conversation != nil {
 		request.Constraint = r.conversation.version
--- a/selection/bench_test.go
+++ b/selection/bench_test.go
@@ -52,7 +52,7 @@
 	policy := newPolicy()
 	rng := newRand(1)
 	for _, kind := range []string{"quick", "report"} {
-		request := selection.Request{Organisation: "organisation-1", Kind: kind, Key: "request", PromptTokens: 500, Tried: []string{"model-1@1"}}
+		request := selection.Request{Organisation: "organisation-1", Kind: kind, Key: "request", PromptTokens: 500, FailedVersions: []string{"model-1@1"}}
 		allocs := testing.AllocsPerRun(1000, func() {
 			if _, err := policy.Choose(plan, &request, start, rng); err != nil {
 				t.Fatal(err)
--- a/selection/candidate.go
+++ b/selection/candidate.go
@@ -26,7 +26,7 @@
 	if r.contextTokens > 0 && c.request.PromptTokens+c.tokens(v) > r.contextTokens {
 		return false
 	}
-	return len(c.request.Tried) == 0 || !c.tried(c.plan.versions[v].name)
+	return len(c.request.FailedVersions) == 0 || !c.tried(c.plan.versions[v].name)
 }
 
 // introduced tells whether a roll-out introduces the version.
@@ -35,7 +35,7 @@
 func (c *choice) gate(v int) rollout.Gate { return c.rows[v].track.GateAt(c.nanos) }
 
 func (c *choice) tried(name string) bool {
-	for _, t := range c.request.Tried {
+	for _, t := range c.request.FailedVersions {
 		if t == name {
 			return true
 		}
--- a/selection/selection.go
+++ b/selection/selection.go
@@ -59,8 +59,8 @@
 	ExpectedCompletionTokens int64
 	// Deadline is when the answer is due. The zero time means never.
 	Deadline time.Time
-	// Tried are the versions that already failed this request.
-	Tried []string
+	// FailedVersions are the versions that already failed this request.
+	FailedVersions []string
 	// SpendLimited tells whether SpendLeftMicros applies.
 	SpendLimited    bool
 	SpendLeftMicros int64
--- a/selection/selection_test.go
+++ b/selection/selection_test.go
@@ -121,11 +121,11 @@
 		version: "small@1", reason: selection.ReasonBestAvailable,
 	}, {
 		name:    "tried versions are passed over",
-		request: selection.Request{Organisation: "workshop", Kind: "quick", Tried: []string{"small@2"}},
+		request: selection.Request{Organisation: "workshop", Kind: "quick", FailedVersions: []string{"small@2"}},
 		version: "large@1",
 	}, {
 		name:    "nothing is left after all were tried",
-		request: selection.Request{Organisation: "kiosk", Kind: "quick", Tried: []string{"small@1"}},
+		request: selection.Request{Organisation: "kiosk", Kind: "quick", FailedVersions: []string{"small@1"}},
 		code:    failure.CodeNoCapacity,
 	}, {
 		name:    "the spend limit rules out dear versions",
