--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -119,11 +119,11 @@
 		if g.SlowStarts.Passed(engine, now) {
 			return true
 		}
-		if !t.homes.Bound {
+		if !t.homes.Restricted {
 			return false
 		}
 		e, known := engines.View.Engine(engine)
-		return !known || !t.homes.Allow(g.Regions[e.DataCentre])
+		return !known || !t.homes.Allows(g.Regions[e.DataCentre])
 	}
 }
 
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -44,7 +44,7 @@
 	organisation string
 	priority     int
 	// homes are where it may be worked on.
-	homes   route.Homes
+	homes   route.AllowedRegions
 	service string
 	// backend is the service's entry in the configuration, nil for none; ranked
 	// tells that its engines run language models.
@@ -156,7 +156,7 @@
 
 // authenticate finds the organisation that holds the key.
 func (g *Gateway) authenticate(q *request) *failure.Error {
-	q.homes = route.HomesFor(q.route, nil)
+	q.homes = route.AllowedRegionsFor(q.route, nil)
 	if q.route.Anonymous || !q.tables.Routes.NeedsKeys() {
 		return nil
 	}
@@ -165,7 +165,7 @@
 		return g.unknown(failure.CodeUnauthenticated, "the key is missing or not valid")
 	}
 	q.organisation = org.Name
-	q.homes = route.HomesFor(q.route, org)
+	q.homes = route.AllowedRegionsFor(q.route, org)
 	if org.HasPriority {
 		q.priority = org.Priority
 	}
--- a/route/homes.go
+++ b/route/homes.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Homes are the regions that a request may be worked on in. The zero value allows all.
-type Homes struct {
-	// Bound tells that only Regions are allowed; with none of them, nowhere is.
-	Bound   bool
+// AllowedRegions are the regions that a request may be worked on in. The zero value allows all.
+type AllowedRegions struct {
+	// Restricted tells that only Regions are allowed; with none of them, nowhere is.
+	Restricted   bool
 	Regions []string
 }
 
-// Allow tells whether a region is among the homes.
-func (h Homes) Allow(region string) bool { return !h.Bound || slices.Contains(h.Regions, region) }
+// Allows tells whether a region is among the homes.
+func (h AllowedRegions) Allows(region string) bool { return !h.Restricted || slices.Contains(h.Regions, region) }
 
 // homesOf returns the homes that a configuration lists, where none means all.
-func homesOf(regions []string) Homes { return Homes{Bound: len(regions) > 0, Regions: regions} }
+func homesOf(regions []string) AllowedRegions { return AllowedRegions{Restricted: len(regions) > 0, Regions: regions} }
 
-// HomesFor returns where a route's requests of an organisation, nil for none, may be worked
+// AllowedRegionsFor returns where a route's requests of an organisation, nil for none, may be worked
 // on: where both have homes, both bind.
-func HomesFor(r *Route, o *Organisation) Homes {
+func AllowedRegionsFor(r *Route, o *Organisation) AllowedRegions {
 	homes := homesOf(r.Homes)
 	if o == nil || len(o.Homes) == 0 {
 		return homes
 	}
-	if !homes.Bound {
+	if !homes.Restricted {
 		return homesOf(o.Homes)
 	}
-	both := Homes{Bound: true}
+	both := AllowedRegions{Restricted: true}
 	for _, region := range r.Homes {
 		if slices.Contains(o.Homes, region) {
 			both.Regions = append(both.Regions, region)
