--- a/route/homes.go
+++ b/route/homes.go
@@ -18,16 +18,16 @@
 // AllowedRegionsFor returns where a route's requests of an organisation, nil for none, may be worked
 // on: where both have homes, both bind.
 func AllowedRegionsFor(r *Route, o *Organisation) AllowedRegions {
-	homes := homesOf(r.Homes)
-	if o == nil || len(o.Homes) == 0 {
+	homes := homesOf(r.HomeRegions)
+	if o == nil || len(o.HomeRegions) == 0 {
 		return homes
 	}
 	if !homes.Restricted {
-		return homesOf(o.Homes)
+		return homesOf(o.HomeRegions)
 	}
 	both := AllowedRegions{Restricted: true}
-	for _, region := range r.Homes {
-		if slices.Contains(o.Homes, region) {
+	for _, region := range r.HomeRegions {
+		if slices.Contains(o.HomeRegions, region) {
 			both.Regions = append(both.Regions, region)
 		}
 	}
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -18,10 +18,10 @@
 		{[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
 		{[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
-		homes := AllowedRegionsFor(&Route{Homes: test.route}, &Organisation{Homes: test.organisation})
+		homes := AllowedRegionsFor(&Route{HomeRegions: test.route}, &Organisation{HomeRegions: test.organisation})
 		for region, want := range test.allowed {
 			c.Check(homes.Allows(region), qt.Equals, want, qt.Commentf("%v %v in %q", test.route, test.organisation, region))
 		}
 	}
-	c.Check(AllowedRegionsFor(&Route{Homes: []string{"a"}}, nil).Allows("b"), qt.IsFalse)
+	c.Check(AllowedRegionsFor(&Route{HomeRegions: []string{"a"}}, nil).Allows("b"), qt.IsFalse)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -70,8 +70,8 @@
 	Anonymous bool
 	// Resumable streams may go on at another engine.
 	Resumable bool
-	// Homes are the regions whose engines may work on the requests; none means all.
-	Homes []string
+	// HomeRegions are the regions whose engines may work on the requests; none means all.
+	HomeRegions []string
 	// Models are what the request may be run on, the smallest first. Empty means
 	// that the request itself names the model.
 	Models []string
@@ -120,8 +120,8 @@
 type Organisation struct {
 	Name string
 	Keys []string
-	// Homes are the regions whose engines may work on its requests; none means all.
-	Homes []string
+	// HomeRegions are the regions whose engines may work on its requests; none means all.
+	HomeRegions []string
 	// Priority replaces that of the route when HasPriority is set.
 	Priority    int
 	HasPriority bool
