--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -157,7 +157,7 @@
 func (t *task) balanceRequest(dataCentre string, engines *Engines, models *ModelChoice) *balance.Request {
 	r := &balance.Request{
 		Version: t.group, DataCentre: dataCentre, Work: t.work(models),
-		PrefixHash: t.prefixHash, PrefixWorth: time.Duration(t.prefixTokens) * prefixTokenWorth, NoProbe: t.route.Kind == route.Once,
+		PrefixHash: t.prefixHash, PrefixWorth: time.Duration(t.prefixTokens) * prefixTokenWorth, NoProbe: t.route.Kind == route.AtMostOnce,
 	}
 	if home, ok := engines.home(t.group, t.prefix, t.prefixHomes, t.session); ok {
 		r.Homes[0] = home
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -247,7 +247,7 @@
 
 // chooseService divides the requests of a route among its services.
 func (g *Gateway) chooseService(q *request) {
-	q.service = q.route.Pick(g.random())
+	q.service = q.route.PickService(g.random())
 	if s, ok := q.tables.Routes.Service(q.service); ok {
 		q.backend, q.ranked = s, s.Slots > 0
 	}
--- a/gateway/weight_test.go
+++ b/gateway/weight_test.go
@@ -39,7 +39,7 @@
 
 // simService has the prices of the users' smallest and largest size.
 var simService = route.Service{
-	Name: "s", Slots: 48, Tightest: time.Second,
+	Name: "s", Slots: 48, ShortestTarget: time.Second,
 	Models: []route.Model{{Name: "small", Cost: 0.019}, {Name: "large", Cost: 0.29}},
 }
 
--- a/gateway/worth.go
+++ b/gateway/worth.go
@@ -73,8 +73,8 @@
 // who can wait twice as long for an answer of the same size loses less by it. It keeps
 // small tags with a wide target from the large model.
 func urgency(r *route.Route, s *route.Service) float64 {
-	if r.Target <= 0 || s.Tightest <= 0 {
+	if r.Target <= 0 || s.ShortestTarget <= 0 {
 		return 1
 	}
-	return min(s.Tightest.Seconds()/r.Target.Seconds(), 1)
+	return min(s.ShortestTarget.Seconds()/r.Target.Seconds(), 1)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -19,8 +19,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota + 1
-	// Once marks requests that run at most once.
-	Once
+	// AtMostOnce marks requests that run at most once.
+	AtMostOnce
 	// Stream requests are answered with a series of events and run at most once,
 	// unless the route is resumable.
 	Stream
@@ -31,7 +31,7 @@
 	switch k {
 	case Idempotent:
 		return "idempotent"
-	case Once:
+	case AtMostOnce:
 		return "once"
 	case Stream:
 		return "stream"
@@ -102,9 +102,9 @@
 	// requests a second it bears then. Zero means that it bears any number.
 	ColdFor       time.Duration
 	ColdPerSecond float64
-	// Tightest is the shortest target among the routes that lead here and leave the
+	// ShortestTarget is the shortest target among the routes that lead here and leave the
 	// size open, zero when none states one. Compile fills it in.
-	Tightest time.Duration
+	ShortestTarget time.Duration
 }
 
 // LargestCost returns the price of the dearest size, zero when none has a price.
@@ -230,8 +230,8 @@
 func (t *Table) tighten(r *Route) {
 	for _, share := range r.Shares {
 		s, ok := t.services[share.Service]
-		if ok && (s.Tightest == 0 || r.Target < s.Tightest) {
-			s.Tightest = r.Target
+		if ok && (s.ShortestTarget == 0 || r.Target < s.ShortestTarget) {
+			s.ShortestTarget = r.Target
 		}
 	}
 }
@@ -265,8 +265,8 @@
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
 
-// Pick returns the service for a request by its point in [0, 1).
-func (r *Route) Pick(point float64) string {
+// PickService returns the service for a request by its point in [0, 1).
+func (r *Route) PickService(point float64) string {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -12,7 +12,7 @@
 	return Config{
 		Version: 7,
 		Routes: []Route{
-			{Name: "all", Host: "a.example", Prefix: "/", Kind: Once, Shares: share},
+			{Name: "all", Host: "a.example", Prefix: "/", Kind: AtMostOnce, Shares: share},
 			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Kind: Stream, Shares: share},
 			{Name: "near", Host: "A.example", Prefix: "/x/", Kind: Idempotent, Shares: share},
 		},
@@ -69,18 +69,18 @@
 	r := Route{Shares: []Share{{"a", 90}, {"none", 0}, {"b", 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[r.Pick(float64(i)/1000)]++
+		counts[r.PickService(float64(i)/1000)]++
 	}
 	c.Check(counts, qt.DeepEquals, map[string]int{"a": 900, "b": 100})
 	weightless := Route{Shares: []Share{{"a", 0}, {"b", 0}}}
-	c.Check(weightless.Pick(0.9), qt.Equals, "a")
+	c.Check(weightless.PickService(0.9), qt.Equals, "a")
 }
 
 func TestOnlyIdempotentAndResumableWorkMayRunAgain(t *testing.T) {
 	c := qt.New(t)
 	c.Check((&Route{Kind: Idempotent}).Repeatable(), qt.IsTrue)
-	c.Check((&Route{Kind: Once}).Repeatable(), qt.IsFalse)
+	c.Check((&Route{Kind: AtMostOnce}).Repeatable(), qt.IsFalse)
 	c.Check((&Route{Kind: Stream}).Repeatable(), qt.IsFalse)
 	c.Check((&Route{Kind: Stream, Resumable: true}).Repeatable(), qt.IsTrue)
-	c.Check((&Route{Kind: Once, Resumable: true}).Repeatable(), qt.IsFalse)
+	c.Check((&Route{Kind: AtMostOnce, Resumable: true}).Repeatable(), qt.IsFalse)
 }
