--- a/entry/load.go
+++ b/entry/load.go
@@ -54,7 +54,7 @@
 	now = time.Now()
 	for _, a := range answers {
 		b.OthersReported(balance.OthersReported{
-			Engine: a.Engine, Requests: a.Work.Requests, Tokens: a.Work.Tokens + gateway.WorkOf(a.Work.Late), At: now,
+			Engine: a.Engine, Requests: a.Work.Requests, Tokens: a.Work.Tokens + gateway.WorkOf(a.Work.Delay), At: now,
 		})
 	}
 	again := *r
--- a/occupancy/book.go
+++ b/occupancy/book.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// Work is what daemons have in progress at one engine.
-type Work struct {
+// Load is what daemons have in progress at one engine.
+type Load struct {
 	Requests, Tokens int64
-	// Late is how much later than expected the engine began an answer lately.
-	Late time.Duration
+	// Delay is how much later than expected the engine began an answer lately.
+	Delay time.Duration
 }
 
 const (
@@ -46,7 +46,7 @@
 
 // entry is what one daemon told last.
 type entry struct {
-	work     Work
+	work     Load
 	sequence uint64
 	at       time.Time
 }
@@ -63,7 +63,7 @@
 func (b *Book) shard(engine uint32) *shard { return &b.shards[engine%bookShards] }
 
 // Tell takes in a daemon's work at an engine, unless a later word is known.
-func (b *Book) Tell(daemon string, sequence uint64, engine uint32, w Work, now time.Time) {
+func (b *Book) Tell(daemon string, sequence uint64, engine uint32, w Load, now time.Time) {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +72,8 @@
 		a = &account{byDaemon: make(map[string]entry)}
 		s.accounts[engine] = a
 	}
-	if w.Late > a.lateLeft(now) {
-		a.late, a.lateAt = w.Late, now
+	if w.Delay > a.lateLeft(now) {
+		a.late, a.lateAt = w.Delay, now
 	}
 	if a.byDaemon[daemon].sequence > sequence {
 		return
@@ -82,15 +82,15 @@
 }
 
 // Others returns the work of all daemons but one at an engine.
-func (b *Book) Others(daemon string, engine uint32, now time.Time) Work {
+func (b *Book) Others(daemon string, engine uint32, now time.Time) Load {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.accounts[engine]
 	if a == nil {
-		return Work{}
+		return Load{}
 	}
-	sum := Work{Late: a.lateLeft(now)}
+	sum := Load{Delay: a.lateLeft(now)}
 	for name, e := range a.byDaemon {
 		if name == daemon || now.Sub(e.at) > keepFor {
 			continue
--- a/occupancy/occupancy_test.go
+++ b/occupancy/occupancy_test.go
@@ -38,7 +38,7 @@
 func TestBookAddsUpTheLastWordOfEachDaemon(t *testing.T) {
 	type word struct {
 		sequence uint64
-		work     Work
+		work     Load
 		at       time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,7 +48,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			daemon := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "daemon")
-			w := word{uint64(rapid.IntRange(1, 40).Draw(t, "sequence")), Work{Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests")), Tokens: 7}, now}
+			w := word{uint64(rapid.IntRange(1, 40).Draw(t, "sequence")), Load{Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests")), Tokens: 7}, now}
 			b.Tell(daemon, w.sequence, 5, w.work, now)
 			if w.sequence >= last[daemon].sequence {
 				last[daemon] = w
@@ -61,7 +61,7 @@
 					}
 				}
 			}
-			want := Work{}
+			want := Load{}
 			for daemon, w := range last {
 				if daemon != "a" && now.Sub(w.at) <= keepFor {
 					want.Requests += w.work.Requests
@@ -78,12 +78,12 @@
 func TestDelaysFade(t *testing.T) {
 	c := qt.New(t)
 	b := NewBook()
-	b.Tell("a", 1, 5, Work{Requests: 1, Late: time.Second}, start)
-	c.Check(b.Others("b", 5, start).Late, qt.Equals, time.Second)
-	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Late, qt.Equals, 500*time.Millisecond)
-	b.Tell("c", 2, 5, Work{Late: 100 * time.Millisecond}, start.Add(lateFor/2))
-	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Late, qt.Equals, 500*time.Millisecond)
-	c.Check(b.Others("b", 5, start.Add(lateFor)).Late, qt.Equals, time.Duration(0))
+	b.Tell("a", 1, 5, Load{Requests: 1, Delay: time.Second}, start)
+	c.Check(b.Others("b", 5, start).Delay, qt.Equals, time.Second)
+	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
+	b.Tell("c", 2, 5, Load{Delay: 100 * time.Millisecond}, start.Add(lateFor/2))
+	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
+	c.Check(b.Others("b", 5, start.Add(lateFor)).Delay, qt.Equals, time.Duration(0))
 	b.Expire(start.Add(2 * keepFor))
 	c.Check(b.shard(5).accounts, qt.HasLen, 0)
 }
@@ -91,10 +91,10 @@
 // own is a daemon's work that a test sets.
 type own struct {
 	mu   sync.Mutex
-	work map[string]Work
+	work map[string]Load
 }
 
-func (o *own) set(engine string, w Work) {
+func (o *own) set(engine string, w Load) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.work[engine] = w
@@ -154,7 +154,7 @@
 // newSharer returns the sharer of a daemon whose engines are all in the care of one
 // keeper.
 func newSharer(name, keeper string, to *direct) (*Sharer, *own) {
-	o := &own{work: make(map[string]Work)}
+	o := &own{work: make(map[string]Load)}
 	return New(Options{
 		Self: name, Keeper: func(string) string { return keeper },
 		Client:   func(string) bronzeturnv1connect.OccupancyServiceClient { return to },
@@ -168,12 +168,12 @@
 		to := newDirect()
 		a, work := newSharer("a", "keeper", to)
 		b, _ := newSharer("b", "keeper", to)
-		work.set("e", Work{Requests: 2, Tokens: 30})
+		work.set("e", Load{Requests: 2, Tokens: 30})
 		ctx, cancel := context.WithCancel(t.Context())
 		a.Sent(ctx, "e")
 		synctest.Wait()
 		c.Check(b.Ask(ctx, []string{"e", "other"}), qt.DeepEquals, []Answer{
-			{Engine: "e", Work: Work{Requests: 2, Tokens: 30}}, {Engine: "other"},
+			{Engine: "e", Work: Load{Requests: 2, Tokens: 30}}, {Engine: "other"},
 		})
 		c.Check(a.Ask(ctx, []string{"e"}), qt.DeepEquals, []Answer{{Engine: "e"}}, qt.Commentf("own work is not counted"))
 		done := make(chan error, 1)
@@ -181,10 +181,10 @@
 		to.book.Store(NewBook()) // as of a keeper that has just taken over
 		time.Sleep(refreshInterval + 2*tellInterval)
 		c.Check(b.Ask(ctx, []string{"e"})[0].Work.Requests, qt.Equals, int64(2))
-		work.set("e", Work{})
+		work.set("e", Load{})
 		a.Changed("e")
 		time.Sleep(2 * tellInterval)
-		c.Check(b.Ask(ctx, []string{"e"})[0].Work, qt.Equals, Work{})
+		c.Check(b.Ask(ctx, []string{"e"})[0].Work, qt.Equals, Load{})
 		before := to.calls.Load()
 		work.forget()
 		time.Sleep(10 * refreshInterval)
@@ -228,10 +228,10 @@
 	c := qt.New(t)
 	to := newDirect()
 	a, work := newSharer("a", "a", to)
-	work.set("e", Work{Requests: 1, Tokens: 5})
+	work.set("e", Load{Requests: 1, Tokens: 5})
 	a.Sent(t.Context(), "e")
-	c.Check(to.book.Load().Others("b", hash("e"), time.Now()), qt.Equals, Work{Requests: 1, Tokens: 5})
-	to.book.Load().Tell("b", 1, hash("e"), Work{Requests: 4}, time.Now())
+	c.Check(to.book.Load().Others("b", hash("e"), time.Now()), qt.Equals, Load{Requests: 1, Tokens: 5})
+	to.book.Load().Tell("b", 1, hash("e"), Load{Requests: 4}, time.Now())
 	c.Check(a.Ask(t.Context(), []string{"e"})[0].Work.Requests, qt.Equals, int64(4))
 	c.Check(to.calls.Load(), qt.Equals, int64(0))
 }
@@ -243,7 +243,7 @@
 	server := httptest.NewServer(handler)
 	defer server.Close()
 	client := bronzeturnv1connect.NewOccupancyServiceClient(server.Client(), server.URL)
-	book.Tell("b", 1, 7, Work{Requests: 3, Tokens: 9, Late: time.Second}, time.Now())
+	book.Tell("b", 1, 7, Load{Requests: 3, Tokens: 9, Delay: time.Second}, time.Now())
 	answer, err := client.Share(t.Context(), connect.NewRequest(&bronzeturnv1.ShareRequest{
 		Daemon: "a", Sequence: 1, Own: []*bronzeturnv1.EngineLoad{{Engine: 7, Requests: 1}}, Asked: []uint32{7, 8},
 	}))
--- a/occupancy/server.go
+++ b/occupancy/server.go
@@ -27,7 +27,7 @@
 	for _, engine := range m.GetAsked() {
 		w := b.Others(m.GetDaemon(), engine, now)
 		others = append(others, &bronzeturnv1.EngineLoad{
-			Engine: engine, Requests: uint32(w.Requests), Tokens: uint32(w.Tokens), LateMs: uint32(w.Late.Milliseconds()),
+			Engine: engine, Requests: uint32(w.Requests), Tokens: uint32(w.Tokens), LateMs: uint32(w.Delay.Milliseconds()),
 		})
 	}
 	return others
--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -246,7 +246,7 @@
 // Answer is the others' work at one engine.
 type Answer struct {
 	Engine string
-	Work   Work
+	Work   Load
 }
 
 // Ask returns the others' work at the engines whose keepers answer in time.
@@ -291,9 +291,9 @@
 	return answers
 }
 
-func workOf(m *bronzeturnv1.EngineLoad) Work {
-	return Work{
+func workOf(m *bronzeturnv1.EngineLoad) Load {
+	return Load{
 		Requests: int64(m.GetRequests()), Tokens: int64(m.GetTokens()),
-		Late: time.Duration(m.GetLateMs()) * time.Millisecond,
+		Delay: time.Duration(m.GetLateMs()) * time.Millisecond,
 	}
 }
