--- a/entry/entry.go
+++ b/entry/entry.go
@@ -136,7 +136,7 @@
 	// shared is the balancer with the work of all daemons, book the counts that this
 	// daemon keeps for the others.
 	shared  *sharedBalancer
-	book    *occupancy.Book
+	book    *occupancy.Store
 	servers *servers
 
 	tables atomic.Pointer[gateway.Tables]
@@ -155,7 +155,7 @@
 
 // New provisions a daemon and opens its listeners. Nothing is served before Run.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{Options: o, registry: prometheus.NewRegistry(), seed: process.Seed(), started: time.Now(), book: occupancy.NewBook()}
+	d := &Daemon{Options: o, registry: prometheus.NewRegistry(), seed: process.Seed(), started: time.Now(), book: occupancy.NewStore()}
 	backoff.SetPhase(time.Duration(rand.New(rand.NewPCG(d.seed, randTickPhase)).Int64N(int64(time.Second))))
 	d.Store = newCountedStore(o.Store, d.registry)
 	d.current.Store(&o.Settings)
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -118,7 +118,7 @@
 	mux.Handle(gossip.NewHandler(f.members.Table()))
 	mux.Handle(bronzeturnv1connect.NewFollowServiceHandler(pullServer{f.daemon}, peer.HandlerOptions()...))
 	mux.Handle(bronzeturnv1connect.NewTallyServiceHandler(tallyServer{f.daemon}, peer.HandlerOptions()...))
-	mux.Handle(bronzeturnv1connect.NewOccupancyServiceHandler(occupancy.Server{Book: f.daemon.book}, peer.HandlerOptions()...))
+	mux.Handle(bronzeturnv1connect.NewOccupancyServiceHandler(occupancy.Server{Store: f.daemon.book}, peer.HandlerOptions()...))
 	return mux
 }
 
--- a/entry/load.go
+++ b/entry/load.go
@@ -32,7 +32,7 @@
 	return &sharedBalancer{daemon: d, State: d.balancer, sharer: occupancy.New(occupancy.Options{
 		Self: d.Settings.Name, Keeper: keepers.of, Client: d.fleet.occupancyOf,
 		InFlight: d.balancer.OwnLoad, EachInFlight: d.balancer.InFlight,
-		Book: d.book, Log: d.part("occupancy"), Registerer: d.registry,
+		Store: d.book, Log: d.part("occupancy"), Registerer: d.registry,
 	})}
 }
 
--- a/occupancy/book.go
+++ b/occupancy/book.go
@@ -28,9 +28,9 @@
 	bookShards = 16
 )
 
-// Book holds the counts of the engines in this daemon's care. It is safe for
+// Store holds the counts of the engines in this daemon's care. It is safe for
 // concurrent use.
-type Book struct{ shards [bookShards]shard }
+type Store struct{ shards [bookShards]shard }
 
 type shard struct {
 	mu       sync.Mutex
@@ -51,19 +51,19 @@
 	at       time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book {
-	b := &Book{}
+// NewStore returns an empty book.
+func NewStore() *Store {
+	b := &Store{}
 	for i := range b.shards {
 		b.shards[i].accounts = make(map[uint32]*account)
 	}
 	return b
 }
 
-func (b *Book) shard(engine uint32) *shard { return &b.shards[engine%bookShards] }
+func (b *Store) shard(engine uint32) *shard { return &b.shards[engine%bookShards] }
 
-// Tell takes in a daemon's work at an engine, unless a later word is known.
-func (b *Book) Tell(daemon string, sequence uint64, engine uint32, w Load, now time.Time) {
+// Record takes in a daemon's work at an engine, unless a later word is known.
+func (b *Store) Record(daemon string, sequence uint64, engine uint32, w Load, now time.Time) {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,8 +81,8 @@
 	a.byDaemon[daemon] = entry{work: w, sequence: sequence, at: now}
 }
 
-// Others returns the work of all daemons but one at an engine.
-func (b *Book) Others(daemon string, engine uint32, now time.Time) Load {
+// LoadOfOthers returns the work of all daemons but one at an engine.
+func (b *Store) LoadOfOthers(daemon string, engine uint32, now time.Time) Load {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // Expire forgets what no daemon has told of lately.
-func (b *Book) Expire(now time.Time) {
+func (b *Store) Expire(now time.Time) {
 	for i := range b.shards {
 		b.shards[i].expire(now)
 	}
--- a/occupancy/occupancy_test.go
+++ b/occupancy/occupancy_test.go
@@ -42,14 +42,14 @@
 		at       time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewStore()
 		last := map[string]word{}
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			daemon := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "daemon")
 			w := word{uint64(rapid.IntRange(1, 40).Draw(t, "sequence")), Load{Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests")), Tokens: 7}, now}
-			b.Tell(daemon, w.sequence, 5, w.work, now)
+			b.Record(daemon, w.sequence, 5, w.work, now)
 			if w.sequence >= last[daemon].sequence {
 				last[daemon] = w
 			}
@@ -68,7 +68,7 @@
 					want.Tokens += w.work.Tokens
 				}
 			}
-			if got := b.Others("a", 5, now); got != want {
+			if got := b.LoadOfOthers("a", 5, now); got != want {
 				t.Fatalf("%+v, want %+v", got, want)
 			}
 		}
@@ -77,13 +77,13 @@
 
 func TestDelaysFade(t *testing.T) {
 	c := qt.New(t)
-	b := NewBook()
-	b.Tell("a", 1, 5, Load{Requests: 1, Delay: time.Second}, start)
-	c.Check(b.Others("b", 5, start).Delay, qt.Equals, time.Second)
-	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
-	b.Tell("c", 2, 5, Load{Delay: 100 * time.Millisecond}, start.Add(lateFor/2))
-	c.Check(b.Others("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
-	c.Check(b.Others("b", 5, start.Add(lateFor)).Delay, qt.Equals, time.Duration(0))
+	b := NewStore()
+	b.Record("a", 1, 5, Load{Requests: 1, Delay: time.Second}, start)
+	c.Check(b.LoadOfOthers("b", 5, start).Delay, qt.Equals, time.Second)
+	c.Check(b.LoadOfOthers("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
+	b.Record("c", 2, 5, Load{Delay: 100 * time.Millisecond}, start.Add(lateFor/2))
+	c.Check(b.LoadOfOthers("b", 5, start.Add(lateFor/2)).Delay, qt.Equals, 500*time.Millisecond)
+	c.Check(b.LoadOfOthers("b", 5, start.Add(lateFor)).Delay, qt.Equals, time.Duration(0))
 	b.Expire(start.Add(2 * keepFor))
 	c.Check(b.shard(5).accounts, qt.HasLen, 0)
 }
@@ -123,7 +123,7 @@
 
 // direct calls a book without a network.
 type direct struct {
-	book  atomic.Pointer[Book]
+	book  atomic.Pointer[Store]
 	calls atomic.Int64
 	err   error
 	delay time.Duration
@@ -131,7 +131,7 @@
 
 func newDirect() *direct {
 	d := &direct{}
-	d.book.Store(NewBook())
+	d.book.Store(NewStore())
 	return d
 }
 
@@ -158,7 +158,7 @@
 	return New(Options{
 		Self: name, Keeper: func(string) string { return keeper },
 		Client:   func(string) bronzeturnv1connect.OccupancyServiceClient { return to },
-		InFlight: o.at, EachInFlight: o.each, Book: to.book.Load(), Log: zerolog.Nop(), Registerer: prometheus.NewRegistry(),
+		InFlight: o.at, EachInFlight: o.each, Store: to.book.Load(), Log: zerolog.Nop(), Registerer: prometheus.NewRegistry(),
 	}), o
 }
 
@@ -178,7 +178,7 @@
 		c.Check(a.Ask(ctx, []string{"e"}), qt.DeepEquals, []Answer{{Engine: "e"}}, qt.Commentf("own work is not counted"))
 		done := make(chan error, 1)
 		go func() { done <- a.Run(ctx) }()
-		to.book.Store(NewBook()) // as of a keeper that has just taken over
+		to.book.Store(NewStore()) // as of a keeper that has just taken over
 		time.Sleep(refreshInterval + 2*tellInterval)
 		c.Check(b.Ask(ctx, []string{"e"})[0].Work.Requests, qt.Equals, int64(2))
 		work.set("e", Load{})
@@ -217,7 +217,7 @@
 		c.Check(a.Ask(t.Context(), []string{"e"}), qt.HasLen, 1)
 		c.Check(count(outcomeAnswered), qt.Equals, 1.0)
 		c.Check(a.failing, qt.HasLen, 0)
-		none := New(Options{Self: "a", Keeper: func(string) string { return "" }, Book: NewBook(), Registerer: prometheus.NewRegistry()})
+		none := New(Options{Self: "a", Keeper: func(string) string { return "" }, Store: NewStore(), Registerer: prometheus.NewRegistry()})
 		none.Sent(t.Context(), "e")
 		none.Late("e", time.Second)
 		c.Check(none.Ask(t.Context(), []string{"e"}), qt.HasLen, 0)
@@ -230,25 +230,25 @@
 	a, work := newSharer("a", "a", to)
 	work.set("e", Load{Requests: 1, Tokens: 5})
 	a.Sent(t.Context(), "e")
-	c.Check(to.book.Load().Others("b", hash("e"), time.Now()), qt.Equals, Load{Requests: 1, Tokens: 5})
-	to.book.Load().Tell("b", 1, hash("e"), Load{Requests: 4}, time.Now())
+	c.Check(to.book.Load().LoadOfOthers("b", hash("e"), time.Now()), qt.Equals, Load{Requests: 1, Tokens: 5})
+	to.book.Load().Record("b", 1, hash("e"), Load{Requests: 4}, time.Now())
 	c.Check(a.Ask(t.Context(), []string{"e"})[0].Work.Requests, qt.Equals, int64(4))
 	c.Check(to.calls.Load(), qt.Equals, int64(0))
 }
 
 func TestOverTheWire(t *testing.T) {
 	c := qt.New(t)
-	book := NewBook()
+	book := NewStore()
 	_, handler := bronzeturnv1connect.NewOccupancyServiceHandler(Server{book})
 	server := httptest.NewServer(handler)
 	defer server.Close()
 	client := bronzeturnv1connect.NewOccupancyServiceClient(server.Client(), server.URL)
-	book.Tell("b", 1, 7, Load{Requests: 3, Tokens: 9, Delay: time.Second}, time.Now())
+	book.Record("b", 1, 7, Load{Requests: 3, Tokens: 9, Delay: time.Second}, time.Now())
 	answer, err := client.Share(t.Context(), connect.NewRequest(&bronzeturnv1.ShareRequest{
 		Daemon: "a", Sequence: 1, Own: []*bronzeturnv1.EngineLoad{{Engine: 7, Requests: 1}}, Asked: []uint32{7, 8},
 	}))
 	c.Assert(err, qt.IsNil)
 	c.Assert(answer.Msg.GetOthers(), qt.HasLen, 2)
 	c.Check(answer.Msg.GetOthers()[0].GetRequests(), qt.Equals, uint32(3))
-	c.Check(book.Others("b", 7, time.Now()).Requests, qt.Equals, int64(1))
+	c.Check(book.LoadOfOthers("b", 7, time.Now()).Requests, qt.Equals, int64(1))
 }
--- a/occupancy/server.go
+++ b/occupancy/server.go
@@ -10,22 +10,22 @@
 )
 
 // Server answers other daemons from a book.
-type Server struct{ Book *Book }
+type Server struct{ Store *Store }
 
 // Share implements bronzeturnv1connect.OccupancyServiceHandler.
 func (s Server) Share(_ context.Context, r *connect.Request[bronzeturnv1.ShareRequest]) (*connect.Response[bronzeturnv1.ShareResponse], error) {
-	return connect.NewResponse(&bronzeturnv1.ShareResponse{Others: s.Book.exchange(r.Msg, time.Now())}), nil
+	return connect.NewResponse(&bronzeturnv1.ShareResponse{Others: s.Store.exchange(r.Msg, time.Now())}), nil
 }
 
 // exchange takes in a daemon's work and returns the others' at the engines asked
 // for.
-func (b *Book) exchange(m *bronzeturnv1.ShareRequest, now time.Time) []*bronzeturnv1.EngineLoad {
+func (b *Store) exchange(m *bronzeturnv1.ShareRequest, now time.Time) []*bronzeturnv1.EngineLoad {
 	for _, own := range m.GetOwn() {
-		b.Tell(m.GetDaemon(), m.GetSequence(), own.GetEngine(), workOf(own), now)
+		b.Record(m.GetDaemon(), m.GetSequence(), own.GetEngine(), workOf(own), now)
 	}
 	others := make([]*bronzeturnv1.EngineLoad, 0, len(m.GetAsked()))
 	for _, engine := range m.GetAsked() {
-		w := b.Others(m.GetDaemon(), engine, now)
+		w := b.LoadOfOthers(m.GetDaemon(), engine, now)
 		others = append(others, &bronzeturnv1.EngineLoad{
 			Engine: engine, Requests: uint32(w.Requests), Tokens: uint32(w.Tokens), LateMs: uint32(w.Delay.Milliseconds()),
 		})
--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -46,7 +46,7 @@
 	// every engine where there is any.
 	InFlight     func(engine string) (requests, tokens int64)
 	EachInFlight func(f func(engine string, requests, tokens int64))
-	Book         *Book
+	Store         *Store
 	Log          zerolog.Logger
 	Registerer   prometheus.Registerer
 }
@@ -135,7 +135,7 @@
 		case <-refresh.C:
 			refresh.Reset(backoff.UntilTick(refreshInterval))
 			s.EachInFlight(func(engine string, _, _ int64) { s.Changed(engine) })
-			s.Book.Expire(time.Now())
+			s.Store.Expire(time.Now())
 			continue
 		case <-s.wake:
 		}
@@ -193,7 +193,7 @@
 // next refresh.
 func (s *Sharer) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
 	if keeper == s.Self {
-		return s.Book.exchange(m, time.Now())
+		return s.Store.exchange(m, time.Now())
 	}
 	client := s.Client(keeper)
 	if client == nil || s.isSilent(keeper) {
