--- a/entry/load.go
+++ b/entry/load.go
@@ -22,7 +22,7 @@
 // sharedBalancer chooses engines by what all daemons have in progress there.
 type sharedBalancer struct {
 	*balance.State
-	sharer *occupancy.Sharer
+	sharer *occupancy.Client
 	daemon *Daemon
 }
 
@@ -47,14 +47,14 @@
 		return decision, ok
 	}
 	engines := decision.Compared(maxAsked)
-	answers := b.sharer.Ask(context.Background(), engines)
+	answers := b.sharer.QueryLoads(context.Background(), engines)
 	if len(answers) == 0 {
 		return decision, ok
 	}
 	now = time.Now()
 	for _, a := range answers {
 		b.OthersReported(balance.OthersReported{
-			Engine: a.Engine, Requests: a.Work.Requests, Tokens: a.Work.Tokens + gateway.WorkOf(a.Work.Delay), At: now,
+			Engine: a.Engine, Requests: a.Load.Requests, Tokens: a.Load.Tokens + gateway.WorkOf(a.Load.Delay), At: now,
 		})
 	}
 	again := *r
@@ -72,7 +72,7 @@
 func (b *sharedBalancer) Dispatched(ev balance.Dispatched) {
 	b.State.Dispatched(ev)
 	if ev.Work.PromptTokens > 0 {
-		b.sharer.Sent(context.Background(), ev.Engine)
+		b.sharer.RequestSent(context.Background(), ev.Engine)
 	}
 }
 
@@ -99,7 +99,7 @@
 
 func (b *sharedBalancer) changed(engine string, w balance.Work) {
 	if w.PromptTokens > 0 {
-		b.sharer.Changed(engine)
+		b.sharer.LoadChanged(engine)
 	}
 }
 
--- a/occupancy/occupancy_test.go
+++ b/occupancy/occupancy_test.go
@@ -153,7 +153,7 @@
 
 // newSharer returns the sharer of a daemon whose engines are all in the care of one
 // keeper.
-func newSharer(name, keeper string, to *direct) (*Sharer, *own) {
+func newSharer(name, keeper string, to *direct) (*Client, *own) {
 	o := &own{work: make(map[string]Load)}
 	return New(Options{
 		Self: name, Keeper: func(string) string { return keeper },
@@ -170,21 +170,21 @@
 		b, _ := newSharer("b", "keeper", to)
 		work.set("e", Load{Requests: 2, Tokens: 30})
 		ctx, cancel := context.WithCancel(t.Context())
-		a.Sent(ctx, "e")
+		a.RequestSent(ctx, "e")
 		synctest.Wait()
-		c.Check(b.Ask(ctx, []string{"e", "other"}), qt.DeepEquals, []Answer{
-			{Engine: "e", Work: Load{Requests: 2, Tokens: 30}}, {Engine: "other"},
+		c.Check(b.QueryLoads(ctx, []string{"e", "other"}), qt.DeepEquals, []EngineLoad{
+			{Engine: "e", Load: Load{Requests: 2, Tokens: 30}}, {Engine: "other"},
 		})
-		c.Check(a.Ask(ctx, []string{"e"}), qt.DeepEquals, []Answer{{Engine: "e"}}, qt.Commentf("own work is not counted"))
+		c.Check(a.QueryLoads(ctx, []string{"e"}), qt.DeepEquals, []EngineLoad{{Engine: "e"}}, qt.Commentf("own work is not counted"))
 		done := make(chan error, 1)
 		go func() { done <- a.Run(ctx) }()
 		to.book.Store(NewStore()) // as of a keeper that has just taken over
 		time.Sleep(refreshInterval + 2*tellInterval)
-		c.Check(b.Ask(ctx, []string{"e"})[0].Work.Requests, qt.Equals, int64(2))
+		c.Check(b.QueryLoads(ctx, []string{"e"})[0].Load.Requests, qt.Equals, int64(2))
 		work.set("e", Load{})
-		a.Changed("e")
+		a.LoadChanged("e")
 		time.Sleep(2 * tellInterval)
-		c.Check(b.Ask(ctx, []string{"e"})[0].Work, qt.Equals, Load{})
+		c.Check(b.QueryLoads(ctx, []string{"e"})[0].Load, qt.Equals, Load{})
 		before := to.calls.Load()
 		work.forget()
 		time.Sleep(10 * refreshInterval)
@@ -202,25 +202,25 @@
 		a, _ := newSharer("a", "keeper", to)
 		began := time.Now()
 		for range silentAfter + 100 {
-			c.Check(a.Ask(t.Context(), []string{"e"}), qt.HasLen, 0)
+			c.Check(a.QueryLoads(t.Context(), []string{"e"}), qt.HasLen, 0)
 		}
 		c.Check(time.Since(began), qt.Equals, silentAfter*askTimeout, qt.Commentf("a silent keeper is left alone"))
 		time.Sleep(2 * avoidFor)
 		to.delay, to.err = 0, connect.NewError(connect.CodeUnavailable, errors.New("gone"))
-		c.Check(a.Ask(t.Context(), []string{"e"}), qt.HasLen, 0)
+		c.Check(a.QueryLoads(t.Context(), []string{"e"}), qt.HasLen, 0)
 		c.Check(to.calls.Load(), qt.Equals, int64(silentAfter+1))
 		count := func(outcome string) float64 { return testutil.ToFloat64(a.metrics.calls.WithLabelValues(outcome)) }
 		c.Check(count(outcomeFailed), qt.Equals, silentAfter+1.0)
 		c.Check(count(outcomeLeft), qt.Equals, 100.0)
 		time.Sleep(2 * avoidFor)
 		to.err = nil
-		c.Check(a.Ask(t.Context(), []string{"e"}), qt.HasLen, 1)
+		c.Check(a.QueryLoads(t.Context(), []string{"e"}), qt.HasLen, 1)
 		c.Check(count(outcomeAnswered), qt.Equals, 1.0)
 		c.Check(a.failing, qt.HasLen, 0)
 		none := New(Options{Self: "a", Keeper: func(string) string { return "" }, Store: NewStore(), Registerer: prometheus.NewRegistry()})
-		none.Sent(t.Context(), "e")
-		none.Late("e", time.Second)
-		c.Check(none.Ask(t.Context(), []string{"e"}), qt.HasLen, 0)
+		none.RequestSent(t.Context(), "e")
+		none.DelayObserved("e", time.Second)
+		c.Check(none.QueryLoads(t.Context(), []string{"e"}), qt.HasLen, 0)
 	})
 }
 
@@ -229,10 +229,10 @@
 	to := newDirect()
 	a, work := newSharer("a", "a", to)
 	work.set("e", Load{Requests: 1, Tokens: 5})
-	a.Sent(t.Context(), "e")
+	a.RequestSent(t.Context(), "e")
 	c.Check(to.book.Load().LoadOfOthers("b", hash("e"), time.Now()), qt.Equals, Load{Requests: 1, Tokens: 5})
 	to.book.Load().Record("b", 1, hash("e"), Load{Requests: 4}, time.Now())
-	c.Check(a.Ask(t.Context(), []string{"e"})[0].Work.Requests, qt.Equals, int64(4))
+	c.Check(a.QueryLoads(t.Context(), []string{"e"})[0].Load.Requests, qt.Equals, int64(4))
 	c.Check(to.calls.Load(), qt.Equals, int64(0))
 }
 
--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -51,9 +51,9 @@
 	Registerer   prometheus.Registerer
 }
 
-// Sharer tells the keepers of this daemon's work and asks them for the others'. It
+// Client tells the keepers of this daemon's work and asks them for the others'. It
 // is safe for concurrent use.
-type Sharer struct {
+type Client struct {
 	Options
 	metrics  *metrics
 	sequence atomic.Uint64
@@ -74,8 +74,8 @@
 }
 
 // New returns a Sharer. Telling begins with Run.
-func New(o Options) *Sharer {
-	s := &Sharer{Options: o, metrics: newMetrics(o.Registerer), wake: make(chan struct{}, 1), changed: make(map[string]map[string]time.Duration), failing: make(map[string]failing)}
+func New(o Options) *Client {
+	s := &Client{Options: o, metrics: newMetrics(o.Registerer), wake: make(chan struct{}, 1), changed: make(map[string]map[string]time.Duration), failing: make(map[string]failing)}
 	// Sequences of a daemon rise over its restarts.
 	s.sequence.Store(uint64(time.Now().UnixMilli()) << 20)
 	return s
@@ -84,14 +84,14 @@
 // hash names an engine between daemons.
 func hash(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
 
-// Changed notes that the own work at an engine has changed.
-func (s *Sharer) Changed(engine string) { s.note(engine, 0) }
+// LoadChanged notes that the own work at an engine has changed.
+func (s *Client) LoadChanged(engine string) { s.note(engine, 0) }
 
-// Late notes how much later than expected an engine began an answer.
-func (s *Sharer) Late(engine string, by time.Duration) { s.note(engine, by) }
+// DelayObserved notes how much later than expected an engine began an answer.
+func (s *Client) DelayObserved(engine string, by time.Duration) { s.note(engine, by) }
 
 // note returns the engine's keeper, "" when there is none to tell.
-func (s *Sharer) note(engine string, late time.Duration) string {
+func (s *Client) note(engine string, late time.Duration) string {
 	keeper := s.Keeper(engine)
 	if keeper == "" {
 		return ""
@@ -111,8 +111,8 @@
 	return keeper
 }
 
-// Sent notes a request that was sent to an engine and tells its keeper at once.
-func (s *Sharer) Sent(ctx context.Context, engine string) {
+// RequestSent notes a request that was sent to an engine and tells its keeper at once.
+func (s *Client) RequestSent(ctx context.Context, engine string) {
 	switch keeper := s.note(engine, 0); keeper {
 	case "":
 	case s.Self:
@@ -125,7 +125,7 @@
 // Run tells the keepers of changes until ctx ends. It sleeps while there are none: a
 // daemon of a large fleet has a few requests a second, and a look every tellInterval
 // would wake it three times as often.
-func (s *Sharer) Run(ctx context.Context) error {
+func (s *Client) Run(ctx context.Context) error {
 	refresh := time.NewTimer(backoff.UntilTick(refreshInterval))
 	defer refresh.Stop()
 	for {
@@ -134,7 +134,7 @@
 			return nil
 		case <-refresh.C:
 			refresh.Reset(backoff.UntilTick(refreshInterval))
-			s.EachInFlight(func(engine string, _, _ int64) { s.Changed(engine) })
+			s.EachInFlight(func(engine string, _, _ int64) { s.LoadChanged(engine) })
 			s.Store.Expire(time.Now())
 			continue
 		case <-s.wake:
@@ -151,7 +151,7 @@
 }
 
 // due returns the keepers that there is something to tell.
-func (s *Sharer) due() []string {
+func (s *Client) due() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	keepers := make([]string, 0, len(s.changed))
@@ -162,7 +162,7 @@
 }
 
 // tell tells one keeper what has changed.
-func (s *Sharer) tell(ctx context.Context, keeper string) {
+func (s *Client) tell(ctx context.Context, keeper string) {
 	m := s.message(keeper)
 	if len(m.GetOwn()) == 0 {
 		return
@@ -173,7 +173,7 @@
 }
 
 // message takes what there is to tell a keeper.
-func (s *Sharer) message(keeper string) *bronzeturnv1.ShareRequest {
+func (s *Client) message(keeper string) *bronzeturnv1.ShareRequest {
 	s.mu.Lock()
 	engines := s.changed[keeper]
 	delete(s.changed, keeper)
@@ -191,7 +191,7 @@
 // exchange calls a keeper, or the own book, and returns what it answered. A keeper
 // that fails is left alone for a while; what it was to be told follows with the
 // next refresh.
-func (s *Sharer) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
+func (s *Client) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
 	if keeper == s.Self {
 		return s.Store.exchange(m, time.Now())
 	}
@@ -212,7 +212,7 @@
 }
 
 // isSilent tells whether a keeper did not answer lately.
-func (s *Sharer) isSilent(keeper string) bool {
+func (s *Client) isSilent(keeper string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.failing[keeper]
@@ -220,7 +220,7 @@
 }
 
 // failed notes that a keeper did not answer.
-func (s *Sharer) failed(keeper string, err error) {
+func (s *Client) failed(keeper string, err error) {
 	s.metrics.calls.WithLabelValues(outcomeFailed).Inc()
 	s.mu.Lock()
 	times := s.failing[keeper].times + 1
@@ -232,7 +232,7 @@
 }
 
 // answered notes that a keeper answered.
-func (s *Sharer) answered(keeper string) {
+func (s *Client) answered(keeper string) {
 	s.metrics.calls.WithLabelValues(outcomeAnswered).Inc()
 	s.mu.Lock()
 	times := s.failing[keeper].times
@@ -243,14 +243,14 @@
 	}
 }
 
-// Answer is the others' work at one engine.
-type Answer struct {
+// EngineLoad is the others' work at one engine.
+type EngineLoad struct {
 	Engine string
-	Work   Load
+	Load   Load
 }
 
-// Ask returns the others' work at the engines whose keepers answer in time.
-func (s *Sharer) Ask(ctx context.Context, engines []string) []Answer {
+// QueryLoads returns the others' work at the engines whose keepers answer in time.
+func (s *Client) QueryLoads(ctx context.Context, engines []string) []EngineLoad {
 	byKeeper := make(map[string][]string)
 	for _, engine := range engines {
 		if keeper := s.Keeper(engine); keeper != "" {
@@ -259,7 +259,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answers := make(chan []Answer, len(byKeeper))
+	answers := make(chan []EngineLoad, len(byKeeper))
 	for keeper, asked := range byKeeper {
 		if keeper == s.Self {
 			answers <- s.askOne(ctx, keeper, asked)
@@ -267,7 +267,7 @@
 		}
 		go func() { answers <- s.askOne(ctx, keeper, asked) }()
 	}
-	var all []Answer
+	var all []EngineLoad
 	for range byKeeper {
 		all = append(all, <-answers...)
 	}
@@ -275,7 +275,7 @@
 }
 
 // askOne asks one keeper, and tells it what has changed by the way.
-func (s *Sharer) askOne(ctx context.Context, keeper string, engines []string) []Answer {
+func (s *Client) askOne(ctx context.Context, keeper string, engines []string) []EngineLoad {
 	m := s.message(keeper)
 	for _, engine := range engines {
 		m.Asked = append(m.Asked, hash(engine))
@@ -284,9 +284,9 @@
 	if len(others) != len(engines) {
 		return nil
 	}
-	answers := make([]Answer, len(engines))
+	answers := make([]EngineLoad, len(engines))
 	for i, o := range others {
-		answers[i] = Answer{Engine: engines[i], Work: workOf(o)}
+		answers[i] = EngineLoad{Engine: engines[i], Load: workOf(o)}
 	}
 	return answers
 }
