--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -46,7 +46,7 @@
 	// every engine where there is any.
 	InFlight     func(engine string) (requests, tokens int64)
 	EachInFlight func(f func(engine string, requests, tokens int64))
-	Store         *Store
+	Store        *Store
 	Log          zerolog.Logger
 	Registerer   prometheus.Registerer
 }
--- a/router/choose.go
+++ b/router/choose.go
@@ -26,7 +26,7 @@
 		PromptTokens:             c.chat.promptTokens,
 		ExpectedCompletionTokens: c.completionHint(),
 		Deadline:                 c.deadline,
-		FailedVersions:                    c.tried,
+		FailedVersions:           c.tried,
 	}
 	now := time.Now()
 	req.SpendLeftMicros, req.SpendLimited = r.Admission.SpendLeft(req.Organisation, now)
--- a/selection/property_test.go
+++ b/selection/property_test.go
@@ -96,7 +96,7 @@
 		Constraint:      rapid.SampledFrom(names).Draw(t, "constraint"),
 		InConversation:  rapid.Bool().Draw(t, "conversation"),
 		PromptTokens:    rapid.Int64Range(0, 1000).Draw(t, "prompt"),
-		FailedVersions:           rapid.SampledFrom([][]string{nil, nil, {"v0"}, {"v1", "v2"}}).Draw(t, "tried"),
+		FailedVersions:  rapid.SampledFrom([][]string{nil, nil, {"v0"}, {"v1", "v2"}}).Draw(t, "tried"),
 		Deadline:        start.Add(rapid.SampledFrom([]time.Duration{time.Second, time.Minute}).Draw(t, "deadline")),
 		SpendLimited:    rapid.Bool().Draw(t, "limited"),
 		SpendLeftMicros: rapid.Int64Range(0, 5000).Draw(t, "left"),
