--- a/admission/account.go
+++ b/admission/account.go
@@ -7,8 +7,9 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// account is what one daemon knows of one organisation's limit: its share, and
-// what it admitted. It is a pure state machine; the caller holds the lock.
+// account is one daemon's state for one organisation's limit: its share of the
+// limit and what it has admitted. It does no I/O and takes no lock; the caller
+// holds the lock of its shard.
 type account struct {
 	organisation string
 	limit        amounts
@@ -25,26 +26,27 @@
 	report       reportState
 }
 
-// share is what the coordinator granted. The spend dimension holds the
-// absolute sum that this daemon may reach on the day.
+// share is the part of a limit that the coordinator granted. Its spend is the total
+// that this daemon's spend may reach on the day.
 type share struct {
 	granted     amounts
 	sequence    uint64
 	coordinator uint64
 	day         int64
-	expires     time.Time // zero: nothing granted
+	expires     time.Time // zero when nothing is granted
 	validity    time.Duration
 }
 
-// charge is what a request took from its organisation's account.
+// charge is the estimated use that a request is charged for at admission.
 type charge struct {
 	tokens float64
 	cost   float64
 }
 
-// allowance returns what this daemon may use now. A share that has expired
-// is not raised to the equal part before the shares that other daemons got
-// on top of it have expired too.
+// allowance returns what this daemon may use now. After its share has expired,
+// the allowance is the smaller of the share and the equal part until the shares
+// that the coordinator granted to other daemons out of the difference have
+// expired too.
 func (a *account) allowance(now time.Time) amounts {
 	equal := a.limit.equalPart(a.live)
 	equal[dimSpend] = a.spend.equalCap(a.limit[dimSpend], a.live)
@@ -59,7 +61,7 @@
 	switch {
 	case now.Before(s.expires):
 		return granted
-	case now.Before(s.expires.Add(s.validity + settleTime)):
+	case now.Before(s.expires.Add(s.validity + expiryMargin)):
 		return minOf(granted, equal)
 	}
 	return equal
@@ -67,7 +69,7 @@
 
 // admit charges a request to the account, or refuses it.
 func (a *account) admit(now time.Time, c charge) *failure.Error {
-	a.roll(now)
+	a.advanceDay(now)
 	a.lastActive = now
 	a.offered[dimRequests].add(now, 1)
 	a.offered[dimTokens].add(now, c.tokens)
@@ -84,11 +86,11 @@
 	return nil
 }
 
-// check tells whether the request fits the allowance. The token balance only
+// check reports whether the request fits the allowance. The token balance only
 // has to be positive, since the size of an answer is an estimate.
 func (a *account) check(now time.Time, c charge, may *amounts) *failure.Error {
-	a.requests.fill(now, may[dimRequests], 1)
-	a.tokens.fill(now, may[dimTokens], 1)
+	a.requests.refill(now, may[dimRequests], 1)
+	a.tokens.refill(now, may[dimTokens], 1)
 	if a.limit.limited(dimConcurrent) && float64(a.inUse+1) > may[dimConcurrent] {
 		return a.exceeded("requests in progress", concurrencyRetryAfter)
 	}
@@ -104,29 +106,30 @@
 	return nil
 }
 
-// exceeded builds the refusal of one dimension.
+// exceeded returns the refusal for one dimension of the limit.
 func (a *account) exceeded(what string, after time.Duration) *failure.Error {
 	return failure.New(failure.CodeLimitExceeded, failure.RanNo, "limit of %s reached", what).
 		After(max(after, minRetryAfter))
 }
 
-// settle replaces the estimate of a finished request by what it used.
+// settle replaces the estimate of a finished request with its actual usage.
 func (a *account) settle(now time.Time, c charge, usedTokens, usedCost float64) {
-	a.roll(now)
+	a.advanceDay(now)
 	a.inUse--
 	a.tokens.balance += c.tokens - usedTokens
 	a.spend.reserved = max(0, a.spend.reserved-c.cost)
 	a.spend.spent += usedCost
 }
 
-// refund undoes a charge of a request that did not run.
+// refund reverses the charge of a request that did not run.
 func (a *account) refund(now time.Time, c charge) {
 	a.requests.balance++
 	a.settle(now, c, 0, 0)
 }
 
-// roll starts a new UTC day.
-func (a *account) roll(now time.Time) {
+// advanceDay resets the spend at the start of a new UTC day. Amounts reserved
+// for requests in progress are carried over.
+func (a *account) advanceDay(now time.Time) {
 	if day := dayOf(now); day != a.spend.day {
 		a.spend = spendBook{day: day, reserved: a.spend.reserved}
 	}
@@ -134,23 +137,24 @@
 
 // spendBook holds the spend of one UTC day, in micro-units of currency.
 type spendBook struct {
-	day        int64
-	spent      float64 // settled on this daemon
-	reserved   float64 // estimated for requests in progress
-	fleetTotal float64 // of all daemons, as last told by a coordinator
-	told       float64 // the part of spent that fleetTotal includes
+	day          int64
+	spent        float64 // settled on this daemon
+	reserved     float64 // estimated for requests in progress
+	fleetTotal   float64 // of all daemons, as last reported by a coordinator
+	acknowledged float64 // the part of spent that fleetTotal includes
 }
 
-// equalCap is what this daemon's own spend may reach without a share: what it
-// has spent, and an equal part of what was left when it last heard.
+// equalCap returns what this daemon's own spend may reach without a share: the
+// spend that the coordinator acknowledged, and an equal part of what was left of
+// the limit at that time.
 func (b *spendBook) equalCap(limit float64, live int) float64 {
 	left := max(0, limit-b.fleetTotal)
-	return b.told + left/float64(max(live, 1))
+	return b.acknowledged + left/float64(max(live, 1))
 }
 
-// exceeded builds the refusal. The caller should come back tomorrow when less
-// than one such request per daemon is left, and soon when only this daemon's
-// share is used up.
+// exceeded returns the refusal. Retry-After is the next UTC day when less than
+// one such request per daemon is left of the limit, and short when only this
+// daemon's share is used up.
 func (b *spendBook) exceeded(now time.Time, limit, fleetCost float64) *failure.Error {
 	after := concurrencyRetryAfter
 	if b.fleetTotal+fleetCost > limit || b.spent+b.reserved >= limit {
@@ -161,15 +165,16 @@
 
 const day = 24 * time.Hour
 
-// dayOf numbers UTC days since 1970.
+// dayOf returns the number of the UTC day since the Unix epoch.
 func dayOf(now time.Time) int64 { return now.Unix() / int64(day/time.Second) }
 
-// untilNextDay returns the time left of the UTC day.
+// untilNextDay returns the time until the next UTC day begins.
 func untilNextDay(now time.Time) time.Duration {
 	return time.Unix((dayOf(now)+1)*int64(day/time.Second), 0).Sub(now)
 }
 
-// decayFactor is the factor by which a sum shrinks over elapsed.
+// decayFactor returns the factor of an exponential decay with time constant
+// span over elapsed.
 func decayFactor(elapsed, span time.Duration) float64 {
 	return math.Exp(-elapsed.Seconds() / span.Seconds())
 }
--- a/admission/accounts.go
+++ b/admission/accounts.go
@@ -7,14 +7,15 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// accountShards is the number of locks over the accounts of a daemon.
+// accountShards is the number of shards, each with its own lock, of a daemon's
+// accounts.
 const accountShards = 64
 
 // accountShard holds the accounts of some organisations under one lock.
 type accountShard struct {
 	mu       sync.Mutex
 	accounts map[string]*account
-	_        [40]byte // keeps the locks on separate cache lines
+	_        [40]byte // padding that keeps the locks on separate cache lines
 }
 
 var shardSeed = maphash.MakeSeed()
@@ -32,9 +33,10 @@
 	return &c.shards[maphash.String(shardSeed, organisation)%accountShards]
 }
 
-// SetLimits puts limits in force, given the number of live daemons. Counts and
-// spend of organisations whose limit changed are kept; their shares follow
-// with the next report. Organisations without a limit are not bounded.
+// SetLimits applies limits, given the number of live daemons. Counts and spend of
+// organisations whose limit changed are kept, and their shares are scaled in
+// proportion until the next report. Organisations without a limit are not
+// bounded.
 func (c *Controller) SetLimits(limits []*bronzeturnv1.Limit, liveDaemons int) {
 	live := max(liveDaemons, 1)
 	c.live.Store(int64(live))
@@ -53,8 +55,8 @@
 	c.fleet.setLimits(wanted, live)
 }
 
-// dropExcept removes the accounts whose limit is gone. Their tickets still
-// settle on the removed account.
+// dropExcept removes the accounts of organisations that are not in wanted.
+// Tickets issued earlier still settle on the removed account.
 func (s *accountShard) dropExcept(wanted map[string]amounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// set puts the limit of an organisation in force.
+// set applies the limit of an organisation.
 func (s *accountShard) set(organisation string, limit amounts, live int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// eachAccount calls visit for every account, under the lock of its shard.
+// eachAccount calls visit for every account with the lock of its shard held.
 func (c *Controller) eachAccount(visit func(a *account)) {
 	for i := range c.shards {
 		shard := &c.shards[i]
@@ -94,8 +96,9 @@
 	}
 }
 
-// rescale keeps a share in proportion when the limit changes, so that the
-// shares of all daemons add up to the new limit at most.
+// rescale scales a share with its limit, so that the shares of all daemons add
+// up to at most the new limit. A dimension that was not limited before starts
+// with the equal part.
 func (s *share) rescale(before, after, equal *amounts) {
 	for d := range s.granted {
 		if before.limited(d) {
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -11,7 +11,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Request asks for admission.
+// Request describes a request to be admitted.
 type Request struct {
 	// Organisation is the authenticated caller.
 	Organisation string
@@ -26,14 +26,15 @@
 	CostMicros int64
 }
 
-// ActualUsage is what a request used in the end. It replaces the estimates of the
+// ActualUsage is what a finished request used. It replaces the estimates in the
 // Request. The zero value is that of a request that never ran.
 type ActualUsage struct {
 	Tokens     int64
 	CostMicros int64
 }
 
-// GroupName names the group of a pool's engines that serve a version.
+// GroupName returns the name of the group of a pool's engines that serve a
+// version.
 func GroupName(pool, version string) string { return pool + "/" + version }
 
 // Controller admits requests on one daemon. Its methods may be called from
@@ -47,8 +48,8 @@
 	fleet   *fleet
 }
 
-// New returns a Controller without limits and groups. It reports every fault
-// of the options at once.
+// New returns a Controller without limits and groups. The error lists every
+// invalid option.
 func New(options Options) (*Controller, error) {
 	options = options.withDefaults()
 	if err := options.validate(); err != nil {
@@ -62,7 +63,8 @@
 }
 
 // SetCapacity sets how many requests of the group this daemon may have in
-// progress. A group that was never set is not bounded; zero slots refuse.
+// progress. A group whose capacity was never set is not bounded; with zero slots
+// every request is refused.
 func (c *Controller) SetCapacity(groupName string, slots int) {
 	if g, ok := c.groups.Load(groupName); ok {
 		g.(*group).setSlots(time.Now(), max(slots, 0))
@@ -74,23 +76,23 @@
 	}
 }
 
-// SetGroupLoad tells what the engines of a group last reported, which bounds the
-// bulk requests of this daemon. Call it about once a second. A group whose room
-// was never set bounds them by its slots alone.
+// SetGroupLoad sets the load that the engines of a group last reported, which
+// bounds this daemon's bulk requests. Call it about once a second. Until the first
+// call, the bulk requests of a group are bounded by its slots alone.
 func (c *Controller) SetGroupLoad(groupName string, r GroupLoad) {
 	if g, ok := c.groups.Load(groupName); ok {
-		g.(*group).setRoom(time.Now(), r)
+		g.(*group).setLoad(time.Now(), r)
 	}
 }
 
-// RemoveGroup forgets a group that no engine serves any more. Requests that
-// wait in it keep their place until they start or give up.
+// RemoveGroup removes a group that no engine serves any more. Requests that wait
+// in its queue stay there until they start or time out.
 func (c *Controller) RemoveGroup(groupName string) { c.groups.Delete(groupName) }
 
-// Acquire admits a request, or refuses it with a *failure.Error that says
-// when to come back: limit_exceeded, spend_exceeded, no_capacity or
-// deadline_passed. A refused request did not run. A request may wait for a
-// slot, but never longer than half of the time to its deadline.
+// Acquire admits a request, or refuses it with a *failure.Error that carries a
+// retry time: limit_exceeded, spend_exceeded, no_capacity or deadline_passed. A
+// refused request did not run. A request may wait for a slot, but never longer
+// than half of the time to its deadline.
 //
 // Every Ticket must be released exactly once.
 func (c *Controller) Acquire(ctx context.Context, r Request) (*Ticket, error) {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// enterGroup takes a slot of the group or waits for one.
+// enterGroup takes a slot of the group, waiting for one if necessary.
 func (c *Controller) enterGroup(ctx context.Context, now time.Time, r Request, t *Ticket) *failure.Error {
 	value, ok := c.groups.Load(r.Group)
 	if !ok {
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,8 +16,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// alone returns a Controller that never hears from a coordinator.
-func alone(tb testing.TB) *Controller {
+// uncoordinated returns a Controller that never reaches a coordinator.
+func uncoordinated(tb testing.TB) *Controller {
 	d, err := New(Options{
 		Name:                "daemon",
 		Owner:               func(string) (string, bool) { return "other", false },
@@ -70,7 +70,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				d := alone(t)
+				d := uncoordinated(t)
 				d.SetCapacity("pool/version", test.slots)
 				if test.limit != nil {
 					test.limit.Organisation = "org"
@@ -98,12 +98,12 @@
 	}
 }
 
-// A refused request takes nothing from the limits, a finished one gives back
-// what it did not use, and another organisation is not touched by either.
+// A refused request is not charged to the limits, a finished one is refunded what
+// it did not use, and neither affects another organisation.
 func TestAcquireChargesOnlyWhatRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		d.SetCapacity("pool/version", 1)
 		d.SetLimits([]*bronzeturnv1.Limit{
 			{Organisation: "org", RequestsPerSecond: 2, ConcurrentRequests: 2},
@@ -134,11 +134,11 @@
 	return [2]int{d.shard(organisation).accounts[organisation].inUse, value.(*group).queue.inUse}
 }
 
-// A request that waits gets the slot, or is refused with half of its time left.
+// A waiting request gets the slot, or is refused when half of its time has passed.
 func TestAcquireWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		d.SetCapacity("pool/version", 1)
 		ticket, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
@@ -166,12 +166,12 @@
 	})
 }
 
-// A big organisation that overruns the pool leaves a small one its part and a
-// wait no longer than its own requests explain.
-func TestBigOrganisationCannotStarveSmallOne(t *testing.T) {
+// An organisation that overloads the pool does not take a small organisation's
+// fair share: none of the latter's requests are refused, and each waits at most 2 s.
+func TestLargeOrganisationDoesNotStarveSmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		const slots = 10 // 10 requests of one second: 10 a second
 		d.SetCapacity("pool/version", slots)
 		big := startLoad(d, "big", 101)
@@ -190,7 +190,7 @@
 	})
 }
 
-// load offers requests of one second and 100 tokens at a rate.
+// load sends requests of one second and 100 tokens at a constant rate.
 type load struct {
 	stop                   atomic.Bool
 	done, refused, longest atomic.Int64
@@ -221,7 +221,7 @@
 }
 
 func TestAcquireAllocations(t *testing.T) {
-	d := limitedAlone(t)
+	d := uncoordinatedWithLimits(t)
 	r := request("org0", 100, time.Hour)
 	allocations := testing.AllocsPerRun(1000, func() {
 		ticket, err := d.Acquire(context.Background(), r)
@@ -233,9 +233,10 @@
 	qt.Assert(t, allocations, qt.Equals, 1.0) // the ticket
 }
 
-// limitedAlone returns a Controller whose limits and capacity are never met.
-func limitedAlone(tb testing.TB) *Controller {
-	d := alone(tb)
+// uncoordinatedWithLimits returns a Controller whose limits and capacity are never
+// reached.
+func uncoordinatedWithLimits(tb testing.TB) *Controller {
+	d := uncoordinated(tb)
 	d.SetCapacity("pool/version", 1<<30)
 	var limits []*bronzeturnv1.Limit
 	for i := range 300 {
@@ -249,7 +250,7 @@
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	d := limitedAlone(b)
+	d := uncoordinatedWithLimits(b)
 	r := request("org0", 100, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -262,7 +263,7 @@
 }
 
 func BenchmarkAcquireReleaseParallel(b *testing.B) {
-	d := limitedAlone(b)
+	d := uncoordinatedWithLimits(b)
 	for i := range 36 {
 		d.SetCapacity(fmt.Sprint("pool/version", i), 1<<30)
 	}
--- a/admission/amounts.go
+++ b/admission/amounts.go
@@ -19,7 +19,7 @@
 // that the dimension is not limited.
 type amounts [dimensions]float64
 
-// limitAmounts reads the amounts of an operator's limit.
+// limitAmounts returns the amounts of an operator's limit.
 func limitAmounts(l *bronzeturnv1.Limit) amounts {
 	return amounts{
 		dimRequests:   l.GetRequestsPerSecond(),
@@ -36,8 +36,8 @@
 func (a *amounts) any() bool { return *a != amounts{} }
 
 // equalPart returns what each of n daemons gets when the limit is divided
-// evenly. A daemon may always run one request, so a concurrency limit below
-// the number of daemons is exceeded by at most the difference.
+// evenly. Each daemon may run at least one request, so a concurrency limit below
+// the number of daemons may be exceeded by up to the difference.
 func (a *amounts) equalPart(n int) amounts {
 	var part amounts
 	for d := range a {
--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// burst is how much of a rate may be used at once after a quiet time.
+// burst is the capacity of a bucket, as a time at its rate.
 const burst = time.Second
 
 // bucket is a token bucket whose rate may change between calls. Its balance
-// may be negative: a request whose size is only known at its end is charged
-// in arrears.
+// may be negative, since the tokens of a request are known only when it has
+// finished and the difference from the estimate is charged then.
 type bucket struct {
-	balance float64
-	filled  time.Time
+	balance    float64
+	refilledAt time.Time
 }
 
-// fill brings the balance up to date. The capacity is one burst of the rate,
-// at least minimum.
-func (b *bucket) fill(now time.Time, rate, minimum float64) {
+// refill adds what has accrued since the last call. The capacity is one burst at
+// the rate, but at least minimum.
+func (b *bucket) refill(now time.Time, rate, minimum float64) {
 	capacity := max(minimum, rate*burst.Seconds())
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.balance = capacity
-		b.filled = now
+		b.refilledAt = now
 		return
 	}
-	if elapsed := now.Sub(b.filled); elapsed > 0 {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.balance += rate * elapsed.Seconds()
-		b.filled = now
+		b.refilledAt = now
 	}
 	b.balance = min(b.balance, capacity)
 }
 
-// waitFor returns how long the bucket takes to reach the balance at the rate.
+// waitFor returns how long the bucket takes to reach the balance at the rate, at
+// most maxRetryAfter.
 func (b *bucket) waitFor(balance, rate float64) time.Duration {
 	if b.balance >= balance {
 		return 0
@@ -40,7 +41,7 @@
 	return seconds((balance - b.balance) / rate)
 }
 
-// seconds converts a number of seconds, bounded by maxRetryAfter.
+// seconds converts a number of seconds to a duration of at most maxRetryAfter.
 func seconds(s float64) time.Duration {
 	if s >= maxRetryAfter.Seconds() {
 		return maxRetryAfter
@@ -48,7 +49,8 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// meter measures a rate: a sum that decays with the time constant meterSpan.
+// meter measures a rate as a sum that decays exponentially with the time
+// constant meterSpan.
 type meter struct {
 	sum     float64
 	updated time.Time
--- a/admission/bulk.go
+++ b/admission/bulk.go
@@ -1,19 +1,20 @@
 package admission
 
-// bulkDamping slows the growth of bulk work, since reports of load are late.
+// bulkDamping divides each change of a bulk limit, since load reports are
+// delayed and a full step would overshoot.
 const bulkDamping = 2
 
-// GroupLoad is what a daemon knows of the engines that serve one group. The zero
-// value knows of none and leaves room for one bulk request.
+// GroupLoad is the reported load of the engines that serve one group. The zero
+// value has no engines and permits one bulk request.
 type GroupLoad struct {
-	// Daemons is the number of daemons that send work to the same engines.
+	// Daemons is the number of daemons that send requests to the same engines.
 	Daemons int
-	free    int // slots below the urgent reserve that are not taken
-	over    int // requests beyond that, at engines that have no free slot there
+	free    int // free slots outside the urgent reserve
+	over    int // requests in excess of the slots outside the urgent reserve
 }
 
-// Add takes in the last report of one engine: its slots, and the requests of
-// any group and daemon that run or wait there.
+// Add adds the last report of one engine: its slots, and the requests of any
+// group and daemon that run or wait there.
 func (r *GroupLoad) Add(slots, busy int) {
 	left := slots - slots/urgentReserve - busy
 	if left >= 0 {
@@ -24,14 +25,14 @@
 }
 
 // BulkLimit returns how many bulk requests a daemon with own of them in
-// progress may have: a part of the free room more, or, while any engine is
-// into the slots reserved for urgent work, a part of the excess less. It is at
-// least one, so that bulk is never shut out.
+// progress may have: a part of the free slots more, or, while any engine uses
+// slots reserved for urgent requests, a part of the excess fewer. It is at least
+// one, so that bulk requests always make progress.
 //
-// Engines serve by priority but don't stop running requests, so an urgent one
-// that finds all slots taken waits for the end of a bulk one. Daemons that
-// each respect the slots can still fill them together; this bound makes all of
-// them stop in time without a message between them.
+// Engines serve by priority but don't preempt running requests, so an urgent
+// request that finds all slots taken waits for a bulk request to end. Daemons
+// that each stay within the slots can still exceed them together; this bound
+// makes all of them back off in time without messages between them.
 func BulkLimit(own int, r GroupLoad) int {
 	part := bulkDamping * max(r.Daemons, 1)
 	if r.over > 0 {
@@ -40,6 +41,6 @@
 	return max(1, own+(r.free+part-1)/part)
 }
 
-// SetBulkLimit bounds the bulk requests in progress by what the engines
+// SetBulkLimit bounds the bulk requests in progress by the load that the engines
 // reported. The caller then starts what Next returns.
 func (q *Queue) SetBulkLimit(r GroupLoad) { q.bulkLimit = BulkLimit(q.bulkInUse, r) }
--- a/admission/conservation_test.go
+++ b/admission/conservation_test.go
@@ -12,24 +12,24 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// shareModel runs daemons and a coordinator as state machines over a network
-// that delays, reorders and loses messages.
+// shareModel simulates daemons and a coordinator over a network that delays,
+// reorders and loses messages.
 type shareModel struct {
-	now         time.Time
-	limit       amounts
-	accounts    []*account
-	attached    []bool // has held a share of some coordinator
-	coordinator *allocation
-	changes     int
-	changed     time.Time
-	heard       map[int]bool // daemons that the coordinator has heard
-	fresh       map[int]bool // daemons that reported without a share since the first of the last changes
-	view        fleetView
-	reports     []modelMessage
-	answers     []modelMessage
+	now          time.Time
+	limit        amounts
+	accounts     []*account
+	hadShare     []bool // whether the daemon has held a share of any coordinator
+	coordinator  *allocation
+	changes      int
+	changed      time.Time
+	reported     map[int]bool // daemons that have reported to the coordinator
+	withoutShare map[int]bool // daemons that reported without a share since the first of the recent changes
+	view         fleetView
+	reports      []modelMessage
+	answers      []modelMessage
 }
 
-// modelMessage is a report, or its answer, on its way.
+// modelMessage is a report, or its answer, in transit.
 type modelMessage struct {
 	daemon      int
 	sentAt      time.Time
@@ -40,7 +40,7 @@
 
 func newShareModel(n int) *shareModel {
 	m := &shareModel{
-		now: time.Unix(1000, 0), attached: make([]bool, n),
+		now: time.Unix(1000, 0), hadShare: make([]bool, n),
 		limit: amounts{dimRequests: 100, dimTokens: 5000, dimConcurrent: 30, dimSpend: 1e6},
 		view:  fleetView{live: n, reachable: n, isLive: func(string) bool { return true }},
 	}
@@ -48,7 +48,7 @@
 		m.accounts = append(m.accounts, &account{organisation: "org", limit: m.limit, live: n})
 	}
 	m.change(nil)
-	m.coordinator.since = time.Time{} // the first one has nothing to recover
+	m.coordinator.created = time.Time{} // the first coordinator has no predecessor to recover from
 	return m
 }
 
@@ -56,7 +56,7 @@
 	return rapid.IntRange(0, len(m.accounts)-1).Draw(t, "daemon")
 }
 
-// traffic offers a burst of requests and ends some.
+// traffic sends a burst of requests to one daemon and finishes some of them.
 func (m *shareModel) traffic(t *rapid.T) {
 	a := m.accounts[m.anyDaemon(t)]
 	for range rapid.IntRange(1, 200).Draw(t, "requests") {
@@ -71,7 +71,7 @@
 	d := m.anyDaemon(t)
 	a := m.accounts[d]
 	if a.report.inFlight {
-		a.failed(m.now) // its answer is given up
+		a.reportFailed(m.now) // its answer counts as lost
 	}
 	a.lastActive = m.now // never idle in this model
 	u := a.usage(m.now)
@@ -86,9 +86,9 @@
 	}
 	g, ok := m.coordinator.report(m.now, message.u, m.view)
 	if message.u.sequence == 0 {
-		m.fresh[message.daemon] = true
+		m.withoutShare[message.daemon] = true
 	}
-	m.heard[message.daemon] = true
+	m.reported[message.daemon] = true
 	if ok {
 		message.coordinator, message.g = m.coordinator.id, g
 		m.answers = append(m.answers, message)
@@ -101,7 +101,7 @@
 		return
 	}
 	m.accounts[message.daemon].apply(message.sentAt, message.u, message.coordinator, message.g)
-	m.attached[message.daemon] = true
+	m.hadShare[message.daemon] = true
 }
 
 func (m *shareModel) lose(t *rapid.T) {
@@ -117,45 +117,46 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 15).Draw(t, "seconds")) * time.Second)
 }
 
-// change replaces the coordinator by one that knows nothing.
+// change replaces the coordinator with one without state.
 func (m *shareModel) change(*rapid.T) {
 	m.changes++
 	if m.now.After(m.changed.Add(2 * recoveryTime(len(m.accounts)))) {
-		m.fresh = make(map[int]bool)
+		m.withoutShare = make(map[int]bool)
 	}
 	m.changed = m.now
-	m.heard = make(map[int]bool)
+	m.reported = make(map[int]bool)
 	m.coordinator = newAllocation(uint64(m.changes), m.now, m.limit)
 }
 
-// check adds up what the daemons that ever held a share may use.
+// check verifies that the allowances of the daemons that ever held a share add up
+// to at most the limit, apart from the known excess after a change of coordinator.
 func (m *shareModel) check(t *rapid.T) {
 	var sum amounts
 	for i, a := range m.accounts {
-		if !m.attached[i] {
+		if !m.hadShare[i] {
 			continue
 		}
-		a.roll(m.now)
+		a.advanceDay(m.now)
 		may := a.allowance(m.now)
 		may[dimSpend] = max(may[dimSpend], a.spend.spent)
 		for d := range sum {
 			sum[d] += may[d]
 		}
 	}
-	// Only a change of the coordinator lets a daemon use an equal part on top:
-	// one without a share that reports during it, or one that fell silent
-	// before the new coordinator heard it.
+	// Only after a change of the coordinator may a daemon use an equal part in
+	// addition: one without a share that reports during the recovery, or one whose
+	// share expired before it reported to the new coordinator.
 	extra := 0
 	for i, a := range m.accounts {
 		recovering := m.now.Before(m.changed.Add(2 * recoveryTime(len(m.accounts))))
-		silent := !m.heard[i] && !m.now.Before(a.share.expires)
-		if m.changes > 1 && (silent || recovering && m.fresh[i]) {
+		silent := !m.reported[i] && !m.now.Before(a.share.expires)
+		if m.changes > 1 && (silent || recovering && m.withoutShare[i]) {
 			extra++
 		}
 	}
 	bound := 1.0 + 1e-9 + float64(extra)/float64(len(m.accounts))
 	limit := m.limit
-	limit[dimSpend] += m.unheardSpend()
+	limit[dimSpend] += m.unacknowledgedSpend()
 	for d := range sum {
 		if sum[d] > limit[d]*bound {
 			t.Fatalf("dimension %d: %v shared out of %v, %d daemons extra", d, sum[d], m.limit[d], extra)
@@ -163,9 +164,9 @@
 	}
 }
 
-// unheardSpend is by how much the daily spend may be exceeded because daemons
-// fell back to equal parts of what was left when each of them last heard.
-func (m *shareModel) unheardSpend() float64 {
+// unacknowledgedSpend returns by how much the daily spend may be exceeded because daemons
+// fell back to equal parts of what was left when each last got an answer.
+func (m *shareModel) unacknowledgedSpend() float64 {
 	total, sum := 0.0, 0.0
 	for _, a := range m.accounts {
 		total += a.spend.spent
@@ -176,7 +177,7 @@
 	return sum
 }
 
-// pick removes a random message.
+// pick removes and returns a random message.
 func pick(t *rapid.T, messages *[]modelMessage) (modelMessage, bool) {
 	n := len(*messages)
 	if n == 0 {
@@ -200,8 +201,8 @@
 	return actions
 }
 
-// However messages are delayed, reordered or lost, and however long daemons
-// are silent, what they may use adds up to the limit.
+// However messages are delayed, reordered or lost, and however long daemons do not
+// report, their allowances add up to at most the limit.
 func TestSharesAddUpToLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newShareModel(rapid.IntRange(1, 6).Draw(t, "daemons"))
@@ -209,8 +210,8 @@
 	})
 }
 
-// A change of the coordinator exceeds the limit at most by the equal parts of
-// daemons without a share, and only until earlier shares have expired.
+// After a change of the coordinator the limit is exceeded at most by the equal
+// parts of daemons without a share, and only until earlier shares have expired.
 func TestSharesAddUpToLimitAfterCoordinatorChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newShareModel(rapid.IntRange(1, 6).Draw(t, "daemons"))
@@ -218,8 +219,8 @@
 	})
 }
 
-// A new coordinator gives a daemon that held nothing no more than an equal
-// part until the shares of the earlier one must have expired.
+// A new coordinator grants a daemon without a share no more than an equal part
+// until the shares of the earlier coordinator have expired.
 func TestNewCoordinatorRespectsEarlierShares(t *testing.T) {
 	limit := amounts{dimRequests: 100}
 	view := fleetView{live: 4, reachable: 4, isLive: func(string) bool { return true }}
@@ -238,8 +239,9 @@
 	qt.Check(t, later.amounts[dimRequests] >= 50, qt.IsTrue)
 }
 
-// In a cut between regions each side hands out its part of the limit only.
-func TestCutRegionsShareTheLimit(t *testing.T) {
+// In a network partition between regions each side grants its part of the limit
+// only.
+func TestPartitionedRegionsShareTheLimit(t *testing.T) {
 	limit := amounts{dimRequests: 100}
 	now := time.Unix(1000, 0)
 	sum := 0.0
@@ -260,7 +262,7 @@
 	qt.Check(t, sum <= 100+1e-9, qt.IsTrue, qt.Commentf("%v", sum))
 }
 
-// An answer that arrives after a newer one doesn't bring an older share back.
+// An answer that arrives after a newer one does not replace the newer share.
 func TestAccountIgnoresOlderShare(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := &account{limit: amounts{dimRequests: 100}, live: 2}
@@ -274,13 +276,13 @@
 	qt.Check(t, a.allowance(now)[dimRequests], qt.Equals, 30.0)
 	now = now.Add(shortestValidity)
 	qt.Check(t, a.allowance(now)[dimRequests], qt.Equals, 30.0)
-	now = now.Add(shortestValidity + settleTime)
+	now = now.Add(shortestValidity + expiryMargin)
 	qt.Check(t, a.allowance(now)[dimRequests], qt.Equals, 50.0)
 }
 
-// When the limit changes, shares follow in proportion and still add up to it.
+// When the limit changes, shares are scaled in proportion and still add up to it.
 func TestSharesFollowAChangedLimit(t *testing.T) {
-	d := alone(t)
+	d := uncoordinated(t)
 	limit := &bronzeturnv1.Limit{Organisation: "org", RequestsPerSecond: 100}
 	d.SetLimits([]*bronzeturnv1.Limit{limit}, 4)
 	a := d.shard("org").accounts["org"]
@@ -314,8 +316,8 @@
 	}
 }
 
-// At the target a daemon's reports stay within its part of the 21 KB a second
-// that control may take. See docs/design/0007-admission.md.
+// At the target size a daemon's reports stay within the budget of 21 KB/s for
+// control traffic. See docs/design/0007-admission.md.
 func TestReportBytesAtTarget(t *testing.T) {
 	a := &account{organisation: "distribuidora-042", limit: amounts{100, 50_000, 200, 1e9}, live: 410}
 	now := time.Unix(1_800_000_000, 0)
@@ -323,10 +325,10 @@
 		_ = a.admit(now, charge{tokens: 700, cost: 5000})
 	}
 	a.share = share{sequence: 1e6, coordinator: 1 << 63, day: dayOf(now), expires: now.Add(time.Second), granted: amounts{10, 5000, 20, 1e8}}
-	a.spend.spent, a.spend.told, a.spend.fleetTotal = 1e8, 1e8, 1e9
+	a.spend.spent, a.spend.acknowledged, a.spend.fleetTotal = 1e8, 1e8, 1e9
 	usageBytes := proto.Size(encodeUsage(a.organisation, a.usage(now)))
 	shareBytes := proto.Size(encodeShare(a.organisation, 1<<63, grantResult{
-		amounts: amounts{10, 5000, 20, 1e8}, sequence: 1e6, day: dayOf(now), fleetSpent: 1e9, period: farPeriod,
+		amounts: amounts{10, 5000, 20, 1e8}, sequence: 1e6, day: dayOf(now), fleetSpent: 1e9, period: lowUsePeriod,
 	}))
 	envelope := proto.Size(&bronzeturnv1.ReportUsageRequest{Daemon: "entry-campina-042", Incarnation: 1 << 63})
 	t.Logf("usage %d B, share %d B, envelope %d B", usageBytes, shareBytes, envelope)
@@ -334,12 +336,13 @@
 	qt.Check(t, shareBytes <= 80, qt.IsTrue)
 	qt.Check(t, envelope <= 40, qt.IsTrue)
 
-	// 2,600 requests a second that are spread evenly over 410 daemons and 300
-	// organisations, none of them quiet: a daemon has up to 64 organisations
-	// that were active within ten seconds, and each of them 87 daemons.
+	// 2,600 requests per second spread evenly over 410 daemons and 300
+	// organisations, all above the report threshold: a daemon has up to 64
+	// organisations that were active within ten seconds, and each organisation is
+	// active on 87 daemons.
 	const (
 		daemons, organisations = 410.0, 300.0
-		callBytes              = 300 // headers of a connect call and its answer
+		callBytes              = 300 // headers of a Connect call and its answer
 		coordinated            = 2   // organisations that one daemon coordinates
 	)
 	active := 2600 / daemons * activeFor.Seconds()
--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -6,95 +6,96 @@
 )
 
 const (
-	// shortestValidity and longestValidity bound how long a share may be used
-	// after the report was sent. It is validityPeriods times the period.
+	// shortestValidity and longestValidity bound the validity of a share: how long
+	// it may be used after the report was sent. The validity is validityPeriods
+	// times the period.
 	shortestValidity = 6 * time.Second
 	longestValidity  = 20 * time.Second
 	validityPeriods  = 2.5
-	// callTimeout bounds one report.
+	// callTimeout bounds one call that reports usage.
 	callTimeout = time.Second
-	// refreshEvery bounds how often a coordinator divides a limit anew.
-	refreshEvery = 100 * time.Millisecond
-	// settleTime is how much later than a daemon its coordinator may see the
-	// end of a share.
-	settleTime = callTimeout + refreshEvery
+	// refreshInterval is the shortest time between two divisions of a limit.
+	refreshInterval = 100 * time.Millisecond
+	// expiryMargin is how much later than the daemon its coordinator may regard a
+	// share as expired.
+	expiryMargin = callTimeout + refreshInterval
 	// shortestPeriod and longestPeriod bound the time between two reports.
-	// farPeriod is used far from the limit.
+	// lowUsePeriod is used while demand is below highUseThreshold.
 	shortestPeriod = 250 * time.Millisecond
-	farPeriod      = 2 * time.Second
+	lowUsePeriod   = 2 * time.Second
 	longestPeriod  = 8 * time.Second
-	// reportSpacing stretches the period with the number of daemons that
-	// report, so that the coordinator of one organisation gets at most 14
-	// reports a second up to 114 daemons, and 51 from 410.
+	// reportSpacing lengthens the period with the number of daemons that report,
+	// so that the coordinator of one organisation gets at most 14 reports a second
+	// with up to 114 daemons, and 51 with 410.
 	reportSpacing = 70 * time.Millisecond
-	// nearLimit is the part of a limit from which daemons report often.
-	nearLimit = 0.5
-	// silentReserve is how long a live daemon that fell silent keeps an equal
-	// part of the limit set aside for it.
-	silentReserve = 10 * time.Minute
+	// highUseThreshold is the part of a limit above which daemons report often.
+	highUseThreshold = 0.5
+	// silentReserveTime is how long an equal part of the limit stays reserved for a
+	// live daemon that has stopped reporting.
+	silentReserveTime = 10 * time.Minute
 )
 
-// report takes a daemon's report and returns its share. It returns false for
+// report processes a daemon's report and returns its share. It returns false for
 // a report that arrived after a later one.
 func (a *allocation) report(now time.Time, u usage, view fleetView) (grantResult, bool) {
-	a.roll(now)
-	h := a.holder(u)
+	a.advanceDay(now)
+	h := a.daemonState(u)
 	if u.report < h.report {
 		return grantResult{}, false
 	}
-	first := h.heard.IsZero()
+	first := h.reportedAt.IsZero()
 	before := a.outstanding(now, u.daemon, h, view)
-	a.hear(now, h, u)
-	h.equalSpend = u.told + max(0, a.limit[dimSpend]-u.fleetSpent)/float64(max(view.live, 1)) - u.spent
-	h.unproven = a.unproven(h, u, view)
+	a.recordReport(now, h, u)
+	h.equalSpend = u.acknowledged + max(0, a.limit[dimSpend]-u.fleetSpent)/float64(max(view.live, 1)) - u.spent
+	h.ungranted = a.ungranted(h, u, view)
 	if first {
-		for d := range a.proven {
-			a.proven[d] += h.unproven[d]
+		for d := range a.initialUse {
+			a.initialUse[d] += h.ungranted[d]
 		}
 	}
-	if now.Sub(a.refreshed) >= refreshEvery || a.refreshed.IsZero() {
+	if now.Sub(a.refreshed) >= refreshInterval || a.refreshed.IsZero() {
 		a.refresh(now, view)
 	} else {
 		after := a.outstanding(now, u.daemon, h, view)
-		a.addOut(before, -1)
-		a.addOut(after, 1)
+		a.addCommitted(before, -1)
+		a.addCommitted(after, 1)
 	}
 	if u.idle {
 		return grantResult{day: a.day, fleetSpent: a.spent(), period: longestPeriod}, true
 	}
-	return a.hand(now, u, h, view), true
+	return a.grantShare(now, u, h, view), true
 }
 
-// holder returns the state of the reporting daemon. A process that reports for
-// the first time brings the spend that earlier coordinators counted.
-func (a *allocation) holder(u usage) *holder {
-	h := a.holders[u.daemon]
+// daemonState returns the state of the reporting daemon. The first report of a
+// process carries the spend that earlier coordinators counted.
+func (a *allocation) daemonState(u usage) *daemonState {
+	h := a.daemons[u.daemon]
 	if h == nil {
-		h = &holder{validity: shortestValidity}
-		a.holders[u.daemon] = h
+		h = &daemonState{validity: shortestValidity}
+		a.daemons[u.daemon] = h
 	}
-	if h.incarnation != u.incarnation || h.heard.IsZero() {
+	if h.incarnation != u.incarnation || h.reportedAt.IsZero() {
 		h.incarnation = u.incarnation
 		h.spent, h.report = 0, 0
 		h.grants = nil
 		if u.day == a.day {
-			h.spent = u.told
-			a.spendBase = max(a.spendBase, u.fleetSpent)
+			h.spent = u.acknowledged
+			a.earlierSpend = max(a.earlierSpend, u.fleetSpent)
 		}
 	}
 	return h
 }
 
-// hear records a report. The report names the newest share that the daemon
-// knows of, so older ones are no longer in use.
-func (a *allocation) hear(now time.Time, h *holder, u usage) {
-	h.heard = now
+// recordReport records a report. It names the newest share that the daemon has
+// received, so older ones are no longer in use.
+func (a *allocation) recordReport(now time.Time, h *daemonState, u usage) {
+	h.reportedAt = now
 	h.report = u.report
 	h.idle = u.idle
 	h.wanted = u.wanted
 	h.inUse = u.inUse
 	if u.day == a.day && u.spent > h.spent {
-		a.spendMore += u.spent - h.spent
+		a.reportedSpend += u.spent - h.spent
 		h.spent = u.spent
 	}
 	kept := h.grants[:0]
@@ -107,8 +108,9 @@
 	h.grants = kept
 }
 
-// unproven is what a reporting daemon may use that was not granted here.
-func (a *allocation) unproven(h *holder, u usage, view fleetView) amounts {
+// ungranted returns what a reporting daemon may use that this coordinator did not
+// grant.
+func (a *allocation) ungranted(h *daemonState, u usage, view fleetView) amounts {
 	switch {
 	case u.idle || (u.sequence != 0 && u.coordinator == a.id):
 		return amounts{}
@@ -118,10 +120,10 @@
 	return a.equalPart(h, view)
 }
 
-// setLimit changes the limit. What is handed out follows in proportion, as it
-// does on the daemons that hold it.
+// setLimit changes the limit. Grants are scaled in proportion, as the daemons do
+// with the shares that they hold.
 func (a *allocation) setLimit(limit amounts) {
-	for _, h := range a.holders {
+	for _, h := range a.daemons {
 		for i := range h.grants {
 			for d := range limit {
 				if a.limit.limited(d) {
@@ -134,13 +136,13 @@
 	a.refreshed = time.Time{}
 }
 
-// hand grants a share to a daemon that has just been heard.
-func (a *allocation) hand(now time.Time, u usage, h *holder, view fleetView) grantResult {
+// grantShare grants a share to a daemon that has just reported.
+func (a *allocation) grantShare(now time.Time, u usage, h *daemonState, view fleetView) grantResult {
 	before := a.outstanding(now, u.daemon, h, view)
 	budget := a.budget(now, view)
 	given := a.target(h)
 	for d := range given {
-		free := max(0, budget[d]-(a.out[d]-before[d]))
+		free := max(0, budget[d]-(a.committed[d]-before[d]))
 		given[d] = min(given[d], free)
 	}
 	given[dimConcurrent] = math.Floor(given[dimConcurrent])
@@ -151,27 +153,27 @@
 	h.validity = validityOf(period)
 	h.grants = append(h.grants, grant{amounts: absolute, sequence: a.sequence, expires: now.Add(h.validity)})
 	after := a.outstanding(now, u.daemon, h, view)
-	a.addOut(before, -1)
-	a.addOut(after, 1)
+	a.addCommitted(before, -1)
+	a.addCommitted(after, 1)
 	return grantResult{
 		amounts: given, sequence: a.sequence, day: a.day, fleetSpent: a.spent(),
 		period: period, validity: h.validity,
 	}
 }
 
-// equalPart is what a daemon uses without a share. What it may spend follows
-// from what it last heard of the fleet's spend.
-func (a *allocation) equalPart(h *holder, view fleetView) amounts {
+// equalPart returns what a daemon may use without a share. The spend depends on
+// the fleet's spend that the daemon was last sent.
+func (a *allocation) equalPart(h *daemonState, view fleetView) amounts {
 	part := a.limit.equalPart(view.live)
 	left := max(0, a.limit[dimSpend]-a.spent()) / float64(max(view.live, 1))
 	part[dimSpend] = max(left, h.equalSpend)
 	return part
 }
 
-// outstanding is what the daemon may be using now.
-func (a *allocation) outstanding(now time.Time, name string, h *holder, view fleetView) amounts {
+// outstanding returns what the daemon may be using now.
+func (a *allocation) outstanding(now time.Time, name string, h *daemonState, view fleetView) amounts {
 	var out amounts
-	if h.heard.IsZero() || h.idle {
+	if h.reportedAt.IsZero() || h.idle {
 		return out
 	}
 	valid := false
@@ -186,11 +188,11 @@
 	}
 	out[dimSpend] = max(0, out[dimSpend]-h.spent)
 	for d := range out {
-		out[d] = max(out[d], h.unproven[d])
+		out[d] = max(out[d], h.ungranted[d])
 	}
-	silent := !now.Before(h.heard.Add(h.validity))
+	silent := !now.Before(h.reportedAt.Add(h.validity))
 	if !valid && silent {
-		if now.After(h.heard.Add(silentReserve)) || !view.isLive(name) {
+		if now.After(h.reportedAt.Add(silentReserveTime)) || !view.isLive(name) {
 			return amounts{}
 		}
 		out = a.equalPart(h, view)
@@ -199,19 +201,19 @@
 	return out
 }
 
-// refresh divides the limit anew among the daemons that want some.
+// refresh recomputes the division of the limit among the active daemons.
 func (a *allocation) refresh(now time.Time, view fleetView) {
 	a.refreshed = now
-	a.out = amounts{}
+	a.committed = amounts{}
 	var wants [dimensions][]float64
-	var wanted, aside amounts
+	var wanted, reserved amounts
 	a.active = 0
-	for name, h := range a.holders {
+	for name, h := range a.daemons {
 		out := a.outstanding(now, name, h, view)
-		a.addOut(out, 1)
-		if h.idle || !now.Before(h.heard.Add(h.validity)) {
-			for d := range aside {
-				aside[d] += out[d]
+		a.addCommitted(out, 1)
+		if h.idle || !now.Before(h.reportedAt.Add(h.validity)) {
+			for d := range reserved {
+				reserved[d] += out[d]
 			}
 			continue
 		}
@@ -222,39 +224,39 @@
 		}
 	}
 	budget := a.budget(now, view)
-	a.near = false
+	a.highUse = false
 	for d := range wants {
-		a.levels[d], a.rest[d] = waterLevel(budget[d]-aside[d], wants[d])
-		if a.limit.limited(d) && wanted[d] > nearLimit*(budget[d]-aside[d]) {
-			a.near = true
+		a.levels[d], a.surplus[d] = waterLevel(budget[d]-reserved[d], wants[d])
+		if a.limit.limited(d) && wanted[d] > highUseThreshold*(budget[d]-reserved[d]) {
+			a.highUse = true
 		}
 	}
 }
 
-// period tells a daemon when to report again.
+// period returns the time until a daemon's next report.
 func (a *allocation) period() time.Duration {
-	p := farPeriod
-	if a.near {
+	p := lowUsePeriod
+	if a.highUse {
 		p = shortestPeriod
 	}
 	return min(max(p, time.Duration(a.active)*reportSpacing), longestPeriod)
 }
 
-// validityOf returns the validity of a share that is renewed every period.
+// validityOf returns the validity of a share that is renewed once per period.
 func validityOf(period time.Duration) time.Duration {
 	return min(max(shortestValidity, time.Duration(validityPeriods*float64(period))), longestValidity)
 }
 
-// spent is the spend of the fleet on the day, as far as it was reported.
-func (a *allocation) spent() float64 { return a.spendBase + a.spendMore }
+// spent returns the spend of the fleet on the day, as far as it was reported.
+func (a *allocation) spent() float64 { return a.earlierSpend + a.reportedSpend }
 
-// roll starts a new UTC day.
-func (a *allocation) roll(now time.Time) {
+// advanceDay resets the spend at the start of a new UTC day.
+func (a *allocation) advanceDay(now time.Time) {
 	if d := dayOf(now); d > a.day {
 		a.day = d
-		a.spendBase, a.spendMore = 0, 0
+		a.earlierSpend, a.reportedSpend = 0, 0
 		a.refreshed = time.Time{}
-		for _, h := range a.holders {
+		for _, h := range a.daemons {
 			h.spent = 0
 			for i := range h.grants {
 				h.grants[i].amounts[dimSpend] = 0
@@ -263,8 +265,8 @@
 	}
 }
 
-func (a *allocation) addOut(part amounts, sign float64) {
+func (a *allocation) addCommitted(part amounts, sign float64) {
 	for d := range part {
-		a.out[d] += sign * part[d]
+		a.committed[d] += sign * part[d]
 	}
 }
--- a/admission/fleet.go
+++ b/admission/fleet.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// limitShards is the number of shards that organisations are spread over,
-	// each with a coordinator. Every daemon must use the same number. It is
-	// large, so that no daemon coordinates many organisations of a large fleet.
+	// limitShards is the number of shards that organisations are hashed to, each
+	// with its own coordinator. Every daemon must use the same number. It is large
+	// so that in a large fleet no daemon coordinates many organisations.
 	limitShards = 512
-	// reportTick is how often due reports are looked for.
-	reportTick = 50 * time.Millisecond
-	// ownerTick is how often a coordinator checks that it is still preferred.
-	ownerTick = time.Second
+	// reportCheckInterval is how often a daemon looks for reports that are due.
+	reportCheckInterval = 50 * time.Millisecond
+	// ownerCheckInterval is how often a coordinator checks that it still owns its
+	// shards.
+	ownerCheckInterval = time.Second
 )
 
-// fleet reports this daemon's usage to the coordinators and applies the
-// shares.
+// fleet reports this daemon's usage to the coordinators and applies the shares
+// that they grant.
 type fleet struct {
 	controller   *Controller
 	incarnation  uint64
@@ -44,23 +45,24 @@
 // shardOf returns the limit shard of an organisation.
 func shardOf(organisation string) int { return int(xxhash.Sum64String(organisation) % limitShards) }
 
-// setLimits tells the coordinators of the limits in force.
+// setLimits passes the limits in force to the shards that this daemon may
+// coordinate.
 func (f *fleet) setLimits(limits map[string]amounts, live int) {
 	f.coordinators.setLimits(limits, live)
 }
 
-// Run reports usage and applies shares until ctx ends. Without it, the daemon
-// keeps to an equal part of each limit.
+// Run reports usage and applies shares until ctx ends. While it does not run, the
+// daemon uses an equal part of each limit.
 func (c *Controller) Run(ctx context.Context) error {
-	// tomb.WithContext would race with a parent that ends at once.
+	// tomb.WithContext races with a parent context that ends immediately.
 	var t tomb.Tomb
 	t.Go(func() error { return c.fleet.loop(ctx, &t) })
 	return t.Wait()
 }
 
-// loop sends the reports that are due.
+// loop periodically sends the reports that are due.
 func (f *fleet) loop(ctx context.Context, t *tomb.Tomb) error {
-	ticks := time.NewTicker(reportTick)
+	ticks := time.NewTicker(reportCheckInterval)
 	defer ticks.Stop()
 	checked := time.Now()
 	for {
@@ -71,7 +73,7 @@
 			for owner, batch := range f.collect(now) {
 				t.Go(func() error { f.send(ctx, owner, batch); return nil })
 			}
-			if now.Sub(checked) >= ownerTick {
+			if now.Sub(checked) >= ownerCheckInterval {
 				checked = now
 				f.coordinators.dropLost()
 			}
@@ -79,14 +81,15 @@
 	}
 }
 
-// batch is the reports that go to one coordinator together.
+// batch holds the reports that are sent to one coordinator in one call.
 type batch struct {
 	sentAt   time.Time
 	accounts []*account
 	usages   []usage
 }
 
-// collect takes the due reports, by coordinator.
+// collect returns the reports to send, by coordinator. Coordinators with at least
+// one due report also get those that are due soon.
 func (f *fleet) collect(now time.Time) map[string]*batch {
 	var owners [limitShards]string
 	due := make(map[string]*batch)
@@ -103,7 +106,7 @@
 	}
 	f.controller.eachAccount(func(a *account) {
 		b := due[owners[shardOf(a.organisation)]]
-		if b == nil || !a.soon(now) {
+		if b == nil || !a.mayReportEarly(now) {
 			return
 		}
 		b.accounts = append(b.accounts, a)
@@ -112,7 +115,7 @@
 	return due
 }
 
-// send delivers a batch and applies the answer.
+// send sends a batch and applies the answer.
 func (f *fleet) send(ctx context.Context, owner string, b *batch) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -132,11 +135,11 @@
 	f.apply(b, response)
 }
 
-// errNoCoordinator means that the preferred owner can't be reached.
+// errNoCoordinator means that the owner of the limit shard can't be reached.
 var errNoCoordinator = errors.New("no coordinator for the limit shard")
 
 func call(ctx context.Context, client connect.HTTPClient, url string, r *bronzeturnv1.ReportUsageRequest) (*bronzeturnv1.ReportUsageResponse, error) {
-	// Reports are too small for compression to pay.
+	// Reports are too small to benefit from compression.
 	service := bronzeturnv1connect.NewLimitServiceClient(client, url, connect.WithAcceptCompression("gzip", nil, nil))
 	response, err := service.ReportUsage(ctx, connect.NewRequest(r))
 	if err != nil {
@@ -145,7 +148,8 @@
 	return response.Msg, nil
 }
 
-// apply settles each report of the batch with its share, or as failed.
+// apply applies the granted shares of the batch, and marks the reports without a
+// share as failed.
 func (f *fleet) apply(b *batch, response *bronzeturnv1.ReportUsageResponse) {
 	shares := make(map[string]*bronzeturnv1.LimitShare, len(response.GetShares()))
 	for _, s := range response.GetShares() {
@@ -158,7 +162,7 @@
 		if s := shares[a.organisation]; s != nil {
 			a.apply(b.sentAt, b.usages[i], s.GetCoordinator(), decodeShare(s))
 		} else {
-			a.failed(now)
+			a.reportFailed(now)
 		}
 		shard.mu.Unlock()
 	}
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -18,20 +18,20 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// testFleet runs daemons that report to each other over the connect service,
+// testFleet runs daemons that report to each other through the Connect service,
 // in virtual time and without a network.
 type testFleet struct {
 	daemons []*Controller
 	owner   atomic.Int32  // index of the coordinator of every shard
-	down    []atomic.Bool // daemons that no other daemon hears
+	down    []atomic.Bool // daemons that no other daemon can reach
 	lose    atomic.Bool   // every second answer is lost
 	calls   atomic.Int32
-	delay   atomic.Int64 // one way
+	delay   atomic.Int64 // one-way, in nanoseconds
 }
 
-var errCut = errors.New("connection is cut")
+var errPartitioned = errors.New("connection is cut")
 
-// link is the HTTP client of one daemon towards another.
+// link is the HTTP client of one daemon for another.
 type link struct {
 	f        *testFleet
 	from, to int
@@ -40,14 +40,14 @@
 func (l link) Do(r *http.Request) (*http.Response, error) {
 	time.Sleep(time.Duration(l.f.delay.Load()))
 	if l.f.down[l.from].Load() || l.f.down[l.to].Load() {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	_, handler := l.f.daemons[l.to].Handler()
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, r)
 	time.Sleep(time.Duration(l.f.delay.Load()))
 	if l.f.calls.Add(1)%2 == 0 && l.f.lose.Load() {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	return recorder.Result(), nil
 }
@@ -77,8 +77,8 @@
 	return f
 }
 
-// offer sends requests to a daemon at a rate for a time. Each holds its ticket
-// for the given time. It returns how many were admitted.
+// offer sends requests to a daemon at a rate for the duration d, each of which
+// holds its ticket for hold. It returns how many were admitted.
 func (f *testFleet) offer(daemon int, rate float64, d, hold time.Duration) (admitted int) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
@@ -98,7 +98,7 @@
 	return admitted
 }
 
-// offerAll offers different rates to the daemons at once.
+// offerAll sends requests to all daemons at once, at one rate each.
 func (f *testFleet) offerAll(rates []float64, d time.Duration) (admitted int) {
 	sums := make(chan int)
 	for i, rate := range rates {
@@ -116,7 +116,8 @@
 	return admitted
 }
 
-// Skewed callers get the whole limit, and at most 5% more, wherever they are.
+// Callers get the whole limit, and at most 5% more, however unevenly they are
+// spread over the daemons.
 func TestFleetHoldsLimitForSkewedCallers(t *testing.T) {
 	requests := &bronzeturnv1.Limit{Organisation: "org", RequestsPerSecond: 20}
 	tokens := &bronzeturnv1.Limit{Organisation: "org", TokensPerSecond: 2_000}
@@ -154,8 +155,8 @@
 	}
 }
 
-// A change, loss or cut of the coordinator neither stops work nor lets the
-// organisation exceed its limit by more than 5% over a minute.
+// When the coordinator changes, fails or can't be reached, requests are still
+// admitted, and the organisation exceeds its limit by at most 5% over a minute.
 func TestFleetHoldsLimitThroughCoordinatorFaults(t *testing.T) {
 	skewed := []float64{40, 12, 6, 2, 1, 0.2}
 	cases := []struct {
--- a/admission/group.go
+++ b/admission/group.go
@@ -8,74 +8,75 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// startResult tells a waiting request how its wait ended.
-type startResult int
+// waitResult is the outcome of a request's wait for a slot.
+type waitResult int
 
 const (
-	started startResult = iota
-	pushedOut
+	resultStarted waitResult = iota
+	resultEvicted
 )
 
-// group is the queue of the engines of one pool that serve one version.
+// group guards the queue for the engines of one pool that serve one version.
 type group struct {
 	mu    sync.Mutex
 	queue *Queue
 }
 
-// offer decides on a new request and wakes the one it pushed out, if any.
+// offer decides on a new request and wakes the request evicted for it, if any.
 func (g *group) offer(now, deadline time.Time, it *Item) (Decision, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d, after, evicted := g.queue.Offer(now, deadline, it)
 	if d == WaitTurn {
-		it.ready = make(chan startResult, 1)
+		it.ready = make(chan waitResult, 1)
 	}
 	if evicted != nil {
-		evicted.ready <- pushedOut
+		evicted.ready <- resultEvicted
 	}
 	return d, after
 }
 
-// wait returns when the request has its slot, or with the refusal. The wait
-// ends at the latest start that was set when the request was queued.
+// wait blocks until the request has a slot, and returns nil then, or the refusal.
+// It ends at the latest start that was set when the request was queued.
 func (g *group) wait(ctx context.Context, it *Item) *failure.Error {
-	timer := time.NewTimer(time.Until(it.latest))
+	timer := time.NewTimer(time.Until(it.latestStart))
 	defer timer.Stop()
 	select {
 	case result := <-it.ready:
-		return g.waited(result, it)
+		return g.waitOutcome(result, it)
 	case <-timer.C:
-		if !g.withdraw(it) {
-			return g.waited(<-it.ready, it)
+		if !g.cancelWait(it) {
+			return g.waitOutcome(<-it.ready, it)
 		}
 		return failure.New(failure.CodeNoCapacity, failure.RanNo, "no capacity became free in time").
-			After(g.waitAdvice(time.Now(), it))
+			After(g.retryAfter(time.Now(), it))
 	case <-ctx.Done():
-		if !g.withdraw(it) && <-it.ready == started {
+		if !g.cancelWait(it) && <-it.ready == resultStarted {
 			g.release(time.Now(), it, 0, 0)
 		}
 		return failure.Wrap(ctx.Err(), failure.CodeDeadlinePassed, failure.RanNo, "caller stopped waiting for capacity")
 	}
 }
 
-// waited turns the end of a wait into its outcome.
-func (g *group) waited(result startResult, it *Item) *failure.Error {
-	if result == started {
+// waitOutcome converts the result of a wait to an error, nil for a start.
+func (g *group) waitOutcome(result waitResult, it *Item) *failure.Error {
+	if result == resultStarted {
 		return nil
 	}
-	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").After(g.waitAdvice(time.Now(), it))
+	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").After(g.retryAfter(time.Now(), it))
 }
 
-// withdraw takes a request out that gives up waiting. It reports false when
-// the request has been started or pushed out meanwhile.
-func (g *group) withdraw(it *Item) bool {
+// cancelWait removes a request from the queue. It reports false when the request
+// has been started or evicted meanwhile.
+func (g *group) cancelWait(it *Item) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Remove(it)
 }
 
-// waitAdvice estimates the wait of a request like it, as advice to its caller.
-func (g *group) waitAdvice(now time.Time, it *Item) time.Duration {
+// retryAfter estimates the wait of an identical request, for the Retry-After of a
+// refusal.
+func (g *group) retryAfter(now time.Time, it *Item) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return clampRetry(g.queue.expectedWait(now, it.organisation, it.class, it.tokens))
@@ -89,7 +90,7 @@
 	g.startLocked(now)
 }
 
-// setSlots changes the capacity and starts the requests that now fit.
+// setSlots changes the number of slots and starts the requests that now fit.
 func (g *group) setSlots(now time.Time, slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,16 +98,17 @@
 	g.startLocked(now)
 }
 
-// setRoom changes the bound on bulk requests and starts those that now fit.
-func (g *group) setRoom(now time.Time, r GroupLoad) {
+// setLoad changes the bound on bulk requests and starts those that now fit.
+func (g *group) setLoad(now time.Time, r GroupLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.SetBulkLimit(r)
 	g.startLocked(now)
 }
 
+// startLocked starts the requests that may start now. The caller holds mu.
 func (g *group) startLocked(now time.Time) {
 	for it := g.queue.Next(now); it != nil; it = g.queue.Next(now) {
-		it.ready <- started
+		it.ready <- resultStarted
 	}
 }
--- a/admission/main_test.go
+++ b/admission/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests.
+// TestMain fixes the seed and the size of the property tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
--- a/admission/messages.go
+++ b/admission/messages.go
@@ -8,7 +8,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// shardKeys are the keys of the limit shards for the Owner option.
+// shardKeys are the keys of the limit shards that are passed to the Owner option.
 var shardKeys = func() (keys [limitShards]string) {
 	for i := range keys {
 		keys[i] = "limits/" + strconv.Itoa(i)
@@ -27,18 +27,18 @@
 	}
 }
 
-// decodeAmounts reads amounts of a peer. Values that are no amounts count as
-// zero.
+// decodeAmounts decodes the amounts of a peer. Negative and non-finite values
+// become zero.
 func decodeAmounts(m *bronzeturnv1.LimitAmounts) amounts {
 	return amounts{
-		dimRequests:   amount(float64(m.GetRequestsPerSecond())),
-		dimTokens:     amount(float64(m.GetTokensPerSecond())),
+		dimRequests:   validAmount(float64(m.GetRequestsPerSecond())),
+		dimTokens:     validAmount(float64(m.GetTokensPerSecond())),
 		dimConcurrent: float64(m.GetConcurrentRequests()),
-		dimSpend:      amount(float64(m.GetSpendMicros())),
+		dimSpend:      validAmount(float64(m.GetSpendMicros())),
 	}
 }
 
-func amount(v float64) float64 {
+func validAmount(v float64) float64 {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return 0
 	}
@@ -49,7 +49,7 @@
 	m := &bronzeturnv1.LimitUsage{
 		Organisation: organisation,
 		Day:          u.day, InUse: uint32(max(u.inUse, 0)),
-		SpentMicros: int64(u.spent), ToldMicros: int64(u.told), FleetSpentMicros: int64(u.fleetSpent),
+		SpentMicros: int64(u.spent), ToldMicros: int64(u.acknowledged), FleetSpentMicros: int64(u.fleetSpent),
 		Idle: u.idle, Report: u.report,
 	}
 	if u.idle {
@@ -70,7 +70,7 @@
 		coordinator: m.GetHeldCoordinator(), sequence: m.GetHeldSequence(),
 		held: decodeAmounts(m.GetHeld()), wanted: decodeAmounts(m.GetWanted()),
 		inUse: float64(m.GetInUse()), day: m.GetDay(),
-		spent: float64(m.GetSpentMicros()), told: float64(m.GetToldMicros()),
+		spent: float64(m.GetSpentMicros()), acknowledged: float64(m.GetToldMicros()),
 		fleetSpent: float64(m.GetFleetSpentMicros()), idle: m.GetIdle(),
 		report: m.GetReport(),
 	}
@@ -85,12 +85,13 @@
 	}
 }
 
-// decodeShare reads a share. Its times are kept within the known bounds.
+// decodeShare decodes a share. Its period and validity are clamped to the bounds
+// of this daemon.
 func decodeShare(m *bronzeturnv1.LimitShare) grantResult {
 	period := time.Duration(m.GetPeriodMs()) * time.Millisecond
 	return grantResult{
 		amounts: decodeAmounts(m.GetGranted()), sequence: m.GetSequence(), day: m.GetDay(),
-		fleetSpent: amount(float64(m.GetFleetSpentMicros())),
+		fleetSpent: validAmount(float64(m.GetFleetSpentMicros())),
 		period:     min(max(period, shortestPeriod), longestPeriod),
 		validity:   min(time.Duration(m.GetValidityMs())*time.Millisecond, longestValidity),
 	}
--- a/admission/options.go
+++ b/admission/options.go
@@ -10,35 +10,35 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// Faults of Options.
+// Errors for missing fields of Options.
 var (
 	ErrNoName  = errors.New("name is missing")
 	ErrNoOwner = errors.New("owner function is missing")
 	ErrNoDial  = errors.New("dial function is missing")
 )
 
-// defaultSlotRate is the service rate of a slot before one was measured, in
-// tokens per second.
+// defaultSlotRate is the assumed service rate of a slot until one has been
+// measured, in tokens per second.
 const defaultSlotRate = 200
 
-// Options are the parts of the daemon that admission needs.
+// Options are the dependencies and settings of a Controller.
 type Options struct {
 	// Name is the name of this daemon.
 	Name string
-	// Owner returns the preferred owner of a key, the same on daemons with the
-	// same view of the fleet, and whether it is this daemon.
+	// Owner returns the owner of a key and whether it is this daemon. Daemons with
+	// the same view of the fleet must get the same owner.
 	Owner func(key string) (name string, self bool)
 	// Dial returns the client and base URL of a live daemon. It reports false
 	// for a daemon that is not live.
 	Dial func(name string) (client connect.HTTPClient, url string, ok bool)
-	// Reachable returns how many live daemons this one hears, itself included.
-	// While it is below the live count, as in a cut between regions, a
-	// coordinator hands out only the reachable daemons' part. Nil means all.
+	// Reachable returns how many live daemons this one can reach, itself included.
+	// While it is below the live count, as in a network partition between regions,
+	// a coordinator grants only the part of the reachable daemons. Nil means all.
 	Reachable func() int
 	// SlotTokensPerSecond is the assumed service rate of a slot until requests
 	// have been measured. Zero selects 200.
 	SlotTokensPerSecond float64
-	// Registerer receives the metrics. Nil drops them.
+	// Registerer receives the metrics. Nil discards them.
 	Registerer prometheus.Registerer
 	Log        zerolog.Logger
 }
@@ -56,7 +56,7 @@
 	return o
 }
 
-// validate returns every fault.
+// validate returns an error that joins every fault.
 func (o *Options) validate() error {
 	var faults []error
 	if o.Name == "" {
@@ -71,7 +71,7 @@
 	return errors.Join(faults...)
 }
 
-// metrics counts what admission does.
+// metrics holds the counters of admission.
 type metrics struct {
 	refusals       *prometheus.CounterVec
 	failedReports  prometheus.Counter
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,7 +8,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// The classes of the queue, in the order in which they are served.
+// The priority classes of the queue, highest first.
 const (
 	classUrgent = iota
 	classNormal
@@ -28,23 +28,24 @@
 }
 
 const (
-	// bulkTurn gives bulk one in this many starts while normal requests wait.
-	// Urgent requests always go first.
-	bulkTurn = 16
-	// urgentReserve keeps one in this many slots free of bulk requests, so
-	// that an urgent request finds a slot.
+	// bulkStartInterval reserves one in this many starts for bulk requests while
+	// normal requests wait, so that bulk is not starved. Urgent requests always go
+	// first.
+	bulkStartInterval = 16
+	// urgentReserve keeps one in this many slots free of bulk requests, so that
+	// an urgent request finds a free slot.
 	urgentReserve = 8
-	// idleFlows bounds the flows that are kept without a waiting request.
-	idleFlows = 512
+	// maxIdleFlows bounds the flows without waiting requests that a class keeps.
+	maxIdleFlows = 512
 )
 
-// Item is a request that asks a Queue for a slot.
+// Item is a request in a Queue.
 type Item struct {
 	organisation string
 	class        int
 	tokens       float64
-	latest       time.Time // it must start by then or be refused
-	ready        chan startResult
+	latestStart  time.Time // the request is refused if it has not started by then
+	ready        chan waitResult
 }
 
 // NewItem returns a request of an organisation with its expected tokens.
@@ -52,10 +53,12 @@
 	return &Item{organisation: organisation, class: classOf(priority), tokens: tokens}
 }
 
-// LatestStart returns when a waiting request has to be taken out and refused.
-func (it *Item) LatestStart() time.Time { return it.latest }
+// LatestStart returns the time at which a request that still waits has to be removed
+// and refused.
+func (it *Item) LatestStart() time.Time { return it.latestStart }
 
-// flow holds the waiting requests of one organisation in one class.
+// flow holds the waiting requests of one organisation in one class, a flow of
+// start-time fair queueing.
 type flow struct {
 	items  []*Item
 	tag    float64 // virtual time at which the flow's next request starts
@@ -72,9 +75,9 @@
 	started meter   // tokens started
 }
 
-// Queue lets requests of one group start by priority, and within a priority
-// by start-time fair queueing over organisations, measured in tokens. It is a
-// pure state machine without a lock of its own.
+// Queue starts the requests of one group by priority, and within a priority by
+// start-time fair queueing over organisations, measured in tokens. It is not safe
+// for concurrent use.
 type Queue struct {
 	slots       int
 	inUse       int
@@ -83,13 +86,13 @@
 	classes     [classes]classQueue
 	waiting     int
 	sinceBulk   int
-	slotRate    float64 // tokens a second of one slot, measured
+	slotRate    float64 // measured tokens per second of one slot
 	heldTokens  float64
 	heldSeconds float64
 }
 
 // NewQueue returns a queue for a number of slots, each of which is assumed to
-// serve slotRate tokens a second until requests have been measured.
+// serve slotRate tokens per second until requests have been measured.
 func NewQueue(slots int, slotRate float64) *Queue {
 	q := &Queue{slots: slots, bulkLimit: math.MaxInt, slotRate: slotRate}
 	for c := range q.classes {
@@ -98,27 +101,27 @@
 	return q
 }
 
-// free reports whether a request of the class may take a slot.
-func (q *Queue) free(class int) bool {
+// hasSlot reports whether a slot is free for a request of the class.
+func (q *Queue) hasSlot(class int) bool {
 	if class != classBulk {
 		return q.inUse < q.slots
 	}
 	return q.inUse < q.slots-q.slots/urgentReserve && q.bulkInUse < q.bulkLimit
 }
 
-// passes reports whether a new request may start without waiting: it has a
-// slot and no request of its class or a higher one is before it.
-func (q *Queue) passes(class int) bool {
+// canStartNow reports whether a new request may start without waiting: a slot is
+// free and no request of its class or a higher one waits.
+func (q *Queue) canStartNow(class int) bool {
 	for c := classUrgent; c <= class; c++ {
 		if q.classes[c].waiting > 0 {
 			return false
 		}
 	}
-	return q.free(class)
+	return q.hasSlot(class)
 }
 
-// take starts a request that need not wait.
-func (q *Queue) take(now time.Time, it *Item) {
+// startNow starts a new request that need not wait.
+func (q *Queue) startNow(now time.Time, it *Item) {
 	c := &q.classes[it.class]
 	f := c.flow(it.organisation)
 	q.start(now, c, f, it)
@@ -134,8 +137,8 @@
 	}
 }
 
-// push adds a request to the queue.
-func (q *Queue) push(it *Item) {
+// enqueue adds a request to the queue.
+func (q *Queue) enqueue(it *Item) {
 	c := &q.classes[it.class]
 	f := c.flow(it.organisation)
 	if len(f.items) == 0 {
@@ -149,7 +152,7 @@
 	q.waiting++
 }
 
-// Remove takes a waiting request out. It reports whether it was waiting.
+// Remove removes a waiting request. It reports whether the request was waiting.
 func (q *Queue) Remove(it *Item) bool {
 	c := &q.classes[it.class]
 	f := c.flows[it.organisation]
@@ -175,7 +178,7 @@
 	return true
 }
 
-// Next starts the request whose turn it is, or returns nil.
+// Next starts and returns the next request, or returns nil when none may start.
 func (q *Queue) Next(now time.Time) *Item {
 	class := q.nextClass()
 	if class < 0 {
@@ -189,20 +192,21 @@
 	return it
 }
 
-// nextClass chooses the class of the next start, or -1 when none can start.
+// nextClass returns the class of the next request to start, or -1 when none may
+// start.
 func (q *Queue) nextClass() int {
 	if q.classes[classUrgent].waiting > 0 {
-		if q.free(classUrgent) {
+		if q.hasSlot(classUrgent) {
 			return classUrgent
 		}
 		return -1
 	}
-	normal := q.classes[classNormal].waiting > 0 && q.free(classNormal)
-	bulk := q.classes[classBulk].waiting > 0 && q.free(classBulk)
+	normal := q.classes[classNormal].waiting > 0 && q.hasSlot(classNormal)
+	bulk := q.classes[classBulk].waiting > 0 && q.hasSlot(classBulk)
 	switch {
 	case normal && bulk:
 		q.sinceBulk++
-		if q.sinceBulk >= bulkTurn {
+		if q.sinceBulk >= bulkStartInterval {
 			q.sinceBulk = 0
 			return classBulk
 		}
@@ -216,8 +220,9 @@
 	return -1
 }
 
-// Release frees the slot of a request, which held it for a time and produced
-// tokens. The caller then starts what Next returns.
+// Release frees the slot of a request, which held it for a time and used tokens,
+// and updates the measured service rate. The caller then starts what Next
+// returns.
 func (q *Queue) Release(it *Item, tokens float64, held time.Duration) {
 	q.inUse--
 	if it.class == classBulk {
@@ -226,13 +231,13 @@
 	if tokens <= 0 || held <= 0 {
 		return
 	}
-	const keep = 0.98 // weight of the past at each release
+	const keep = 0.98 // weight of earlier requests at each release
 	q.heldTokens = q.heldTokens*keep + tokens
 	q.heldSeconds = q.heldSeconds*keep + held.Seconds()
 	q.slotRate = q.heldTokens / q.heldSeconds
 }
 
-// flow returns the organisation's flow, making it if needed.
+// flow returns the organisation's flow, creating it if needed.
 func (c *classQueue) flow(organisation string) *flow {
 	f := c.flows[organisation]
 	if f == nil {
@@ -243,9 +248,10 @@
 	return f
 }
 
-// prune forgets idle flows that are owed nothing when there are many.
+// prune removes idle flows when there are many. Flows whose start tag is ahead of
+// the virtual time stay, since their organisations are ahead of their fair share.
 func (c *classQueue) prune() {
-	if len(c.flows) < idleFlows+len(c.backlog) {
+	if len(c.flows) < maxIdleFlows+len(c.backlog) {
 		return
 	}
 	for name, f := range c.flows {
@@ -255,7 +261,7 @@
 	}
 }
 
-// startTag advances the virtual time for one start of the flow.
+// startTag advances the virtual time and the tag of the flow for one start.
 func (c *classQueue) startTag(f *flow, tokens float64) {
 	f.tag = max(f.tag, c.virtual)
 	c.virtual = f.tag
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// queueModel drives a queue and checks it against what was asked of it.
+// queueModel performs random operations on a queue and checks its state against
+// the running and waiting requests.
 type queueModel struct {
 	q       *Queue
 	now     time.Time
@@ -17,13 +18,13 @@
 	waiting map[*Item]bool
 }
 
-const modelTokens = 100
+const meanTokens = 100
 
 func (m *queueModel) arrive(t *rapid.T) {
 	it := &Item{
 		organisation: rapid.SampledFrom([]string{"large", "small", "other"}).Draw(t, "organisation"),
 		class:        rapid.IntRange(classUrgent, classBulk).Draw(t, "class"),
-		tokens:       float64(rapid.IntRange(1, 2*modelTokens).Draw(t, "tokens")),
+		tokens:       float64(rapid.IntRange(1, 2*meanTokens).Draw(t, "tokens")),
 	}
 	before := m.q.waiting
 	d, after, evicted := m.q.Offer(m.now, m.now.Add(time.Hour), it)
@@ -118,14 +119,14 @@
 	})
 }
 
-// While two organisations both wait, neither gets ahead of the other by more
-// than one request each, however much more the other asks for.
+// While two organisations both wait, the tokens served to them differ by at most
+// two of the largest requests, however many more requests one of them has.
 func TestQueueServesWaitingOrganisationsFairly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		q := NewQueue(1, 1e6)
 		running := &Item{organisation: "first", class: classNormal, tokens: 1}
-		q.take(now, running)
+		q.startNow(now, running)
 		size := rapid.Float64Range(1, 1000)
 		largest := 0.0
 		for _, organisation := range []string{"large", "small"} {
@@ -136,7 +137,7 @@
 			for range n {
 				tokens := size.Draw(t, "tokens")
 				largest = max(largest, tokens)
-				q.push(&Item{organisation: organisation, class: classNormal, tokens: tokens})
+				q.enqueue(&Item{organisation: organisation, class: classNormal, tokens: tokens})
 			}
 		}
 		served := map[string]float64{}
@@ -156,15 +157,15 @@
 	now := time.Unix(0, 0)
 	q := NewQueue(1, 1e6)
 	running := &Item{organisation: "a", class: classNormal, tokens: 1}
-	q.take(now, running)
-	for i := range 20 * bulkTurn {
-		q.push(&Item{organisation: "a", class: classNormal, tokens: 1})
+	q.startNow(now, running)
+	for i := range 20 * bulkStartInterval {
+		q.enqueue(&Item{organisation: "a", class: classNormal, tokens: 1})
 		if i < 20 {
-			q.push(&Item{organisation: "a", class: classBulk, tokens: 1})
+			q.enqueue(&Item{organisation: "a", class: classBulk, tokens: 1})
 		}
 	}
 	bulk := 0
-	for range 10 * bulkTurn {
+	for range 10 * bulkStartInterval {
 		q.Release(running, 1, time.Second)
 		running = q.Next(now)
 		if running.class == classBulk {
@@ -172,8 +173,8 @@
 		}
 	}
 	c.Assert(bulk, qt.Equals, 10)
-	q.push(&Item{organisation: "a", class: classUrgent, tokens: 1})
-	q.sinceBulk = bulkTurn
+	q.enqueue(&Item{organisation: "a", class: classUrgent, tokens: 1})
+	q.sinceBulk = bulkStartInterval
 	q.Release(running, 1, time.Second)
 	c.Assert(q.Next(now).class, qt.Equals, classUrgent)
 }
@@ -201,10 +202,10 @@
 			c := qt.New(t)
 			q := NewQueue(test.slots, 100) // a request of 100 tokens takes a second
 			if test.slots == 1 {
-				q.take(now, &Item{organisation: "busy", class: classNormal, tokens: 100})
+				q.startNow(now, &Item{organisation: "busy", class: classNormal, tokens: 100})
 			}
 			for range test.waiting {
-				q.push(&Item{organisation: "busy", class: classNormal, tokens: 100})
+				q.enqueue(&Item{organisation: "busy", class: classNormal, tokens: 100})
 			}
 			it := &Item{organisation: "busy", class: test.class, tokens: 100}
 			d, after, _ := q.Offer(now, now.Add(test.deadline), it)
@@ -217,13 +218,13 @@
 	}
 }
 
-// A full queue makes place for an organisation with less waiting, and for a
-// higher priority, at the cost of the organisation with the most waiting.
-func TestQueuePushesOutTheLongestFlow(t *testing.T) {
+// A full queue evicts a request of the organisation with the most waiting requests
+// for one of an organisation with fewer, or of a higher priority.
+func TestQueueEvictsFromTheLongestFlow(t *testing.T) {
 	c := qt.New(t)
 	now, deadline := time.Unix(0, 0), time.Unix(3600, 0)
 	q := NewQueue(1, 1e9)
-	q.take(now, &Item{organisation: "large", class: classBulk, tokens: 1})
+	q.startNow(now, &Item{organisation: "large", class: classBulk, tokens: 1})
 	for i := range maxWaiting {
 		d, _, evicted := q.Offer(now, deadline, &Item{organisation: "large", class: classBulk, tokens: 1})
 		c.Assert(d, qt.Equals, WaitTurn, qt.Commentf("request %d", i))
@@ -239,7 +240,7 @@
 	c.Assert(q.waiting, qt.Equals, maxWaiting)
 }
 
-func TestBulkLimitFollowsTheRoom(t *testing.T) {
+func TestBulkLimitFollowsTheReportedLoad(t *testing.T) {
 	cases := []struct {
 		name    string
 		own     int
@@ -257,12 +258,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, BulkLimit(test.own, roomOf(test.sharers, test.busy)), qt.Equals, test.want)
+			qt.Check(t, BulkLimit(test.own, loadOf(test.sharers, test.busy)), qt.Equals, test.want)
 		})
 	}
 	now := time.Unix(0, 0)
 	q := NewQueue(80, 1e9)
-	q.SetBulkLimit(roomOf(1, []int{31, 35}))
+	q.SetBulkLimit(loadOf(1, []int{31, 35}))
 	starts := 0
 	for range 10 {
 		if d, _, _ := q.Offer(now, now.Add(time.Hour), &Item{organisation: "a", class: classBulk, tokens: 1}); d == StartNow {
@@ -274,7 +275,7 @@
 	qt.Check(t, d, qt.Equals, StartNow)
 }
 
-func roomOf(sharers int, busy []int) GroupLoad {
+func loadOf(sharers int, busy []int) GroupLoad {
 	room := GroupLoad{Daemons: sharers}
 	for _, b := range busy {
 		room.Add(40, b)
--- a/admission/report.go
+++ b/admission/report.go
@@ -8,30 +8,33 @@
 	// activeFor is how long an organisation counts as active on a daemon after
 	// its last request.
 	activeFor = 10 * time.Second
-	// hurryGap is the least time between two reports of one organisation.
-	hurryGap = 100 * time.Millisecond
-	// headroom is what a daemon wants beyond its measured demand.
+	// minReportInterval is the shortest time between two reports of one
+	// organisation.
+	minReportInterval = 100 * time.Millisecond
+	// headroom is the factor by which a daemon's request for a share exceeds its
+	// measured demand.
 	headroom = 1.25
-	// quietPart is the part of an equal share up to which a daemon uses a limit
-	// without reporting. It bounds the over-admission that comes from that.
-	quietPart = 0.05
-	// leastWant is the part of an equal share that an active daemon wants at
-	// least, so that a new burst does not start from nothing.
-	leastWant = 0.05
-	// shortShare is the part of its share from which a daemon reports at once.
-	shortShare = 0.8
+	// reportThreshold is the part of an equal share up to which a daemon uses a
+	// limit without reporting. It bounds the over-admission that results.
+	reportThreshold = 0.05
+	// minDemand is the part of an equal share that an active daemon asks for at
+	// least, so that a burst after little traffic finds some share.
+	minDemand = 0.05
+	// earlyReportThreshold is the used part of its share above which a daemon
+	// reports at once.
+	earlyReportThreshold = 0.8
 )
 
 // reportState schedules the reports of one account.
 type reportState struct {
-	last     time.Time // sent
-	next     time.Time // due; zero while the organisation is idle here
+	last     time.Time // when the last report was sent
+	next     time.Time // when the next report is due; zero while the organisation is idle on this daemon
 	sent     uint64    // reports sent
 	inFlight bool
 }
 
 // due reports whether the account should report now. An idle organisation
-// reports once more to give its share back.
+// reports once more to release its share.
 func (a *account) due(now time.Time) bool {
 	if a.report.inFlight || a.report.next.IsZero() {
 		return false
@@ -39,9 +42,9 @@
 	return !now.Before(a.report.next)
 }
 
-// soon reports whether a report that goes to the same coordinator anyway may
-// take this account along.
-func (a *account) soon(now time.Time) bool {
+// mayReportEarly reports whether the account may join a batch that goes to the
+// same coordinator anyway: at least half of its report period has passed.
+func (a *account) mayReportEarly(now time.Time) bool {
 	if a.report.inFlight || a.report.next.IsZero() {
 		return false
 	}
@@ -49,62 +52,65 @@
 	return !now.Before(a.report.next.Add(-half))
 }
 
-// schedule makes the account report at once when it is short, or when it
-// starts to use more than it may without reporting.
+// schedule brings the next report forward when the account is close to its
+// allowance or was refused a request, and schedules the first report when it uses
+// more than it may without reporting.
 func (a *account) schedule(now time.Time) {
 	if a.report.next.IsZero() {
-		if !a.quiet(now) {
+		if !a.belowReportThreshold(now) {
 			a.report.next = now
 		}
 		return
 	}
-	if a.refused || a.short(now) {
-		a.report.next = earlier(a.report.next, a.report.last.Add(hurryGap))
+	if a.refused || a.nearAllowance(now) {
+		a.report.next = earlier(a.report.next, a.report.last.Add(minReportInterval))
 	}
 }
 
-// quiet reports whether the daemon uses so little that it need not report.
-func (a *account) quiet(now time.Time) bool {
+// belowReportThreshold reports whether the daemon uses so little of the limit that
+// it need not report.
+func (a *account) belowReportThreshold(now time.Time) bool {
 	part := a.limit.equalPart(a.live)
 	used := amounts{
 		dimRequests: a.offered[dimRequests].perSecond(now), dimTokens: a.offered[dimTokens].perSecond(now),
-		dimConcurrent: float64(a.inUse), dimSpend: a.spend.spent + a.spend.reserved - a.spend.told,
+		dimConcurrent: float64(a.inUse), dimSpend: a.spend.spent + a.spend.reserved - a.spend.acknowledged,
 	}
 	for d := range used {
-		if a.limit.limited(d) && used[d] > quietPart*part[d] {
+		if a.limit.limited(d) && used[d] > reportThreshold*part[d] {
 			return false
 		}
 	}
 	return true
 }
 
-// short reports whether the share is nearly used up and may be raised.
-func (a *account) short(now time.Time) bool {
+// nearAllowance reports whether use is close to the allowance, so that an earlier
+// report may get a larger share.
+func (a *account) nearAllowance(now time.Time) bool {
 	may := a.allowance(now)
-	if a.limit.limited(dimConcurrent) && float64(a.inUse) >= shortShare*may[dimConcurrent] {
+	if a.limit.limited(dimConcurrent) && float64(a.inUse) >= earlyReportThreshold*may[dimConcurrent] {
 		return true
 	}
 	for d := range a.offered {
-		if a.limit.limited(d) && a.offered[d].perSecond(now) > shortShare*may[d] {
+		if a.limit.limited(d) && a.offered[d].perSecond(now) > earlyReportThreshold*may[d] {
 			return true
 		}
 	}
-	return a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved > shortShare*may[dimSpend]
+	return a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved > earlyReportThreshold*may[dimSpend]
 }
 
-// usage builds a report and marks it as sent.
+// usage returns a report and marks it as sent.
 func (a *account) usage(now time.Time) usage {
-	a.roll(now)
+	a.advanceDay(now)
 	a.report.sent++
 	u := usage{
 		report: a.report.sent,
 		inUse:  float64(a.inUse),
 		day:    a.spend.day,
-		spent:  a.spend.spent, told: a.spend.told, fleetSpent: a.spend.fleetTotal,
+		spent:  a.spend.spent, acknowledged: a.spend.acknowledged, fleetSpent: a.spend.fleetTotal,
 		idle: a.inUse == 0 && now.Sub(a.lastActive) > activeFor,
 	}
 	if u.idle {
-		// From here on the daemon uses an equal part if requests come.
+		// The share is released; new requests use an equal part until the next grant.
 		a.share = share{}
 	}
 	if now.Before(a.share.expires) {
@@ -119,12 +125,12 @@
 	return u
 }
 
-// wanted is what the daemon expects to use.
+// wanted returns what the daemon expects to use.
 func (a *account) wanted(now time.Time) amounts {
 	var w amounts
 	least := a.limit.equalPart(a.live)
 	for d := range a.offered {
-		w[d] = max(a.offered[d].perSecond(now)*headroom, least[d]*leastWant)
+		w[d] = max(a.offered[d].perSecond(now)*headroom, least[d]*minDemand)
 	}
 	w[dimConcurrent] = float64(a.inUse+1) * headroom
 	if a.refused {
@@ -132,12 +138,12 @@
 		w[dimConcurrent] = max(w[dimConcurrent], 2*may[dimConcurrent])
 	}
 	ahead := a.costs.perSecond(now) * shortestValidity.Seconds() * headroom
-	w[dimSpend] = a.spend.reserved + max(ahead, least[dimSpend]*leastWant)
+	w[dimSpend] = a.spend.reserved + max(ahead, least[dimSpend]*minDemand)
 	return w
 }
 
-// apply puts a granted share in force. Sent is the usage that it answers, at
-// the time sentAt. A share older than the one held is ignored.
+// apply applies a granted share. The grant answers the usage sent at sentAt. A
+// share older than the current one is ignored.
 func (a *account) apply(sentAt time.Time, sent usage, coordinator uint64, g grantResult) {
 	a.report.inFlight = false
 	if sent.idle {
@@ -147,7 +153,7 @@
 		return
 	}
 	a.report.next = sentAt.Add(g.period)
-	a.tell(sent, g)
+	a.recordFleetSpend(sent, g)
 	if coordinator == a.share.coordinator && g.sequence <= a.share.sequence {
 		return
 	}
@@ -158,16 +164,17 @@
 	a.share.granted[dimSpend] += sent.spent
 }
 
-// tell records the spend of the fleet.
-func (a *account) tell(sent usage, g grantResult) {
+// recordFleetSpend records the fleet's spend and the part of this daemon's spend
+// that it includes.
+func (a *account) recordFleetSpend(sent usage, g grantResult) {
 	if g.day == a.spend.day && sent.day == a.spend.day {
 		a.spend.fleetTotal = max(a.spend.fleetTotal, g.fleetSpent)
-		a.spend.told = max(a.spend.told, sent.spent)
+		a.spend.acknowledged = max(a.spend.acknowledged, sent.spent)
 	}
 }
 
-// failed records that a report got no answer. It is tried again.
-func (a *account) failed(now time.Time) {
+// reportFailed records that a report got no answer and schedules a retry.
+func (a *account) reportFailed(now time.Time) {
 	a.report.inFlight = false
 	a.report.next = now.Add(shortestPeriod)
 }
--- a/admission/service.go
+++ b/admission/service.go
@@ -13,7 +13,7 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// Handler returns the path and handler of the limit service, to be served to
+// Handler returns the path and handler of the limit service. Serve it to
 // authenticated peers only.
 func (c *Controller) Handler(options ...connect.HandlerOption) (string, http.Handler) {
 	return bronzeturnv1connect.NewLimitServiceHandler(c.fleet.coordinators, options...)
@@ -29,7 +29,7 @@
 // The allocations start empty whenever this daemon becomes the owner.
 type coordinatorShard struct {
 	mu          sync.Mutex
-	id          uint64 // zero: not the owner
+	id          uint64 // zero while this daemon is not the owner
 	live        int
 	limits      map[string]amounts
 	allocations map[string]*allocation
@@ -42,8 +42,8 @@
 	return connect.NewResponse(c.report(time.Now(), r.Msg)), nil
 }
 
-// report answers the usages of the shards that this daemon owns. The others
-// are left out of the answer, and the reporter tries again.
+// report answers the usages of the shards that this daemon owns. The others are
+// omitted from the answer, and the reporting daemon retries.
 func (c *coordinators) report(now time.Time, r *bronzeturnv1.ReportUsageRequest) *bronzeturnv1.ReportUsageResponse {
 	response := &bronzeturnv1.ReportUsageResponse{}
 	for _, m := range r.GetUsages() {
@@ -77,7 +77,7 @@
 	return encodeShare(organisation, shard.id, granted)
 }
 
-// view describes the fleet to an allocation.
+// view returns the view of the fleet for an allocation.
 func (c *coordinators) view(live int) fleetView {
 	return fleetView{
 		live:      live,
@@ -92,7 +92,8 @@
 	}
 }
 
-// allocation returns the organisation's allocation under its limit.
+// allocation returns the organisation's allocation with the limit applied,
+// creating it if needed.
 func (s *coordinatorShard) allocation(now time.Time, organisation string, limit amounts) *allocation {
 	if s.id == 0 {
 		s.id = rand.Uint64() | 1
@@ -109,10 +110,10 @@
 	return a
 }
 
-// drop forgets the allocations of a shard that another daemon coordinates.
+// drop discards the allocations of a shard that another daemon coordinates.
 func (s *coordinatorShard) drop() { s.id, s.allocations = 0, nil }
 
-// dropLost forgets the shards that this daemon no longer owns.
+// dropLost discards the state of shards that this daemon no longer owns.
 func (c *coordinators) dropLost() {
 	for i := range c.shards {
 		c.shards[i].dropUnless(func() bool {
@@ -122,7 +123,7 @@
 	}
 }
 
-// dropUnless forgets a shard that has state unless it is owned.
+// dropUnless discards the state of a shard, if it has any, unless it is owned.
 func (s *coordinatorShard) dropUnless(owned func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// setLimits puts limits in force in all shards.
+// setLimits applies limits to all shards.
 func (c *coordinators) setLimits(limits map[string]amounts, live int) {
 	var byShard [limitShards]map[string]amounts
 	for organisation, limit := range limits {
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Ticket is the admission of one request. It holds a place within the limits
-// of its organisation and a slot of its group until Release.
+// Ticket is the admission of one request. Until Release, it counts against the
+// limits of its organisation and occupies a slot of its group.
 type Ticket struct {
 	controller *Controller
 	shard      *accountShard
@@ -18,10 +18,10 @@
 	released   atomic.Bool
 }
 
-// Waited returns how long the request waited for its slot since then.
+// Waited returns the time from since until the request got its slot.
 func (t *Ticket) Waited(since time.Time) time.Duration { return t.started.Sub(since) }
 
-// Release ends the admission and settles what the request used. Only the
+// Release ends the admission and settles the actual usage of the request. Only the
 // first call has an effect.
 func (t *Ticket) Release(used ActualUsage) {
 	if !t.released.CompareAndSwap(false, true) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// refund undoes the charges of a request that got no slot.
+// refund reverses the charge of a request that got no slot.
 func (t *Ticket) refund(now time.Time) {
 	if t.account == nil {
 		return
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// maxWaiting bounds the requests that wait in one group.
+	// maxWaiting bounds the waiting requests of one group.
 	maxWaiting = 1024
-	// waitFraction bounds the wait by this part of the time to the deadline,
-	// so that a refusal leaves the caller time to act on it.
+	// waitFraction is the part of the time to the deadline that a request may
+	// wait, so that a refusal leaves the caller time to react.
 	waitFraction = 0.5
-	// leastRate is the part of the service rate that a class is assumed to get
-	// at least, however busy the classes above are.
-	leastRate = 0.05
-	// minRetryAfter and maxRetryAfter bound the advice on when to come back.
+	// minRateShare is the part of the service rate that a class is assumed to get
+	// at least, however busy the higher classes are.
+	minRateShare = 0.05
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refusal.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Minute
-	// concurrencyRetryAfter is the advice when a request has to end first.
+	// concurrencyRetryAfter is the Retry-After when a running request has to end
+	// first.
 	concurrencyRetryAfter = 500 * time.Millisecond
-	// noEngineRetryAfter is the advice when a group has no slot at all.
+	// noEngineRetryAfter is the Retry-After when a group has no slots.
 	noEngineRetryAfter = 5 * time.Second
 )
 
-// expectedWait estimates how long a new request would wait: the tokens that
-// start before it over the rate at which the group serves its class.
+// expectedWait estimates how long a new request would wait: the tokens that start
+// before it, divided by the rate at which the group serves its class.
 func (q *Queue) expectedWait(now time.Time, organisation string, class int, tokens float64) time.Duration {
 	if q.slots == 0 {
 		return noEngineRetryAfter
@@ -34,9 +35,9 @@
 		above += q.classes[c].started.perSecond(now)
 	}
 	ahead += q.classes[class].ahead(organisation, tokens)
-	// With every slot taken, one slot's worth of work has to end first.
+	// With every slot taken, one slot has to become free first.
 	ahead += tokens / float64(q.slots)
-	left := max(leastRate, 1-above/rate)
+	left := max(minRateShare, 1-above/rate)
 	return seconds(ahead / (rate * left))
 }
 
@@ -49,7 +50,8 @@
 		own = f.tokens
 		tag = max(tag, f.tag)
 	}
-	// The request starts at this virtual time; other flows get that far too.
+	// The virtual time at which the request starts; requests of other flows with
+	// earlier start tags are served before it.
 	reach := tag + own
 	sum := own
 	for _, f := range c.backlog {
@@ -66,9 +68,9 @@
 	return c.flows[organisation] == f
 }
 
-// latestStart returns the last moment at which a request may start: it must
-// leave time for its own service and must not hold the caller longer than a
-// part of the deadline.
+// latestStart returns the latest time at which a request may start: the time left
+// must suffice for its service, and the wait must not exceed waitFraction of the
+// time to the deadline.
 func latestStart(now, deadline time.Time, service time.Duration) time.Time {
 	left := deadline.Sub(now)
 	hold := min(time.Duration(float64(left)*waitFraction), left-service)
@@ -83,34 +85,34 @@
 	return seconds(tokens / q.slotRate)
 }
 
-// Decision is the outcome of offering a request to a queue.
+// Decision is the outcome of Queue.Offer.
 type Decision int
 
 // The values of Decision.
 const (
-	// StartNow means that the request has a slot.
+	// StartNow means that the request has been given a slot.
 	StartNow Decision = iota
-	// WaitTurn means that the request is in the queue, until Next returns it or
-	// Remove takes it out.
+	// WaitTurn means that the request has been queued and waits until Next returns
+	// it or Remove removes it.
 	WaitTurn
 	// Refuse means that the request can't start in time.
 	Refuse
 )
 
-// Offer decides on a new request. On Refuse, the duration is the advice on
-// when to come back. On WaitTurn, the request is in the queue, and evicted,
-// if any, was pushed out for it.
+// Offer decides on a new request. On Refuse, the duration is the time after which
+// to retry. On WaitTurn, the request has been queued, and evicted, if not nil, is
+// the request that was removed to make space for it.
 func (q *Queue) Offer(now, deadline time.Time, it *Item) (d Decision, after time.Duration, evicted *Item) {
-	if q.passes(it.class) {
-		q.take(now, it)
+	if q.canStartNow(it.class) {
+		q.startNow(now, it)
 		return StartNow, 0, nil
 	}
 	if q.slots == 0 {
 		return Refuse, noEngineRetryAfter, nil
 	}
 	wait := q.expectedWait(now, it.organisation, it.class, it.tokens)
-	it.latest = latestStart(now, deadline, q.serviceTime(it.tokens))
-	if now.Add(wait).After(it.latest) {
+	it.latestStart = latestStart(now, deadline, q.serviceTime(it.tokens))
+	if now.Add(wait).After(it.latestStart) {
 		return Refuse, clampRetry(wait), nil
 	}
 	if q.waiting >= maxWaiting {
@@ -120,13 +122,14 @@
 		}
 		q.Remove(evicted)
 	}
-	q.push(it)
+	q.enqueue(it)
 	return WaitTurn, 0, evicted
 }
 
-// victim chooses the waiting request that gives way to it in a full queue:
-// the newest one of the organisation with the most waiting, in the lowest
-// class that waits. It returns nil when the new request itself is the one.
+// victim returns the waiting request to evict for a new one when the queue is
+// full: the newest request of the organisation with the most waiting requests, in
+// the lowest class that has any. It returns nil when the new request itself would
+// be the one to evict.
 func (q *Queue) victim(it *Item) *Item {
 	for class := classBulk; class >= it.class; class-- {
 		c := &q.classes[class]
@@ -157,6 +160,7 @@
 	return longest
 }
 
+// clampRetry bounds a Retry-After to minRetryAfter and maxRetryAfter.
 func clampRetry(d time.Duration) time.Duration {
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
