--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -119,7 +119,7 @@
 		if g.SlowStarts.Passed(engine, now) {
 			return true
 		}
-		if !t.homes.Restricted {
+		if !t.homes.Limited {
 			return false
 		}
 		e, known := engines.View.Engine(engine)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -44,7 +44,7 @@
 	organisation string
 	priority     int
 	// homes are where it may be worked on.
-	homes   route.AllowedRegions
+	homes   route.RegionSet
 	service string
 	// backend is the service's entry in the configuration, nil for none; ranked
 	// tells that its engines run language models.
