--- a/selection/bench_test.go
+++ b/selection/bench_test.go
@@ -12,11 +12,11 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// targetVersions is the number of versions at the target size.
+// targetVersions is the number of versions that the project is designed for.
 const targetVersions = 36
 
-// largeSite returns a site with n versions of rising price and quality, all
-// allowed, with a roll-out and a cascade kind.
+// largeSite returns a configuration with n versions of increasing price and
+// quality, all allowed, with a roll-out and a kind with cascades.
 func largeSite(n int) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	reg := &bronzeturnv1.Register{}
 	engine := &bronzeturnv1.Engine{Name: "e", TokensPerSecond: 50}
--- a/selection/candidate.go
+++ b/selection/candidate.go
@@ -8,16 +8,18 @@
 	"github.com/bronzeturn/bronzeturn/rollout"
 )
 
-// defaultRetryAfter is the advice when no version reaches the target.
+// defaultRetryAfter is the Retry-After when no version reaches the target, or no
+// engine serves one.
 const defaultRetryAfter = 30 * time.Second
 
-// usual tells whether a candidate may be chosen apart from roll-outs and
-// trickles.
-func (c *choice) usual(v int) bool {
-	return !c.introduced(v) && c.gate(v) == rollout.GateOpen && c.eligible(v)
+// regular reports whether a candidate may be chosen independently of roll-outs
+// and trickles: it is not in roll-out, not cut off, and fits the request.
+func (c *choice) regular(v int) bool {
+	return !c.inRollout(v) && c.gate(v) == rollout.GateOpen && c.eligible(v)
 }
 
-// eligible tells whether a usable version fits this request.
+// eligible reports whether a usable version fits this request: its model, its
+// context length, and that the request has not failed on it.
 func (c *choice) eligible(v int) bool {
 	r := &c.rows[v]
 	if c.model != none && int(r.model) != c.model {
@@ -26,15 +28,15 @@
 	if r.contextTokens > 0 && c.request.PromptTokens+c.tokens(v) > r.contextTokens {
 		return false
 	}
-	return len(c.request.FailedVersions) == 0 || !c.tried(c.plan.versions[v].name)
+	return len(c.request.FailedVersions) == 0 || !c.failedOn(c.plan.versions[v].name)
 }
 
-// introduced tells whether a roll-out introduces the version.
-func (c *choice) introduced(v int) bool { return c.rows[v].introduced }
+// inRollout reports whether the version is in roll-out.
+func (c *choice) inRollout(v int) bool { return c.rows[v].inRollout }
 
 func (c *choice) gate(v int) rollout.Gate { return c.rows[v].track.GateAt(c.nanos) }
 
-func (c *choice) tried(name string) bool {
+func (c *choice) failedOn(name string) bool {
 	for _, t := range c.request.FailedVersions {
 		if t == name {
 			return true
@@ -47,7 +49,7 @@
 	return c.request.SpendLimited && cost > float64(c.request.SpendLeftMicros)
 }
 
-// tokens returns the expected length of the version's answer.
+// tokens returns the expected length of the version's answer in tokens.
 func (c *choice) tokens(v int) int64 {
 	if n := c.request.ExpectedCompletionTokens; n > 0 {
 		return min(n, maxTokens)
@@ -80,23 +82,23 @@
 	return c.plan.versions[v].duration(c.tokens(v))
 }
 
-// inTime tells whether two attempts in a row can meet the deadline.
-func (c *choice) inTime(first, next int) bool {
+// meetsDeadline reports whether two attempts in sequence can meet the deadline.
+func (c *choice) meetsDeadline(first, next int) bool {
 	if c.request.Deadline.IsZero() {
 		return true
 	}
 	return !c.now.Add(c.duration(first) + c.duration(next)).After(c.request.Deadline)
 }
 
-// within tells whether the key of the request falls into the given share of
-// the key space of a version. A share that grows keeps the keys it had.
-func (c *choice) within(v int, share float64) bool {
+// inShare reports whether the key of the request falls into the given share of the
+// version's key space. When the share grows, it keeps the keys that it had.
+func (c *choice) inShare(v int, share float64) bool {
 	const unit = 1 << 53
 	x := mix(c.key^c.plan.versions[v].hash) >> 11
 	return float64(x)/unit < share
 }
 
-// mix is the finaliser of SplitMix64.
+// mix is the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -110,7 +112,7 @@
 		Quality:            o.estimate,
 		Target:             c.kind.target,
 		Reason:             why,
-		Rollout:            c.introduced(o.version),
+		Rollout:            c.inRollout(o.version),
 		Candidates:         c.considered,
 	}
 }
@@ -126,18 +128,20 @@
 	}
 }
 
-// before orders options that reach the target: preferred versions in their
-// order, then by cost.
-func before(a, b *option) bool {
+// preferable reports whether a is chosen over b when both reach the target:
+// preferred versions come first in their configured order, then the lower cost.
+func preferable(a, b *option) bool {
 	if a.rank != b.rank {
 		return a.rank != 0 && (b.rank == 0 || a.rank < b.rank)
 	}
 	return a.cost < b.cost
 }
 
-// refusal explains why no version was left.
+// refusal returns the error that explains why no version can be chosen. A version
+// that only exceeds the spend limit takes precedence over an unavailable one, and
+// that over a withdrawn one.
 func (c *choice) refusal() error {
-	var tooDear, missing, gone bool
+	var tooExpensive, unavailable, gone bool
 	for v, ok := range c.org.allowed {
 		version := &c.plan.versions[v]
 		named := c.version == v || c.version == none && (c.model == none || c.model == version.model)
@@ -146,15 +150,15 @@
 		case version.withdrawn || c.plan.halted(v):
 			gone = true
 		case !version.served || !c.eligible(v):
-			missing = true
+			unavailable = true
 		case c.overSpend(c.cost(v)):
-			tooDear = true
+			tooExpensive = true
 		}
 	}
 	switch {
-	case tooDear:
+	case tooExpensive:
 		return spendExceeded()
-	case missing:
+	case unavailable:
 		return noCapacity()
 	case gone:
 		return withdrawn()
@@ -162,6 +166,8 @@
 	return notAllowed()
 }
 
+// belowTarget returns the refusal when no version reaches the target. Retry-After
+// is when the first cut-off version may be tried again, at most defaultRetryAfter.
 func (c *choice) belowTarget() error {
 	wait := defaultRetryAfter
 	for _, v := range c.org.candidates {
@@ -173,8 +179,9 @@
 		"no allowed version reaches the quality target").After(wait)
 }
 
-// notAllowed is the refusal for versions, models and organisations that are
-// unknown as well as for those that are not allowed.
+// notAllowed returns the refusal for versions, models and organisations that are
+// unknown as well as for those that are not allowed, so that callers can't find
+// out what exists.
 func notAllowed() error {
 	return failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "the organisation may not use this version")
 }
--- a/selection/choose.go
+++ b/selection/choose.go
@@ -15,7 +15,7 @@
 
 const microsPerUnit = 1_000_000
 
-// choice is the work space of one call of Choose. It lives on the stack.
+// choice is the state of one call of Choose. It does not escape to the heap.
 type choice struct {
 	plan    *Plan
 	bound   *binding
@@ -24,19 +24,19 @@
 	options *Options
 	org     *organisation
 	kind    *kind
-	rows    []row // of the kind, by version
-	model   int   // model named by the caller, or none
-	version int   // version named by the caller, or none
+	rows    []row // rows of the kind, by version
+	model   int   // model that the caller asked for, or none
+	version int   // version that the caller asked for, or none
 	key     uint64
 	nanos   int64 // now as a Unix time
-	prompt  int64 // bounded prompt tokens
+	prompt  int64 // prompt tokens, clamped to maxTokens
 
-	// What the scan over the candidates found.
-	considered int
-	cutOff     bool    // whether a version that fits is cut off
-	best       option  // lowest cost at the target, the preferred ones first
-	available  int     // version of the highest quality, known only without best
-	quality    float64 // mean estimate of available
+	// Results of the scan over the candidates.
+	considered      int
+	cutOff          bool    // whether an eligible version is cut off
+	best            option  // preferred version or lowest cost at the target
+	fallback        int     // version with the highest quality; valid only while best is none
+	fallbackQuality float64 // mean quality estimate of fallback
 }
 
 // option is a version with its cost in micro-units and its estimate.
@@ -47,9 +47,9 @@
 	estimate quality.Estimate
 }
 
-// Choose picks the version for a request, as of now. The random source may be
-// nil, which turns exploration off. A refusal is a *failure.Error; it says the
-// same for versions that do not exist and versions that are not allowed.
+// Choose chooses the version for a request at the time now. The random source may
+// be nil, which turns exploration off. A refusal is a *failure.Error, which does
+// not distinguish versions that do not exist from versions that are not allowed.
 func (y *Policy) Choose(p *Plan, r *Request, now time.Time, rng *rand.Rand) (Decision, error) {
 	c := choice{plan: p, bound: y.binding(p), request: r, now: now, nanos: now.UnixNano(), options: &y.options}
 	c.prompt = min(max(r.PromptTokens, 0), maxTokens)
@@ -79,7 +79,7 @@
 	return c.cascade(chosen, d), nil
 }
 
-// resolve looks up organisation, kind and constraint.
+// resolve looks up the organisation, the kind and the constraint of the request.
 func (c *choice) resolve() error {
 	name := c.request.Kind
 	if name == "" {
@@ -93,7 +93,7 @@
 	n := len(c.plan.versions)
 	c.rows = c.bound.rows[k*n : (k+1)*n]
 	c.model, c.version = none, none
-	c.best.version, c.available = none, none
+	c.best.version, c.fallback = none, none
 	if c.org = c.plan.organisations[c.request.Organisation]; c.org == nil {
 		return notAllowed()
 	}
@@ -101,6 +101,7 @@
 	return c.constrain()
 }
 
+// constrain looks up the version or model that the caller asked for.
 func (c *choice) constrain() error {
 	name := c.request.Constraint
 	if name == "" || name == AnyVersion {
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// conversation keeps the version that a conversation started with.
+// conversation returns the version that a conversation started on, or a refusal
+// when that version can't be used.
 func (c *choice) conversation(endWhenCutOff bool) (Decision, error) {
 	v := &c.plan.versions[c.version]
 	switch {
@@ -140,7 +142,7 @@
 	return c.decision(&o, ReasonConversation), nil
 }
 
-// scan looks at every candidate once.
+// scan considers every candidate once.
 func (c *choice) scan() {
 	if c.version != none {
 		if c.plan.usable(c.version) {
@@ -153,6 +155,7 @@
 	}
 }
 
+// consider updates the results of the scan by one candidate.
 func (c *choice) consider(v int) {
 	if !c.eligible(v) {
 		return
@@ -166,23 +169,24 @@
 		c.cutOff = true
 		return
 	}
-	if c.introduced(v) && c.version == none {
+	if c.inRollout(v) && c.version == none {
 		return
 	}
-	if c.best.version != none && !before(&o, &c.best) {
-		return // whatever its quality
+	if c.best.version != none && !preferable(&o, &c.best) {
+		return // can't replace best, whatever its quality
 	}
 	o.estimate = c.estimate(v)
 	if o.estimate.Lower >= c.kind.target {
 		c.best = o
 		return
 	}
-	if c.available == none || o.estimate.Mean > c.quality {
-		c.available, c.quality = v, o.estimate.Mean
+	if c.fallback == none || o.estimate.Mean > c.fallbackQuality {
+		c.fallback, c.fallbackQuality = v, o.estimate.Mean
 	}
 }
 
-// decide takes the best option at the target, or what the rule says below it.
+// decide returns the best option at the target. When there is none, it applies the
+// rule of the kind for quality below the target.
 func (c *choice) decide() (Decision, option, error) {
 	switch {
 	case c.best.version != none:
@@ -193,18 +197,18 @@
 		return c.decision(&c.best, reason), c.best, nil
 	case c.considered == 0:
 		return Decision{}, option{}, c.refusal()
-	case c.kind.refuse:
+	case c.kind.refuseBelowTarget:
 		return Decision{}, option{}, c.belowTarget()
-	case c.available != none:
-		o := c.option(c.available)
+	case c.fallback != none:
+		o := c.option(c.fallback)
 		return c.decision(&o, ReasonBestAvailable), o, nil
 	}
 	o := c.lastResort()
 	return c.decision(&o, ReasonLastResort), o, nil
 }
 
-// lastResort returns the best of the versions that are cut off or introduced by
-// a roll-out.
+// lastResort returns the version of the highest quality among those that are cut
+// off or in roll-out.
 func (c *choice) lastResort() option {
 	best := option{version: none}
 	for _, v := range c.org.candidates {
@@ -218,8 +222,8 @@
 	return best
 }
 
-// rollout moves the share of a roll-out's key space from the chosen baseline
-// to the version that is being introduced.
+// rollout replaces a chosen baseline by the version in roll-out for the share of
+// the key space that the roll-out has reached.
 func (c *choice) rollout(chosen option) (Decision, bool) {
 	for _, i := range c.plan.versions[chosen.version].successors {
 		rule := &c.plan.rollouts[i]
@@ -227,7 +231,7 @@
 			continue
 		}
 		share := math.Min(c.rows[rule.version].track.Share(), rule.maxShare)
-		if c.gate(rule.version) != rollout.GateOpen || !c.within(rule.version, share) {
+		if c.gate(rule.version) != rollout.GateOpen || !c.inShare(rule.version, share) {
 			continue
 		}
 		o := c.option(rule.version)
@@ -238,13 +242,14 @@
 	return Decision{}, false
 }
 
-// trickle sends a small share of the key space to a version that was cut off.
+// trickle sends a small share of the key space to a cut-off version that is due to
+// be tried again.
 func (c *choice) trickle(share float64) (Decision, bool) {
 	if !c.cutOff || c.version != none || c.request.InConversation {
 		return Decision{}, false
 	}
 	for _, v := range c.org.candidates {
-		if c.gate(v) != rollout.GateTrickle || !c.within(v, share) || !c.eligible(v) {
+		if c.gate(v) != rollout.GateTrickle || !c.inShare(v, share) || !c.eligible(v) {
 			continue
 		}
 		if o := c.option(v); !c.overSpend(o.cost) {
@@ -254,8 +259,8 @@
 	return Decision{}, false
 }
 
-// cascade replaces the choice by a cheaper version with an escalation to the
-// chosen one where that is expected to cost less and to reach the target.
+// cascade replaces the choice by a cheaper version with escalation to the chosen
+// one when that is expected to cost less and to reach the target.
 func (c *choice) cascade(chosen option, d Decision) Decision {
 	if !c.cascades() || d.Reason != ReasonCheapest {
 		return d
@@ -266,8 +271,8 @@
 		if cost+c.rows[v].accepted.Flagged()*chosen.cost >= lowest {
 			continue
 		}
-		out, ok := c.outlook(v, cost, &chosen)
-		if !ok || !c.usual(v) || !c.inTime(v, chosen.version) || c.overSpend(cost+chosen.cost) {
+		out, ok := c.expectCascade(v, cost, &chosen)
+		if !ok || !c.regular(v) || !c.meetsDeadline(v, chosen.version) || c.overSpend(cost+chosen.cost) {
 			continue
 		}
 		first, lowest = v, out.Cost
@@ -278,7 +283,7 @@
 	return c.escalatable(first, lowest, &chosen)
 }
 
-// escalatable returns the decision for a cascade from one version to another.
+// escalatable returns the decision for a cascade from version first to next.
 func (c *choice) escalatable(first int, cost float64, next *option) Decision {
 	o := c.option(first)
 	d := c.decision(&o, ReasonCascade)
@@ -292,9 +297,9 @@
 	return d
 }
 
-// outlook returns the expected cost of a cascade, and whether its quality is
-// credibly at the target.
-func (c *choice) outlook(first int, cost float64, next *option) (cascade.Outlook, bool) {
+// expectCascade returns the expected cost and quality of a cascade, and whether
+// the lower bound of its quality reaches the target.
+func (c *choice) expectCascade(first int, cost float64, next *option) (cascade.Outlook, bool) {
 	cell := c.rows[first].accepted
 	accepted := cell.EstimateAt(c.nanos)
 	out := cascade.Expect(cost, accepted.Lower, cell.Flagged(), next.cost, next.estimate.Lower)
--- a/selection/explore.go
+++ b/selection/explore.go
@@ -6,32 +6,32 @@
 	"github.com/bronzeturn/bronzeturn/cascade"
 )
 
-// Exploration gives a version the share ExploreShare while the upper bound of
-// its quality reaches the target, probableFactor times that while its mean
-// does, and remoteFactor times that as long as remoteReach times its
-// uncertainty does, which is 2.5 standard deviations by default. Without the
-// last, a few unlucky ratings would end the exploration of a version for good.
-// Cascades get cascadeFactor times as much: what the check finds is escalated, so
-// less is at stake.
+// Exploration gives a version the share ExploreShare while the upper bound of its
+// quality reaches the target, probableFactor times that while its mean does, and
+// unlikelyFactor times that while its mean plus unlikelySpread times the distance
+// of the mean from the lower bound does, which is 2.5 standard deviations by
+// default. Without the last, a few unlucky ratings would end the exploration of a
+// version permanently. Cascades get cascadeFactor times as much: answers that the
+// check flags are escalated, so exploring them risks less quality.
 const (
 	probableFactor = 4
-	remoteFactor   = 0.1
-	remoteReach    = 3
+	unlikelyFactor = 0.1
+	unlikelySpread = 3
 	cascadeFactor  = 2
 )
 
-// trial is a version, or a cascade that begins with it, that may turn out to be
-// a better choice for want of ratings.
-type trial struct {
+// exploration is a version, or a cascade that begins with it, that may be a better
+// choice but lacks ratings.
+type exploration struct {
 	version int
 	cascade bool
-	// cost is the expected cost, escalations included, and worth what a request
-	// is expected to save in the end.
-	cost, worth float64
+	// cost is the expected cost, including escalations. gain is the priority of
+	// exploring it: the share times what a request would save.
+	cost, gain float64
 }
 
-// explore gives a small share of requests to a version or a cascade that may
-// be a better choice than the chosen one.
+// explore replaces the chosen version for a small share of requests by a version
+// or a cascade that may be a better choice.
 func (c *choice) explore(chosen *option, d *Decision, rng *rand.Rand) (Decision, bool) {
 	if rng == nil || c.options.ExploreShare <= 0 {
 		return Decision{}, false
@@ -44,14 +44,14 @@
 	if !cascades && draw >= c.options.ExploreShare*probableFactor {
 		return Decision{}, false
 	}
-	best := trial{version: none}
+	best := exploration{version: none}
 	for _, v := range c.org.candidates {
 		if v == chosen.version {
 			continue
 		}
-		c.tryVersion(&best, v, chosen, draw)
+		c.exploreVersion(&best, v, chosen, draw)
 		if cascades {
-			c.tryCascade(&best, v, chosen, draw)
+			c.exploreCascade(&best, v, chosen, draw)
 		}
 	}
 	if best.version == none {
@@ -66,28 +66,28 @@
 	return c.decision(&o, ReasonExplore), true
 }
 
-// tryVersion replaces best by the version where its share covers the draw and
-// exploring it is worth more.
-func (c *choice) tryVersion(best *trial, v int, chosen *option, draw float64) {
+// exploreVersion replaces best by the version if the draw falls into its share and
+// the gain of exploring it is higher.
+func (c *choice) exploreVersion(best *exploration, v int, chosen *option, draw float64) {
 	estimate := c.estimate(v)
 	share := c.exploreShare(estimate.Mean, estimate.Lower)
 	if draw >= share || estimate.Lower >= c.kind.target {
 		return
 	}
 	cost := c.cost(v)
-	worth := share * (chosen.cost - cost)
+	gain := share * (chosen.cost - cost)
 	if c.best.version == none {
-		worth = share // Quality comes first, whatever its cost.
+		gain = share // No version reaches the target: finding one matters more than cost.
 	}
-	if worth > best.worth && c.usual(v) && !c.overSpend(cost) {
-		*best = trial{version: v, cost: cost, worth: worth}
+	if gain > best.gain && c.regular(v) && !c.overSpend(cost) {
+		*best = exploration{version: v, cost: cost, gain: gain}
 	}
 }
 
-// tryCascade replaces best by the cascade from the version to the chosen one
-// in the same way. Only cascades that ran have ratings of the
-// answers that pass the check, so they have to be explored, too.
-func (c *choice) tryCascade(best *trial, v int, chosen *option, draw float64) {
+// exploreCascade replaces best by the cascade from the version to the chosen one
+// under the same condition. Ratings of answers that pass the check exist only for
+// cascades that ran, so cascades have to be explored, too.
+func (c *choice) exploreCascade(best *exploration, v int, chosen *option, draw float64) {
 	first := c.cost(v)
 	if first >= chosen.cost {
 		return
@@ -97,17 +97,17 @@
 	mean := cascade.Expect(first, accepted.Mean, cell.Flagged(), chosen.cost, chosen.estimate.Mean)
 	lower := cascade.Expect(first, accepted.Lower, cell.Flagged(), chosen.cost, chosen.estimate.Lower)
 	share := cascadeFactor * c.exploreShare(mean.Quality, lower.Quality)
-	worth := share * (chosen.cost - mean.Cost)
-	if draw >= share || lower.Quality >= c.kind.target || worth <= best.worth {
+	gain := share * (chosen.cost - mean.Cost)
+	if draw >= share || lower.Quality >= c.kind.target || gain <= best.gain {
 		return
 	}
-	if c.usual(v) && c.inTime(v, chosen.version) && !c.overSpend(first+chosen.cost) {
-		*best = trial{version: v, cascade: true, cost: mean.Cost, worth: worth}
+	if c.regular(v) && c.meetsDeadline(v, chosen.version) && !c.overSpend(first+chosen.cost) {
+		*best = exploration{version: v, cascade: true, cost: mean.Cost, gain: gain}
 	}
 }
 
-// exploreShare returns the share of requests for a quality of the given mean
-// and lower bound.
+// exploreShare returns the share of requests that explore a version with the given
+// mean and lower bound of its quality.
 func (c *choice) exploreShare(mean, lower float64) float64 {
 	spread := mean - lower
 	switch target := c.kind.target; {
@@ -115,11 +115,11 @@
 		return c.options.ExploreShare * probableFactor
 	case mean+spread >= target:
 		return c.options.ExploreShare
-	case mean+remoteReach*spread >= target:
-		return c.options.ExploreShare * remoteFactor
+	case mean+unlikelySpread*spread >= target:
+		return c.options.ExploreShare * unlikelyFactor
 	}
 	return 0
 }
 
-// cascades tells whether the request may be escalated.
+// cascades reports whether the request may be escalated.
 func (c *choice) cascades() bool { return c.kind.cascade && !c.request.InConversation }
--- a/selection/explore_test.go
+++ b/selection/explore_test.go
@@ -10,7 +10,7 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-func TestExploredShareFollowsTheChance(t *testing.T) {
+func TestExploredShareDependsOnTheEstimate(t *testing.T) {
 	cases := []struct {
 		name     string
 		prior    float64 // of the cheapest version, with a target of 0.8
@@ -18,8 +18,8 @@
 	}{
 		{"probably at the target", 0.82, 0.19, 0.21},
 		{"possibly at the target", 0.78, 0.045, 0.055},
-		{"unlucky, not hopeless", 0.7, 0.003, 0.007},
-		{"hopeless", 0.5, 0, 0},
+		{"unlikely at the target", 0.7, 0.003, 0.007},
+		{"far below the target", 0.5, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,7 +33,8 @@
 	}
 }
 
-// Ratings of answers that pass the check exist only for cascades that ran.
+// Ratings of answers that pass the check exist only for cascades that ran, so
+// cascades that look too weak have to be explored.
 func TestCascadesAreExplored(t *testing.T) {
 	reg, rules := site()
 	rules.Kinds[1].QualityTarget = 0.91
@@ -54,7 +55,8 @@
 	qt.Assert(t, share(explored) > 0.35 && share(explored) < 0.45, qt.IsTrue, qt.Commentf("%d", explored))
 }
 
-// Versions that serve conversations only could not be learnt otherwise.
+// The first request of a conversation has to explore, since otherwise versions that
+// serve only conversations would never get ratings.
 func TestConversationsExploreWithTheirFirstRequestOnly(t *testing.T) {
 	for _, test := range []struct {
 		name, constraint string
--- a/selection/learning_test.go
+++ b/selection/learning_test.go
@@ -14,67 +14,67 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// trial is a seeded run of a policy against versions of known quality. Ratings
-// are sampled and late; one large organisation rates too low.
-type trial struct {
-	quality      []float64 // true, cheapest first
-	prior        []float64 // what the register says
-	target       float64
-	requests     int
-	turnsBad     int // version, or -1
-	turnsAt      int // request
-	sampled      float64
-	late         int // requests until a rating arrives
-	bias         float64
-	seed         uint64
-	organisation int // number of organisations
+// simulation is a seeded run of a policy against versions of known quality. Ratings
+// are sampled and delayed, and one large organisation rates too low.
+type simulation struct {
+	quality       []float64 // true quality, cheapest version first
+	prior         []float64 // prior quality in the register
+	target        float64
+	requests      int
+	degrades      int     // version whose quality drops, or -1
+	degradesAt    int     // request at which it drops
+	sampled       float64 // share of answers that are rated
+	delay         int     // requests until a rating arrives
+	bias          float64 // by which the large organisation rates too low
+	seed          uint64
+	organisations int // number of organisations
 }
 
-// result is what a trial cost.
+// result is the outcome of a simulation.
 type result struct {
 	cost     float64 // in the second half, relative to an oracle that knows the true quality
 	below    float64 // share of requests on versions below the target
-	exposure int     // requests on the bad version after it turned
-	ratings  int     // ratings of the bad version that came after it turned
+	exposure int     // requests on the degraded version after its quality dropped
+	ratings  int     // ratings of answers of the degraded version after its quality dropped
 }
 
 func price(v int) int64 { return 1_000_000 << v }
 
-func (tr *trial) site() (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
+func (s *simulation) site() (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	reg := &bronzeturnv1.Register{}
 	e := &bronzeturnv1.Engine{Name: "e", TokensPerSecond: 100}
-	for i, prior := range tr.prior {
+	for i, prior := range s.prior {
 		name := fmt.Sprintf("v%d", i)
 		reg.Versions = append(reg.Versions, &bronzeturnv1.Version{Name: name, Model: "m", CompletionPriceMicros: price(i), PriorQuality: prior})
 		e.Versions = append(e.Versions, name)
 	}
 	reg.Engines = []*bronzeturnv1.Engine{e}
-	for i := range tr.organisation {
+	for i := range s.organisations {
 		reg.Organisations = append(reg.Organisations, &bronzeturnv1.Organisation{Name: fmt.Sprintf("o%d", i), AllowedModels: []string{"m"}})
 	}
-	return reg, &bronzeturnv1.Rules{Kinds: []*bronzeturnv1.TaskKind{{Name: "report", QualityTarget: tr.target, Idempotent: true, ExpectedCompletionTokens: 100}}}
+	return reg, &bronzeturnv1.Rules{Kinds: []*bronzeturnv1.TaskKind{{Name: "report", QualityTarget: s.target, Idempotent: true, ExpectedCompletionTokens: 100}}}
 }
 
-type lateRating struct {
+type delayedRating struct {
 	due   int
 	event quality.Rated
 }
 
-func (tr *trial) run(t testing.TB) result {
+func (s *simulation) run(t testing.TB) result {
 	t.Helper()
-	reg, rules := tr.site()
+	reg, rules := s.site()
 	plan := selection.NewPlan(reg, rules)
 	policy := selection.NewPolicy(selection.Options{}, quality.NewStore(quality.Options{}), rollout.NewController(rollout.Options{}))
 	policy.SetPlan(plan)
-	rng := rand.New(rand.NewPCG(tr.seed, 0))
-	truth := append([]float64(nil), tr.quality...)
-	var queue []lateRating
+	rng := rand.New(rand.NewPCG(s.seed, 0))
+	trueQuality := append([]float64(nil), s.quality...)
+	var queue []delayedRating
 	var res result
 	var cost, oracle float64
-	for i := range tr.requests {
+	for i := range s.requests {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-		if i == tr.turnsAt && tr.turnsBad >= 0 {
-			truth[tr.turnsBad] = 0.3
+		if i == s.degradesAt && s.degrades >= 0 {
+			trueQuality[s.degrades] = 0.3
 		}
 		for len(queue) > 0 && queue[0].due <= i {
 			queue[0].event.At = now
@@ -84,8 +84,8 @@
 			queue = queue[1:]
 		}
 		organisation := 0
-		if rng.Float64() > 0.3 { // the first one sends 30% of the work
-			organisation = rng.IntN(tr.organisation)
+		if rng.Float64() > 0.3 { // the large organisation, which sends at least 30% of the requests
+			organisation = rng.IntN(s.organisations)
 		}
 		r := selection.Request{Organisation: fmt.Sprintf("o%d", organisation), Kind: "report", Key: fmt.Sprint(i)}
 		d, err := policy.Choose(plan, &r, now, rng)
@@ -93,34 +93,34 @@
 			t.Fatal(err)
 		}
 		v := int(d.Version[1] - '0')
-		if i >= tr.requests/2 {
+		if i >= s.requests/2 {
 			cost += float64(price(v))
-			oracle += float64(price(cheapestGood(truth, tr.target)))
+			oracle += float64(price(cheapestAtTarget(trueQuality, s.target)))
 		}
-		if truth[v] < tr.target {
+		if trueQuality[v] < s.target {
 			res.below++
 		}
-		bad := v == tr.turnsBad && i >= tr.turnsAt
-		if bad {
+		degraded := v == s.degrades && i >= s.degradesAt
+		if degraded {
 			res.exposure++
 		}
-		if rng.Float64() < tr.sampled {
-			if bad {
+		if rng.Float64() < s.sampled {
+			if degraded {
 				res.ratings++
 			}
-			queue = append(queue, lateRating{i + tr.late, quality.Rated{
-				Organisation: r.Organisation, Version: d.Version, Kind: "report", Score: tr.score(rng, truth[v], organisation),
+			queue = append(queue, delayedRating{i + s.delay, quality.Rated{
+				Organisation: r.Organisation, Version: d.Version, Kind: "report", Score: s.score(rng, trueQuality[v], organisation),
 			}})
 		}
 	}
 	res.cost = cost / oracle
-	res.below /= float64(tr.requests)
+	res.below /= float64(s.requests)
 	return res
 }
 
-func (tr *trial) score(rng *rand.Rand, quality float64, organisation int) float64 {
+func (s *simulation) score(rng *rand.Rand, quality float64, organisation int) float64 {
 	if organisation == 0 {
-		quality -= tr.bias
+		quality -= s.bias
 	}
 	if rng.Float64() < quality {
 		return 1
@@ -128,21 +128,21 @@
 	return 0
 }
 
-func cheapestGood(truth []float64, target float64) int {
-	for v, q := range truth {
+func cheapestAtTarget(trueQuality []float64, target float64) int {
+	for v, q := range trueQuality {
 		if q >= target {
 			return v
 		}
 	}
-	return len(truth) - 1
+	return len(trueQuality) - 1
 }
 
-func newTrial(seed uint64) trial {
-	return trial{
+func newSimulation(seed uint64) simulation {
+	return simulation{
 		quality:  []float64{0.55, 0.72, 0.86, 0.90, 0.94, 0.97},
-		prior:    []float64{0.70, 0.75, 0.78, 0.90, 0.90, 0.95}, // partly wrong
+		prior:    []float64{0.70, 0.75, 0.78, 0.90, 0.90, 0.95}, // partly wrong on purpose
 		target:   0.8,
-		requests: 40_000, turnsBad: -1, sampled: 0.1, late: 300, bias: 0.4, organisation: 10, seed: seed,
+		requests: 40_000, degrades: -1, sampled: 0.1, delay: 300, bias: 0.4, organisations: 10, seed: seed,
 	}
 }
 
@@ -150,8 +150,8 @@
 	const seeds = 4
 	var cost, below float64
 	for seed := range uint64(seeds) {
-		tr := newTrial(seed)
-		got := tr.run(t)
+		s := newSimulation(seed)
+		got := s.run(t)
 		cost += got.cost / seeds
 		below += got.below / seeds
 	}
@@ -160,13 +160,14 @@
 	qt.Check(t, below <= 0.01, qt.IsTrue, qt.Commentf("below %v", below))
 }
 
-// The exposure is what the sequential test needs, and what was on its way.
-func TestExposureToAVersionThatTurnsBadIsBounded(t *testing.T) {
+// The requests that a degraded version gets are at most twice the number that the
+// sequential test needs, including those whose ratings have not arrived yet.
+func TestExposureToDegradedVersionIsBounded(t *testing.T) {
 	for seed := range uint64(3) {
-		tr := newTrial(seed)
-		tr.turnsBad, tr.turnsAt = 2, tr.requests/2
-		got := tr.run(t)
-		needed := rollout.Options{}.ExpectedRatings(tr.target, 0.3, tr.organisation)/tr.sampled + float64(tr.late)
+		s := newSimulation(seed)
+		s.degrades, s.degradesAt = 2, s.requests/2
+		got := s.run(t)
+		needed := rollout.Options{}.ExpectedRatings(s.target, 0.3, s.organisations)/s.sampled + float64(s.delay)
 		t.Logf("seed %d: %+v, the test needs %.0f answers", seed, got, needed)
 		qt.Check(t, float64(got.exposure) <= 2*needed, qt.IsTrue, qt.Commentf("%+v", got))
 	}
--- a/selection/plan.go
+++ b/selection/plan.go
@@ -14,23 +14,24 @@
 // DefaultKind is the task kind of requests that name none.
 const DefaultKind = "default"
 
-// AnyVersion is the constraint of callers that leave the choice to the router.
+// AnyVersion is the constraint that leaves the choice to the router.
 const AnyVersion = "auto"
 
-// Bounds of inputs, so that costs cannot overflow.
+// Bounds of inputs, chosen such that costs cannot overflow.
 const (
 	maxTokens = 1 << 28
 	maxPrice  = 1 << 32
 )
 
-// defaultCompletionTokens is the expected length of an answer that neither
-// the request, nor a measurement, nor the rules tell.
+// defaultCompletionTokens is the expected length of an answer when neither the
+// request, nor a measurement, nor the rules give one.
 const defaultCompletionTokens = 256
 
+// none is the index of no version, model or roll-out.
 const none = -1
 
-// Plan holds the tables compiled from one register and one set of rules. It
-// is immutable and safe for concurrent use.
+// Plan holds the tables compiled from one register and one set of rules. The
+// tables are immutable; a Plan is safe for concurrent use.
 type Plan struct {
 	versions      []version
 	versionByName map[string]int
@@ -55,25 +56,25 @@
 	withdrawn       bool
 	soleUser        bool
 	users           int
-	rollout         int   // roll-out that introduces this version, or none
-	successors      []int // roll-outs of which this version is the baseline
+	rollout         int   // index of the roll-out of this version, or none
+	successors      []int // indexes of the roll-outs whose baseline is this version
 }
 
 type kind struct {
-	name             string
-	target           float64
-	refuse           bool
-	idempotent       bool
-	cascade          bool
-	completionTokens int64
-	rank             []int     // by version: 1 for the most preferred, 0 for none
-	prior            []float64 // by version
+	name              string
+	target            float64
+	refuseBelowTarget bool
+	idempotent        bool
+	cascade           bool
+	completionTokens  int64
+	rank              []int     // by version: 1 for the most preferred, 0 for not preferred
+	prior             []float64 // prior quality by version
 }
 
 type organisation struct {
 	hash uint64
-	// candidates are the allowed versions that may get work by the register and
-	// the rules, the lowest price first.
+	// candidates are the allowed versions that are usable by the register and the
+	// rules, the lowest price first.
 	candidates []int
 	allowed    []bool // by version
 }
@@ -94,8 +95,8 @@
 		r.state == bronzeturnv1.RolloutState_ROLLOUT_STATE_UNSPECIFIED
 }
 
-// NewPlan compiles a register and rules, which must be valid. References to
-// names that do not exist are ignored.
+// NewPlan compiles a register and rules, which must be valid. References to unknown
+// names are ignored.
 func NewPlan(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) *Plan {
 	p := &Plan{
 		versionByName: make(map[string]int),
@@ -183,14 +184,14 @@
 	for _, k := range rules.GetKinds() {
 		p.kindByName[k.GetName()] = len(p.kinds)
 		compiled := kind{
-			name:             k.GetName(),
-			target:           k.GetQualityTarget(),
-			refuse:           k.GetBelowTarget() == bronzeturnv1.BelowTarget_BELOW_TARGET_REFUSE,
-			idempotent:       k.GetIdempotent(),
-			cascade:          k.GetIdempotent() && k.GetCascade(),
-			completionTokens: k.GetExpectedCompletionTokens(),
-			rank:             make([]int, len(p.versions)),
-			prior:            make([]float64, len(p.versions)),
+			name:              k.GetName(),
+			target:            k.GetQualityTarget(),
+			refuseBelowTarget: k.GetBelowTarget() == bronzeturnv1.BelowTarget_BELOW_TARGET_REFUSE,
+			idempotent:        k.GetIdempotent(),
+			cascade:           k.GetIdempotent() && k.GetCascade(),
+			completionTokens:  k.GetExpectedCompletionTokens(),
+			rank:              make([]int, len(p.versions)),
+			prior:             make([]float64, len(p.versions)),
 		}
 		for order, name := range k.GetPreferredVersions() {
 			if i, ok := p.versionByName[name]; ok && compiled.rank[i] == 0 {
@@ -257,7 +258,7 @@
 	return compiled
 }
 
-// usable tells whether any request may run on the version.
+// usable reports whether any request may run on the version.
 func (p *Plan) usable(v int) bool {
 	version := &p.versions[v]
 	return version.served && !version.withdrawn && !p.halted(v)
@@ -270,8 +271,8 @@
 
 func (v *version) price() int64 { return v.promptPrice + v.completionPrice }
 
-// duration returns how long the version takes to generate tokens, as far as
-// the register tells.
+// duration returns how long the version takes to generate tokens at the rate that
+// the register gives, zero without one.
 func (v *version) duration(tokens int64) time.Duration {
 	if v.tokensPerSecond <= 0 {
 		return 0
--- a/selection/policy.go
+++ b/selection/policy.go
@@ -9,7 +9,7 @@
 	"github.com/bronzeturn/bronzeturn/rollout"
 )
 
-// Policy chooses versions and learns from what is heard of them. It is safe
+// Policy chooses versions and learns from the ratings of their answers. It is safe
 // for concurrent use.
 type Policy struct {
 	options Options
@@ -18,28 +18,29 @@
 	current atomic.Pointer[Plan]
 }
 
-// binding ties the tables of a plan to the learnt state of one policy.
+// binding joins the tables of a plan with the learnt state of one policy.
 type binding struct {
 	policy *Policy
-	rows   []row // by kind*versions+version
+	rows   []row // indexed by kind*versions+version
 	tracks []*rollout.Track
 }
 
-// row holds what the scan reads of one version for one kind, side by side.
+// row holds the fields of one version and kind that the scan reads, adjacent in
+// memory.
 type row struct {
 	cell            *quality.Cell
-	accepted        *quality.Cell // nil for kinds without cascade
+	accepted        *quality.Cell // of answers that pass the check; nil for kinds without cascade
 	track           *rollout.Track
 	promptPrice     int64
 	completionPrice int64
 	contextTokens   int64
 	model           int32
 	rank            int32
-	introduced      bool
+	inRollout       bool
 }
 
-// NewPolicy returns a policy over the given state. It panics when the options
-// are invalid, which Options.Validate reports beforehand.
+// NewPolicy returns a policy that uses the given state. It panics if the options
+// are invalid; call Options.Validate first.
 func NewPolicy(o Options, q *quality.Store, r *rollout.Controller) *Policy {
 	if err := o.Validate(); err != nil {
 		panic(err)
@@ -50,14 +51,14 @@
 	return &Policy{options: o, quality: q, rollout: r}
 }
 
-// SetPlan makes p the plan by which ratings are judged and takes its priors over.
-// Call it whenever a configuration comes into force.
+// SetPlan makes p the plan against which ratings are evaluated, and applies its
+// priors. Call it whenever a new configuration is applied.
 func (y *Policy) SetPlan(p *Plan) {
 	y.bind(p)
 	y.current.Store(p)
 }
 
-// binding returns the binding of a plan, made at its first use.
+// binding returns the binding of a plan, creating it at the first use.
 func (y *Policy) binding(p *Plan) *binding {
 	if b := p.bound.Load(); b != nil && b.policy == y {
 		return b
@@ -94,7 +95,7 @@
 		contextTokens:   version.contextTokens,
 		model:           int32(version.model),
 		rank:            int32(kind.rank[v]),
-		introduced:      version.rollout != none,
+		inRollout:       version.rollout != none,
 	}
 	r.cell.SetPrior(prior, version.soleUser)
 	if kind.cascade {
@@ -105,8 +106,8 @@
 	b.rows[k*len(p.versions)+v] = r
 }
 
-// ObserveRating is the event of one rating on a daemon that does not exchange ratings
-// with others: it updates the estimate and judges the version.
+// ObserveRating processes one rating on a daemon that does not exchange ratings with
+// others: it updates the quality estimate and evaluates the version.
 func (y *Policy) ObserveRating(e quality.Rated) (rollout.Change, error) {
 	if err := y.quality.Observe(e); err != nil {
 		return rollout.Unchanged, err
@@ -121,8 +122,9 @@
 	}, e.At), nil
 }
 
-// EvaluateVersion runs the sequential test and the roll-out of a version over ratings
-// that the estimates already hold. One daemon per version calls it.
+// EvaluateVersion runs the sequential test of a version and advances its roll-out,
+// given ratings that the estimates already include. Only one daemon per version
+// calls it.
 func (y *Policy) EvaluateVersion(c quality.Counts, now time.Time) rollout.Change {
 	p := y.current.Load()
 	if p == nil {
@@ -152,13 +154,13 @@
 	return b.advance(p, k, v, reference, now)
 }
 
-// reference is the mean score that a version has to keep: the target, or its
-// own prior when the register does not expect it to reach the target.
+// reference returns the mean score that a version is tested against: the target,
+// or its own prior when that is below the target.
 func (p *Plan) reference(k, v int) float64 {
 	return min(p.kinds[k].target, p.kinds[k].prior[v])
 }
 
-// forget drops the ratings of a version, for all kinds.
+// forget discards the ratings of a version for all kinds.
 func (b *binding) forget(p *Plan, v int) {
 	n := len(p.versions)
 	for i := v; i < len(b.rows); i += n {
@@ -169,6 +171,7 @@
 	}
 }
 
+// advance advances the running roll-out of a version, if there is one.
 func (b *binding) advance(p *Plan, k, v int, reference float64, now time.Time) rollout.Change {
 	r := p.versions[v].rollout
 	if r == none || !p.rollouts[r].running() {
--- a/selection/property_test.go
+++ b/selection/property_test.go
@@ -14,8 +14,8 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// world is a random site with random learnt state.
-type world struct {
+// randomSite is a random configuration with random learnt state.
+type randomSite struct {
 	reg     *bronzeturnv1.Register
 	rules   *bronzeturnv1.Rules
 	quality *quality.Store
@@ -23,8 +23,8 @@
 	policy  *selection.Policy
 }
 
-func drawWorld(t *rapid.T) *world {
-	w := &world{reg: &bronzeturnv1.Register{}, rules: &bronzeturnv1.Rules{}}
+func drawSite(t *rapid.T) *randomSite {
+	w := &randomSite{reg: &bronzeturnv1.Register{}, rules: &bronzeturnv1.Rules{}}
 	n := rapid.IntRange(1, 8).Draw(t, "versions")
 	score := rapid.Float64Range(0, 1)
 	for i := range n {
@@ -66,8 +66,8 @@
 	return w
 }
 
-// learn adds ratings and cut-offs.
-func (w *world) learn(t *rapid.T) {
+// learn adds random ratings, which may cut versions off.
+func (w *randomSite) learn(t *rapid.T) {
 	w.quality = quality.NewStore(quality.Options{})
 	w.rollout = rollout.NewController(rollout.Options{})
 	w.policy = selection.NewPolicy(selection.Options{ExploreShare: 0.5}, w.quality, w.rollout)
@@ -85,9 +85,9 @@
 	}
 }
 
-func (w *world) plan() *selection.Plan { return selection.NewPlan(w.reg, w.rules) }
+func (w *randomSite) plan() *selection.Plan { return selection.NewPlan(w.reg, w.rules) }
 
-func drawRequest(t *rapid.T, w *world) selection.Request {
+func drawRequest(t *rapid.T, w *randomSite) selection.Request {
 	names := []string{"", "auto", "m0", "v0", "v1"}
 	return selection.Request{
 		Organisation:    rapid.SampledFrom([]string{"o0", "o1", "o2"}).Draw(t, "organisation"),
@@ -103,8 +103,8 @@
 	}
 }
 
-// mayRun restates the rules that hold for every choice, whatever its reason.
-func (w *world) mayRun(r *selection.Request, name string) bool {
+// mayRun checks the rules that hold for every choice, whatever its reason.
+func (w *randomSite) mayRun(r *selection.Request, name string) bool {
 	for _, o := range w.reg.Organisations {
 		if o.Name == r.Organisation && !slices.Contains(o.AllowedVersions, name) {
 			return false
@@ -123,18 +123,18 @@
 	return !slices.Contains(r.FailedVersions, name) && w.served(name) && w.matches(r.Constraint, name)
 }
 
-func (w *world) served(name string) bool {
+func (w *randomSite) served(name string) bool {
 	return slices.ContainsFunc(w.reg.Engines, func(e *bronzeturnv1.Engine) bool { return e.Versions[0] == name })
 }
 
-func (w *world) matches(constraint, name string) bool {
+func (w *randomSite) matches(constraint, name string) bool {
 	if constraint == "" || constraint == "auto" || constraint == name {
 		return true
 	}
 	return w.version(name).Model == constraint && w.version(constraint) == nil
 }
 
-func (w *world) version(name string) *bronzeturnv1.Version {
+func (w *randomSite) version(name string) *bronzeturnv1.Version {
 	for _, v := range w.reg.Versions {
 		if v.Name == name {
 			return v
@@ -143,13 +143,13 @@
 	return nil
 }
 
-func (w *world) cost(r *selection.Request, v *bronzeturnv1.Version) int64 {
+func (w *randomSite) cost(r *selection.Request, v *bronzeturnv1.Version) int64 {
 	return (r.PromptTokens*v.PromptPriceMicros + 100*v.CompletionPriceMicros + 500_000) / 1_000_000
 }
 
-func TestChooseNeverBreaksARule(t *testing.T) {
+func TestChooseObeysTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawSite(t)
 		plan := w.plan()
 		for range 10 {
 			r := drawRequest(t, w)
@@ -168,9 +168,9 @@
 	})
 }
 
-// checkCost asserts that no version which credibly reaches the target was
-// cheaper, and that the spend limit holds.
-func (w *world) checkCost(t *rapid.T, r *selection.Request, d *selection.Decision) {
+// checkCost asserts that no cheaper version has a lower quality bound that reaches
+// the target, and that the spend limit holds.
+func (w *randomSite) checkCost(t *rapid.T, r *selection.Request, d *selection.Decision) {
 	if r.SpendLimited {
 		require(t, d.ExpectedCostMicros <= r.SpendLeftMicros+1, "%+v chose %+v", r, d)
 	}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *world) checkCascade(t *rapid.T, r *selection.Request, d *selection.Decision) {
+func (w *randomSite) checkCascade(t *rapid.T, r *selection.Request, d *selection.Decision) {
 	if !d.Escalatable {
 		return
 	}
--- a/selection/rollout_test.go
+++ b/selection/rollout_test.go
@@ -17,7 +17,7 @@
 
 const keys = 20_000
 
-// site with a roll-out of small@3 beside small@2.
+// rolloutSite returns site with a roll-out of small@3, whose baseline is small@2.
 func rolloutSite(state bronzeturnv1.RolloutState) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	reg, rules := site()
 	reg.Versions = append(reg.Versions, &bronzeturnv1.Version{
@@ -29,7 +29,7 @@
 	return reg, rules
 }
 
-// fixture is a policy over a plan, with its learnt state.
+// fixture is a policy with a plan and its learnt state.
 type fixture struct {
 	plan    *selection.Plan
 	policy  *selection.Policy
@@ -44,8 +44,8 @@
 	return f
 }
 
-// rate gives n ratings by two organisations in turn until a change other than
-// that of a share comes.
+// rate adds up to n ratings by two organisations in turn, and stops when the
+// version is cut off or cleared.
 func (f *fixture) rate(t *testing.T, version string, score float64, n int) {
 	t.Helper()
 	for i := range n {
@@ -59,8 +59,8 @@
 	}
 }
 
-// counts returns how often each version is chosen for "workshop", and the keys
-// that fall on the version named.
+// counts returns how often each version is chosen for "workshop", and for each key
+// whether the given version is chosen.
 func (f *fixture) counts(t *testing.T, version string) (map[string]int, map[int]bool) {
 	t.Helper()
 	count, on := make(map[string]int), make(map[int]bool)
@@ -162,7 +162,7 @@
 
 func TestExplorationIsBounded(t *testing.T) {
 	reg, rules := site()
-	reg.Versions[0].PriorQuality = 0.78 // may reach the target of 0.8
+	reg.Versions[0].PriorQuality = 0.78 // uncertain whether it reaches the target of 0.8
 	f := newFixture(reg, rules, rollout.Options{})
 	count, _ := f.counts(t, "small@1")
 	got := share(count["small@1"])
--- a/selection/selection.go
+++ b/selection/selection.go
@@ -1,9 +1,9 @@
-// Package selection chooses the version that answers a request: the lowest
-// expected cost, escalations included, among the allowed versions whose quality
-// is credibly at or above the target of the task kind.
+// Package selection chooses the version that answers a request: the one with the
+// lowest expected cost, including escalations, among the allowed versions whose
+// quality reaches the target of the task kind with sufficient confidence.
 //
 // A Plan is compiled once per configuration. Policy.Choose does no I/O, reads
-// no clock, takes no lock on its usual path and allocates nothing unless it
+// no clock, takes no lock on its common path and allocates nothing unless it
 // refuses the request.
 package selection
 
@@ -21,19 +21,19 @@
 // DefaultExploreShare is the default of Options.ExploreShare.
 const DefaultExploreShare = 0.05
 
-// ErrOptions means that Options hold a value out of bounds.
+// ErrOptions means that a field of Options is out of bounds.
 var ErrOptions = errors.New("selection: invalid options")
 
-// Options tune a Policy. Zero fields take the defaults.
+// Options configures a Policy. Zero fields select the defaults.
 type Options struct {
-	// ExploreShare is the share of requests that go to a version whose quality
-	// may reach the target but is not yet known to. A version that probably
-	// reaches it gets four times the share, an unlikely one a tenth. A negative
-	// value turns exploration off.
+	// ExploreShare is the share of requests that go to a version whose quality may
+	// reach the target but is still uncertain. A version whose mean reaches the
+	// target gets four times the share, one that is unlikely to reach it a tenth. A
+	// negative value turns exploration off.
 	ExploreShare float64
 }
 
-// Validate reports options out of bounds.
+// Validate returns an error for options out of bounds.
 func (o Options) Validate() error {
 	if o.ExploreShare > 1 {
 		return fmt.Errorf("%w: explore share %v is above 1", ErrOptions, o.ExploreShare)
@@ -41,15 +41,16 @@
 	return nil
 }
 
-// Request is what the choice needs to know of a request.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	Organisation string
 	// Kind is the task kind; "" means DefaultKind.
 	Kind string
-	// Key is the conversation, or else the request, within the organisation.
-	// Requests with one key fall on the same side of a roll-out.
+	// Key identifies the conversation, or else the request, within the
+	// organisation. Requests with the same key get the same side of a roll-out.
 	Key string
-	// Constraint is what the caller named: "" or AnyVersion, a model, or a version.
+	// Constraint is what the caller asked for: "" or AnyVersion, a model, or a
+	// version.
 	Constraint string
 	// InConversation is true when a conversation is in progress or begins. One
 	// in progress names its version as the Constraint.
@@ -57,38 +58,42 @@
 	PromptTokens   int64
 	// ExpectedCompletionTokens is 0 when the caller gives no hint.
 	ExpectedCompletionTokens int64
-	// Deadline is when the answer is due. The zero time means never.
+	// Deadline is when the answer is due. The zero time means no deadline.
 	Deadline time.Time
-	// FailedVersions are the versions that already failed this request.
+	// FailedVersions are the versions that this request has already failed on.
 	FailedVersions []string
-	// SpendLimited tells whether SpendLeftMicros applies.
+	// SpendLimited reports whether SpendLeftMicros applies.
 	SpendLimited    bool
 	SpendLeftMicros int64
 }
 
-// Reason tells why a version was chosen.
+// Reason is why a version was chosen.
 type Reason uint8
 
 // The values of Reason.
 const (
-	// ReasonCheapest is the lowest expected cost that reaches the target.
+	// ReasonCheapest is the version with the lowest expected cost that reaches the
+	// target.
 	ReasonCheapest Reason = iota
 	// ReasonPreferred is a preferred version of the rules that reaches the target.
 	ReasonPreferred
 	// ReasonCascade is a cheap version whose answers are checked and escalated.
 	ReasonCascade
-	// ReasonConversation is the version that the conversation started with.
+	// ReasonConversation is the version that the conversation started on.
 	ReasonConversation
-	// ReasonRollout is a share of the baseline's work.
+	// ReasonRollout is a version in roll-out, which takes over a share of its
+	// baseline's requests.
 	ReasonRollout
-	// ReasonExplore is a version that may reach the target.
+	// ReasonExplore is a version that may reach the target but lacks ratings.
 	ReasonExplore
-	// ReasonTrickle is a cut-off version that is tried again.
+	// ReasonTrickle is a cut-off version that gets a few requests to test whether it
+	// has recovered.
 	ReasonTrickle
-	// ReasonBestAvailable is the highest quality when none reaches the target.
+	// ReasonBestAvailable is the version of the highest quality when none reaches
+	// the target.
 	ReasonBestAvailable
-	// ReasonLastResort is a version that would otherwise get no work: it is cut
-	// off or being rolled out, and no other is allowed.
+	// ReasonLastResort is a version that is cut off or in roll-out, chosen because
+	// no other one is allowed.
 	ReasonLastResort
 )
 
@@ -108,18 +113,19 @@
 // Decision is the outcome of Choose.
 type Decision struct {
 	Version string
-	// ExpectedCostMicros includes expected escalations, in micro-units.
+	// ExpectedCostMicros is the expected cost in micro-units of currency, including
+	// expected escalations.
 	ExpectedCostMicros int64
 	// Quality is the estimate for the version alone.
 	Quality quality.Estimate
 	// Target is the quality target of the kind.
 	Target float64
 	Reason Reason
-	// Escalatable tells whether the answer has to be checked and may be
-	// escalated as Cascade says.
+	// Escalatable reports whether the answer has to be checked and may be escalated
+	// according to Cascade.
 	Escalatable bool
 	Cascade     cascade.Plan
-	// Rollout tells whether a roll-out introduces the version.
+	// Rollout reports whether the version is in roll-out.
 	Rollout bool
 	// Candidates is the number of versions that could have been chosen.
 	Candidates int
--- a/selection/selection_test.go
+++ b/selection/selection_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// site returns a register with a cheap, a middle and a strong version, all
+// site returns a register with a cheap, a medium and a high-quality version, all
 // served, and rules for the kinds "quick" and "report".
 func site() (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	reg := &bronzeturnv1.Register{
@@ -128,7 +128,7 @@
 		request: selection.Request{Organisation: "kiosk", Kind: "quick", FailedVersions: []string{"small@1"}},
 		code:    failure.CodeNoCapacity,
 	}, {
-		name:    "the spend limit rules out dear versions",
+		name:    "the spend limit rules out expensive versions",
 		request: selection.Request{Organisation: "workshop", Kind: "report", SpendLimited: true, SpendLeftMicros: 1000},
 		version: "small@2", reason: selection.ReasonBestAvailable,
 	}, {
