--- a/route/homes.go
+++ b/route/homes.go
@@ -2,28 +2,31 @@
 
 import "slices"
 
-// RegionSet are the regions that a request may be worked on in. The zero value allows all.
+// RegionSet is the set of regions whose engines may serve a request. The zero value
+// allows all regions.
 type RegionSet struct {
-	// Limited tells that only Regions are allowed; with none of them, nowhere is.
+	// Limited restricts requests to Names. With no Names, no region is allowed.
 	Limited bool
 	Names   []string
 }
 
-// Allows tells whether a region is among the homes.
+// Allows reports whether engines of the region may serve the request.
 func (h RegionSet) Allows(region string) bool { return !h.Limited || slices.Contains(h.Names, region) }
 
-// homesOf returns the homes that a configuration lists, where none means all.
-func homesOf(names []string) RegionSet { return RegionSet{Limited: len(names) > 0, Names: names} }
+// regionsOf returns the regions that a configuration lists, where an empty list
+// means all.
+func regionsOf(names []string) RegionSet { return RegionSet{Limited: len(names) > 0, Names: names} }
 
-// AllowedRegionsFor returns where a route's requests of an organisation, nil for none, may be worked
-// on: where both have homes, both bind.
+// AllowedRegionsFor returns the regions that may serve an organisation's requests on
+// a route; o is nil for requests without an organisation. When both list regions,
+// only those on both lists are allowed.
 func AllowedRegionsFor(r *Route, o *Organisation) RegionSet {
-	homes := homesOf(r.HomeRegions)
+	allowed := regionsOf(r.HomeRegions)
 	if o == nil || len(o.HomeRegions) == 0 {
-		return homes
+		return allowed
 	}
-	if !homes.Limited {
-		return homesOf(o.HomeRegions)
+	if !allowed.Limited {
+		return regionsOf(o.HomeRegions)
 	}
 	both := RegionSet{Limited: true}
 	for _, region := range r.HomeRegions {
--- a/route/homes_test.go
+++ b/route/homes_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestHomesOfRouteAndOrganisationBothBind(t *testing.T) {
+func TestRegionsOfRouteAndOrganisationAreIntersected(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		route, organisation []string
@@ -18,9 +18,9 @@
 		{[]string{"a", "b"}, []string{"b", "c"}, map[string]bool{"a": false, "b": true, "c": false}},
 		{[]string{"a"}, []string{"b"}, map[string]bool{"a": false, "b": false, "": false}},
 	} {
-		homes := AllowedRegionsFor(&Route{HomeRegions: test.route}, &Organisation{HomeRegions: test.organisation})
+		allowed := AllowedRegionsFor(&Route{HomeRegions: test.route}, &Organisation{HomeRegions: test.organisation})
 		for region, want := range test.allowed {
-			c.Check(homes.Allows(region), qt.Equals, want, qt.Commentf("%v %v in %q", test.route, test.organisation, region))
+			c.Check(allowed.Allows(region), qt.Equals, want, qt.Commentf("%v %v in %q", test.route, test.organisation, region))
 		}
 	}
 	c.Check(AllowedRegionsFor(&Route{HomeRegions: []string{"a"}}, nil).Allows("b"), qt.IsFalse)
--- a/route/route.go
+++ b/route/route.go
@@ -1,6 +1,7 @@
-// Package route holds one accepted configuration of opaque HTTP requests: which
-// host and path leads to which backend service, under which limits and for
-// which organisations. A Table is immutable; a new configuration is a new one.
+// Package route holds one accepted configuration for opaque HTTP requests: which
+// host and path prefix is routed to which backend service, under which limits and
+// for which organisations. A Table is immutable; each configuration compiles to a
+// new one.
 package route
 
 import (
@@ -12,16 +13,16 @@
 	"time"
 )
 
-// Kind tells what may be done with a request again.
+// Kind says whether a request may be sent again.
 type Kind uint8
 
 // The kinds of requests.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = iota + 1
-	// AtMostOnce marks requests that run at most once.
+	// AtMostOnce requests run at most once.
 	AtMostOnce
-	// Stream requests are answered with a series of events and run at most once,
+	// Stream requests are answered with a stream of events and run at most once,
 	// unless the route is resumable.
 	Stream
 )
@@ -40,13 +41,13 @@
 	}
 }
 
-// Share is the part of a route's requests that one service gets.
+// Share is the weight of one service in the division of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests below one path of a host are handled.
+// Route defines how the requests below one path prefix of a host are handled.
 type Route struct {
 	Name string
 	// Host is the value of the Host header; Prefix begins and ends with a slash.
@@ -54,36 +55,37 @@
 	Kind         Kind
 	// Shares divide the requests among services by weight.
 	Shares []Share
-	// Timeout is the longest time that a request may last, zero for none.
+	// Timeout bounds the duration of a request. Zero means no bound.
 	Timeout time.Duration
-	// Target is the time to an answer, or to the first event of a stream, within
-	// which the answer has its full worth. Zero means that none is stated.
+	// Target is the time to the answer, or to the first event of a stream, within
+	// which the answer has its full value. Zero means no target.
 	Target time.Duration
-	// MaxPause is the longest pause between two events of a stream that is still
-	// on time. Zero means that none is stated.
+	// MaxPause is the longest time between two events of a stream that still counts
+	// as on time. Zero means no bound.
 	MaxPause time.Duration
-	// Attempts bounds the engines that one request may be sent to.
+	// Attempts is the highest number of engines that one request may be sent to.
 	Attempts int
-	// Priority is 0 for the most urgent requests.
+	// Priority is the priority of the requests; 0 is the most urgent.
 	Priority int
-	// Anonymous routes need no key.
+	// Anonymous routes accept requests without a key.
 	Anonymous bool
-	// Resumable streams may go on at another engine.
+	// Resumable streams may be continued on another engine.
 	Resumable bool
-	// HomeRegions are the regions whose engines may work on the requests; none means all.
+	// HomeRegions are the regions whose engines may serve the requests; an empty list
+	// means all.
 	HomeRegions []string
-	// Models are what the request may be run on, the smallest first. Empty means
-	// that the request itself names the model.
+	// Models are the models that may serve the request, the smallest first. Empty
+	// means that the request itself names the model.
 	Models []string
 }
 
-// Repeatable tells whether a request may reach a second engine after the first
-// one may have begun to run it.
+// Repeatable reports whether a request may be sent to a second engine after the
+// first one may have started to run it.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Model is one size of the model that a service runs.
+// Model is one size of a service's model.
 type Model struct {
 	Name string
 	// Cost is the price of 1,000 generated tokens, in any unit.
@@ -94,20 +96,22 @@
 type Service struct {
 	Name string
 	// Slots is the number of requests that an engine of a language model runs
-	// together, zero for a plain service, whose engines tell it themselves.
+	// concurrently. It is zero for a plain service, whose engines report it
+	// themselves.
 	Slots int
-	// Models are the sizes on offer, the smallest first.
+	// Models are the available sizes, the smallest first.
 	Models []Model
 	// ColdFor is how long an engine is cold after its start, and ColdPerSecond how many
-	// requests a second it bears then. Zero means that it bears any number.
+	// requests per second it can serve during that time. Zero means no bound.
 	ColdFor       time.Duration
 	ColdPerSecond float64
-	// ShortestTarget is the shortest target among the routes that lead here and leave the
-	// size open, zero when none states one. Compile fills it in.
+	// ShortestTarget is the shortest target among the routes to this service whose
+	// requests may run on any size, zero when none has a target. Compile sets it.
 	ShortestTarget time.Duration
 }
 
-// LargestCost returns the price of the dearest size, zero when none has a price.
+// LargestCost returns the price of the most expensive size, zero when none has a
+// price.
 func (s *Service) LargestCost() float64 {
 	largest := 0.0
 	for _, m := range s.Models {
@@ -120,22 +124,23 @@
 type Organisation struct {
 	Name string
 	Keys []string
-	// HomeRegions are the regions whose engines may work on its requests; none means all.
+	// HomeRegions are the regions whose engines may serve its requests; an empty list
+	// means all.
 	HomeRegions []string
-	// Priority replaces that of the route when HasPriority is set.
+	// Priority overrides that of the route when HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of a request.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// Config is one configuration as it was accepted.
+// Config is one accepted configuration.
 type Config struct {
-	// Version is the operators' number, Revision that of the store.
+	// Version is the operators' version number, Revision the revision in the store.
 	Version       int64
 	Revision      uint64
 	Routes        []Route
@@ -144,8 +149,7 @@
 	Limits        Limits
 }
 
-// FieldError reports a configuration that cannot be used, with the path of the
-// wrong field.
+// FieldError reports an invalid field of a configuration and its path.
 type FieldError struct {
 	Path   string
 	Reason string
@@ -154,10 +158,10 @@
 // Error implements error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Path, e.Reason) }
 
-// keyDigest stands for a key, so that no key is kept as text.
+// keyDigest is the digest of a key, so that keys are not kept in clear text.
 type keyDigest [sha256.Size]byte
 
-// Table answers questions about one configuration.
+// Table is a compiled configuration, indexed for lookups by request.
 type Table struct {
 	Version  int64
 	Revision uint64
@@ -169,7 +173,7 @@
 	keys     map[keyDigest]*Organisation
 }
 
-// Compile checks the configuration and returns its table.
+// Compile validates the configuration and returns its table.
 func Compile(c Config) (*Table, error) {
 	t := &Table{
 		Version: c.Version, Revision: c.Revision, Limits: c.Limits, routes: len(c.Routes),
@@ -201,7 +205,7 @@
 	return t, nil
 }
 
-// addRoute checks one route and files it under its host.
+// addRoute validates one route and adds it to its host.
 func (t *Table) addRoute(index int, r *Route) error {
 	path := fmt.Sprintf("routes[%d]", index)
 	switch {
@@ -221,13 +225,14 @@
 	host := strings.ToLower(r.Host)
 	t.hosts[host] = append(t.hosts[host], r)
 	if r.Target > 0 && len(r.Models) > 0 {
-		t.tighten(r)
+		t.lowerTargets(r)
 	}
 	return nil
 }
 
-// tighten notes a route's target at its services.
-func (t *Table) tighten(r *Route) {
+// lowerTargets lowers the shortest target of a route's services to that of the
+// route.
+func (t *Table) lowerTargets(r *Route) {
 	for _, share := range r.Shares {
 		s, ok := t.services[share.Service]
 		if ok && (s.ShortestTarget == 0 || r.Target < s.ShortestTarget) {
@@ -236,8 +241,8 @@
 	}
 }
 
-// Match returns the route of a request: among those of the host, the one with
-// the longest prefix of the path.
+// Match returns the route of a request: of the host's routes, the one with the
+// longest prefix that matches the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -247,7 +252,7 @@
 	return nil, false
 }
 
-// Service returns the named service.
+// Service returns the service with the given name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
@@ -259,13 +264,15 @@
 	return org, ok
 }
 
-// NeedsKeys tells whether requests have to carry a key at all.
+// NeedsKeys reports whether any organisation has a key, so that requests have to
+// carry one.
 func (t *Table) NeedsKeys() bool { return len(t.keys) > 0 }
 
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
 
-// PickService returns the service for a request by its point in [0, 1).
+// PickService returns the service for a request, chosen by weight for a point in
+// [0, 1).
 func (r *Route) PickService(point float64) string {
 	total := 0
 	for _, s := range r.Shares {
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -34,7 +34,7 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-func TestKeyNamesItsOrganisation(t *testing.T) {
+func TestAuthenticateFindsTheOrganisationOfAKey(t *testing.T) {
 	c := qt.New(t)
 	table, err := Compile(config())
 	c.Assert(err, qt.IsNil)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWrongFieldIsNamedByItsPath(t *testing.T) {
+func TestFieldErrorHasThePathOfTheField(t *testing.T) {
 	c := qt.New(t)
 	wrong := map[string]func(*Config){
 		"routes[1].prefix": func(c *Config) { c.Routes[1].Prefix = "/x" },
@@ -76,7 +76,7 @@
 	c.Check(weightless.PickService(0.9), qt.Equals, "a")
 }
 
-func TestOnlyIdempotentAndResumableWorkMayRunAgain(t *testing.T) {
+func TestOnlyIdempotentAndResumableRequestsAreRepeatable(t *testing.T) {
 	c := qt.New(t)
 	c.Check((&Route{Kind: Idempotent}).Repeatable(), qt.IsTrue)
 	c.Check((&Route{Kind: AtMostOnce}).Repeatable(), qt.IsFalse)
