--- a/occupancy/book.go
+++ b/occupancy/book.go
@@ -1,9 +1,10 @@
-// Package occupancy lets daemons know what all of them together have in progress at
-// an engine. Each engine is in the care of one daemon, its keeper, which the others
-// tell of their work there and ask before they choose. So a choice rests on counts
-// that are milliseconds old, whatever the size of the fleet, and nothing is told to
-// daemons that do not ask. The counts are advice: without an answer in time a daemon
-// goes by its own estimate.
+// Package occupancy shares between daemons how many requests and tokens all of them
+// together have in progress at an engine. Each engine is assigned to one daemon, its
+// keeper, which stores the load that every daemon reports for the engine. A daemon
+// that is about to choose an engine queries the keeper for the load of the others. So
+// a choice uses counts that are milliseconds old, whatever the size of the fleet, and
+// no daemon is sent counts that it does not need. The counts are advisory: without an answer in time a
+// daemon uses its own estimate.
 package occupancy
 
 import (
@@ -11,106 +12,108 @@
 	"time"
 )
 
-// Load is what daemons have in progress at one engine.
+// Load is what one or more daemons have in progress at one engine.
 type Load struct {
 	Requests, Tokens int64
-	// Delay is how much later than expected the engine began an answer lately.
+	// Delay is how much later than expected the engine recently began an answer.
 	Delay time.Duration
 }
 
 const (
-	// keepFor is how long a daemon's work counts without news of it. A daemon tells
-	// again of work that goes on every refreshInterval.
-	keepFor = 3 * time.Second
-	// lateFor is how long an engine's delay counts. It fades to nothing by then.
-	lateFor = 2 * time.Second
-	// bookShards is the number of parts of a book, each with its own lock.
-	bookShards = 16
+	// reportTTL is how long a daemon's reported load counts. A daemon reports load
+	// that persists again every refreshInterval.
+	reportTTL = 3 * time.Second
+	// delayTTL is how long an engine's delay counts. It decreases linearly to zero
+	// over that time.
+	delayTTL = 2 * time.Second
+	// storeShards is the number of shards of a store, each with its own lock.
+	storeShards = 16
 )
 
-// Store holds the counts of the engines in this daemon's care. It is safe for
-// concurrent use.
-type Store struct{ shards [bookShards]shard }
+// Store holds the reported load of the engines that this daemon is the keeper of.
+// It is safe for concurrent use.
+type Store struct{ shards [storeShards]shard }
 
 type shard struct {
-	mu       sync.Mutex
-	accounts map[uint32]*account
+	mu      sync.Mutex
+	engines map[uint32]*engineState
 }
 
-// account is one engine's.
-type account struct {
-	byDaemon map[string]entry
-	late     time.Duration
-	lateAt   time.Time
+// engineState is what daemons have reported for one engine.
+type engineState struct {
+	byDaemon map[string]report
+	delay    time.Duration
+	delayAt  time.Time
 }
 
-// entry is what one daemon told last.
-type entry struct {
-	work     Load
+// report is the last report of one daemon.
+type report struct {
+	load     Load
 	sequence uint64
 	at       time.Time
 }
 
-// NewStore returns an empty book.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	b := &Store{}
 	for i := range b.shards {
-		b.shards[i].accounts = make(map[uint32]*account)
+		b.shards[i].engines = make(map[uint32]*engineState)
 	}
 	return b
 }
 
-func (b *Store) shard(engine uint32) *shard { return &b.shards[engine%bookShards] }
+func (b *Store) shard(engine uint32) *shard { return &b.shards[engine%storeShards] }
 
-// Record takes in a daemon's work at an engine, unless a later word is known.
+// Record stores a daemon's load at an engine, unless a report with a higher
+// sequence number has been stored. The delay counts in either case.
 func (b *Store) Record(daemon string, sequence uint64, engine uint32, w Load, now time.Time) {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.accounts[engine]
+	a := s.engines[engine]
 	if a == nil {
-		a = &account{byDaemon: make(map[string]entry)}
-		s.accounts[engine] = a
+		a = &engineState{byDaemon: make(map[string]report)}
+		s.engines[engine] = a
 	}
-	if w.Delay > a.lateLeft(now) {
-		a.late, a.lateAt = w.Delay, now
+	if w.Delay > a.remainingDelay(now) {
+		a.delay, a.delayAt = w.Delay, now
 	}
 	if a.byDaemon[daemon].sequence > sequence {
 		return
 	}
-	a.byDaemon[daemon] = entry{work: w, sequence: sequence, at: now}
+	a.byDaemon[daemon] = report{load: w, sequence: sequence, at: now}
 }
 
-// LoadOfOthers returns the work of all daemons but one at an engine.
+// LoadOfOthers returns the load of all daemons but the given one at an engine.
 func (b *Store) LoadOfOthers(daemon string, engine uint32, now time.Time) Load {
 	s := b.shard(engine)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a := s.accounts[engine]
+	a := s.engines[engine]
 	if a == nil {
 		return Load{}
 	}
-	sum := Load{Delay: a.lateLeft(now)}
+	sum := Load{Delay: a.remainingDelay(now)}
 	for name, e := range a.byDaemon {
-		if name == daemon || now.Sub(e.at) > keepFor {
+		if name == daemon || now.Sub(e.at) > reportTTL {
 			continue
 		}
-		sum.Requests += e.work.Requests
-		sum.Tokens += e.work.Tokens
+		sum.Requests += e.load.Requests
+		sum.Tokens += e.load.Tokens
 	}
 	return sum
 }
 
-// lateLeft returns what still counts of the engine's delay.
-func (a *account) lateLeft(now time.Time) time.Duration {
-	age := now.Sub(a.lateAt)
-	if age >= lateFor {
+// remainingDelay returns the part of the engine's delay that still counts.
+func (a *engineState) remainingDelay(now time.Time) time.Duration {
+	age := now.Sub(a.delayAt)
+	if age >= delayTTL {
 		return 0
 	}
-	return time.Duration(float64(a.late) * (1 - age.Seconds()/lateFor.Seconds()))
+	return time.Duration(float64(a.delay) * (1 - age.Seconds()/delayTTL.Seconds()))
 }
 
-// Expire forgets what no daemon has told of lately.
+// Expire removes reports that are older than reportTTL.
 func (b *Store) Expire(now time.Time) {
 	for i := range b.shards {
 		b.shards[i].expire(now)
@@ -120,14 +123,14 @@
 func (s *shard) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for engine, a := range s.accounts {
+	for engine, a := range s.engines {
 		for name, e := range a.byDaemon {
-			if now.Sub(e.at) > keepFor {
+			if now.Sub(e.at) > reportTTL {
 				delete(a.byDaemon, name)
 			}
 		}
 		if len(a.byDaemon) == 0 {
-			delete(s.accounts, engine)
+			delete(s.engines, engine)
 		}
 	}
 }
--- a/occupancy/metrics.go
+++ b/occupancy/metrics.go
@@ -5,15 +5,15 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Outcomes of calls to keepers. Those to one that did not answer just before are
-// left out.
+// Outcomes of calls to keepers. Calls are left out when the keeper's address is not
+// known or it did not answer the last calls.
 const (
 	outcomeAnswered = "answered"
 	outcomeFailed   = "failed"
-	outcomeLeft     = "left_out"
+	outcomeLeftOut  = "left_out"
 )
 
-// metrics count and time the calls to keepers.
+// metrics holds the counts and durations of calls to keepers.
 type metrics struct {
 	calls   *prometheus.CounterVec
 	seconds prometheus.Histogram
@@ -26,7 +26,7 @@
 			Name: "bronzeturn_occupancy_calls_total", Help: "Calls to the keepers of engines by outcome.",
 		}, []string{"outcome"}),
 		seconds: f.NewHistogram(prometheus.HistogramOpts{
-			Name: "bronzeturn_occupancy_call_seconds", Help: "Time of calls to the keepers of engines.",
+			Name: "bronzeturn_occupancy_call_seconds", Help: "Duration of calls to the keepers of engines.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 10),
 		}),
 	}
--- a/occupancy/server.go
+++ b/occupancy/server.go
@@ -9,7 +9,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Server answers other daemons from a book.
+// Server answers the calls of other daemons from a store.
 type Server struct{ Store *Store }
 
 // Share implements bronzeturnv1connect.OccupancyServiceHandler.
@@ -17,11 +17,11 @@
 	return connect.NewResponse(&bronzeturnv1.ShareResponse{Others: s.Store.exchange(r.Msg, time.Now())}), nil
 }
 
-// exchange takes in a daemon's work and returns the others' at the engines asked
-// for.
+// exchange stores a daemon's load and returns that of the other daemons at the
+// requested engines.
 func (b *Store) exchange(m *bronzeturnv1.ShareRequest, now time.Time) []*bronzeturnv1.EngineLoad {
 	for _, own := range m.GetOwn() {
-		b.Record(m.GetDaemon(), m.GetSequence(), own.GetEngine(), workOf(own), now)
+		b.Record(m.GetDaemon(), m.GetSequence(), own.GetEngine(), loadOf(own), now)
 	}
 	others := make([]*bronzeturnv1.EngineLoad, 0, len(m.GetAsked()))
 	for _, engine := range m.GetAsked() {
--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -17,33 +17,35 @@
 )
 
 const (
-	// askTimeout bounds what asking may add to a request. A keeper answers within
-	// one way there and back; on small hosts one in a hundred takes over 25 ms.
-	askTimeout = 50 * time.Millisecond
-	// tellTimeout bounds the telling.
-	tellTimeout = 500 * time.Millisecond
-	// tellInterval is the time between two rounds of telling. A request that was
-	// sent is told of at once, since it is what others have to know.
-	tellInterval = 60 * time.Millisecond
-	// refreshInterval is how often work that goes on is told of again, for a keeper
-	// that is new.
+	// queryTimeout bounds the latency that a query may add to a request. A keeper
+	// answers within one network round trip; on small hosts one call in a hundred
+	// takes over 25 ms.
+	queryTimeout = 50 * time.Millisecond
+	// reportTimeout bounds a call that reports load.
+	reportTimeout = 500 * time.Millisecond
+	// reportInterval is the time between two rounds of reports. A request that was
+	// sent is reported at once, since other daemons' choices depend on it most.
+	reportInterval = 60 * time.Millisecond
+	// refreshInterval is how often load that persists is reported again, for the case
+	// that the keeper is new.
 	refreshInterval = time.Second
-	// silentAfter is how many calls in a row a keeper leaves unanswered before it
-	// counts as silent, avoidFor how long it is then not asked again.
-	silentAfter = 3
+	// maxFailures is the number of consecutive failed calls after which a keeper is
+	// avoided, avoidFor how long it then gets no calls.
+	maxFailures = 3
 	avoidFor    = 500 * time.Millisecond
 )
 
-// Options are what a Sharer needs. All fields are required.
+// Options are the dependencies of a Client. All fields are required.
 type Options struct {
 	// Self is this daemon's name.
 	Self string
-	// Keeper returns the daemon that an engine is in the care of, "" for none.
+	// Keeper returns the daemon that is the keeper of an engine, "" for none.
 	Keeper func(engine string) string
-	// Client opens calls to a daemon, nil when its address is not known.
+	// Client returns the service client for a daemon, nil when its address is not
+	// known.
 	Client func(daemon string) bronzeturnv1connect.OccupancyServiceClient
-	// InFlight returns this daemon's own work at an engine, EachInFlight calls f for
-	// every engine where there is any.
+	// InFlight returns this daemon's own load at an engine, EachInFlight calls f for
+	// every engine with any.
 	InFlight     func(engine string) (requests, tokens int64)
 	EachInFlight func(f func(engine string, requests, tokens int64))
 	Store        *Store
@@ -51,47 +53,52 @@
 	Registerer   prometheus.Registerer
 }
 
-// Client tells the keepers of this daemon's work and asks them for the others'. It
-// is safe for concurrent use.
+// Client reports this daemon's load to the keepers and queries them for that of the
+// other daemons. It is safe for concurrent use.
 type Client struct {
 	Options
 	metrics  *metrics
 	sequence atomic.Uint64
-	// wake tells Run that there is something to tell.
+	// wake signals Run that there is load to report.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// changed are the engines to tell of, by keeper, with the delay to report.
+	// changed holds the engines whose load is to be reported, by keeper, with the
+	// delay to report.
 	changed map[string]map[string]time.Duration
-	// failing are the keepers that did not answer their last calls.
+	// failing holds the keepers whose last call failed.
 	failing map[string]failing
 }
 
-// failing is how often in a row a keeper did not answer, and when it did so last.
+// failing is the number of consecutive failed calls to a keeper, and the time of
+// the last one.
 type failing struct {
 	times int
 	at    time.Time
 }
 
-// New returns a Sharer. Telling begins with Run.
+// New returns a Client. Periodic reports begin with Run.
 func New(o Options) *Client {
 	s := &Client{Options: o, metrics: newMetrics(o.Registerer), wake: make(chan struct{}, 1), changed: make(map[string]map[string]time.Duration), failing: make(map[string]failing)}
-	// Sequences of a daemon rise over its restarts.
+	// Sequence numbers of a daemon keep increasing across its restarts.
 	s.sequence.Store(uint64(time.Now().UnixMilli()) << 20)
 	return s
 }
 
-// hash names an engine between daemons.
+// hash returns the identifier of an engine in messages between daemons.
 func hash(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
 
-// LoadChanged notes that the own work at an engine has changed.
-func (s *Client) LoadChanged(engine string) { s.note(engine, 0) }
+// LoadChanged records that this daemon's load at an engine has changed, to be
+// reported in the next round.
+func (s *Client) LoadChanged(engine string) { s.markChanged(engine, 0) }
 
-// DelayObserved notes how much later than expected an engine began an answer.
-func (s *Client) DelayObserved(engine string, by time.Duration) { s.note(engine, by) }
+// DelayObserved records how much later than expected an engine began an answer, to
+// be reported in the next round.
+func (s *Client) DelayObserved(engine string, delay time.Duration) { s.markChanged(engine, delay) }
 
-// note returns the engine's keeper, "" when there is none to tell.
-func (s *Client) note(engine string, late time.Duration) string {
+// markChanged marks the load of an engine to be reported. It returns the engine's
+// keeper, "" when there is none.
+func (s *Client) markChanged(engine string, delay time.Duration) string {
 	keeper := s.Keeper(engine)
 	if keeper == "" {
 		return ""
@@ -103,7 +110,7 @@
 		engines = make(map[string]time.Duration)
 		s.changed[keeper] = engines
 	}
-	engines[engine] = max(engines[engine], late)
+	engines[engine] = max(engines[engine], delay)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -111,20 +118,21 @@
 	return keeper
 }
 
-// RequestSent notes a request that was sent to an engine and tells its keeper at once.
+// RequestSent records that a request was sent to an engine, and reports it to the
+// keeper at once.
 func (s *Client) RequestSent(ctx context.Context, engine string) {
-	switch keeper := s.note(engine, 0); keeper {
+	switch keeper := s.markChanged(engine, 0); keeper {
 	case "":
 	case s.Self:
-		s.tell(ctx, keeper)
+		s.report(ctx, keeper)
 	default:
-		go s.tell(ctx, keeper)
+		go s.report(ctx, keeper)
 	}
 }
 
-// Run tells the keepers of changes until ctx ends. It sleeps while there are none: a
-// daemon of a large fleet has a few requests a second, and a look every tellInterval
-// would wake it three times as often.
+// Run reports changes to the keepers until ctx ends. It blocks while there are none:
+// a daemon of a large fleet gets a few requests per second, and polling every
+// reportInterval would wake it three times as often.
 func (s *Client) Run(ctx context.Context) error {
 	refresh := time.NewTimer(backoff.UntilTick(refreshInterval))
 	defer refresh.Stop()
@@ -139,18 +147,18 @@
 			continue
 		case <-s.wake:
 		}
-		if backoff.Sleep(ctx, tellInterval) != nil {
+		if backoff.Sleep(ctx, reportInterval) != nil {
 			return nil
 		}
 		var round sync.WaitGroup
 		for _, keeper := range s.due() {
-			round.Go(func() { s.tell(ctx, keeper) })
+			round.Go(func() { s.report(ctx, keeper) })
 		}
 		round.Wait()
 	}
 }
 
-// due returns the keepers that there is something to tell.
+// due returns the keepers that have load to be reported.
 func (s *Client) due() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,43 +169,43 @@
 	return keepers
 }
 
-// tell tells one keeper what has changed.
-func (s *Client) tell(ctx context.Context, keeper string) {
+// report reports the changed load to one keeper.
+func (s *Client) report(ctx context.Context, keeper string) {
 	m := s.message(keeper)
 	if len(m.GetOwn()) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	s.exchange(ctx, keeper, m)
 }
 
-// message takes what there is to tell a keeper.
+// message returns the report for a keeper and clears its changes.
 func (s *Client) message(keeper string) *bronzeturnv1.ShareRequest {
 	s.mu.Lock()
 	engines := s.changed[keeper]
 	delete(s.changed, keeper)
 	s.mu.Unlock()
 	m := &bronzeturnv1.ShareRequest{Daemon: s.Self, Sequence: s.sequence.Add(1)}
-	for engine, late := range engines {
+	for engine, delay := range engines {
 		requests, tokens := s.InFlight(engine)
 		m.Own = append(m.Own, &bronzeturnv1.EngineLoad{
-			Engine: hash(engine), Requests: uint32(requests), Tokens: uint32(tokens), LateMs: uint32(late.Milliseconds()),
+			Engine: hash(engine), Requests: uint32(requests), Tokens: uint32(tokens), LateMs: uint32(delay.Milliseconds()),
 		})
 	}
 	return m
 }
 
-// exchange calls a keeper, or the own book, and returns what it answered. A keeper
-// that fails is left alone for a while; what it was to be told follows with the
-// next refresh.
+// exchange calls a keeper, or the own store when this daemon is the keeper, and
+// returns the answer. A failing keeper is avoided for a while; the load that it was
+// not sent follows with the next refresh.
 func (s *Client) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
 	if keeper == s.Self {
 		return s.Store.exchange(m, time.Now())
 	}
 	client := s.Client(keeper)
-	if client == nil || s.isSilent(keeper) {
-		s.metrics.calls.WithLabelValues(outcomeLeft).Inc()
+	if client == nil || s.isAvoided(keeper) {
+		s.metrics.calls.WithLabelValues(outcomeLeftOut).Inc()
 		return nil
 	}
 	began := time.Now()
@@ -211,45 +219,46 @@
 	return answer.Msg.GetOthers()
 }
 
-// isSilent tells whether a keeper did not answer lately.
-func (s *Client) isSilent(keeper string) bool {
+// isAvoided reports whether a keeper gets no calls because the last ones failed.
+func (s *Client) isAvoided(keeper string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.failing[keeper]
-	return f.times >= silentAfter && time.Since(f.at) <= avoidFor
+	return f.times >= maxFailures && time.Since(f.at) <= avoidFor
 }
 
-// failed notes that a keeper did not answer.
+// failed records that a call to a keeper failed.
 func (s *Client) failed(keeper string, err error) {
 	s.metrics.calls.WithLabelValues(outcomeFailed).Inc()
 	s.mu.Lock()
 	times := s.failing[keeper].times + 1
 	s.failing[keeper] = failing{times: times, at: time.Now()}
 	s.mu.Unlock()
-	if times == silentAfter {
+	if times == maxFailures {
 		s.Log.Info().Err(err).Str("keeper", keeper).Msg("keeper of engines does not answer")
 	}
 }
 
-// answered notes that a keeper answered.
+// answered records that a keeper answered.
 func (s *Client) answered(keeper string) {
 	s.metrics.calls.WithLabelValues(outcomeAnswered).Inc()
 	s.mu.Lock()
 	times := s.failing[keeper].times
 	delete(s.failing, keeper)
 	s.mu.Unlock()
-	if times >= silentAfter {
+	if times >= maxFailures {
 		s.Log.Info().Str("keeper", keeper).Msg("keeper of engines answers again")
 	}
 }
 
-// EngineLoad is the others' work at one engine.
+// EngineLoad is the load of the other daemons at one engine.
 type EngineLoad struct {
 	Engine string
 	Load   Load
 }
 
-// QueryLoads returns the others' work at the engines whose keepers answer in time.
+// QueryLoads returns the load of the other daemons at those of the engines whose
+// keepers answer in time.
 func (s *Client) QueryLoads(ctx context.Context, engines []string) []EngineLoad {
 	byKeeper := make(map[string][]string)
 	for _, engine := range engines {
@@ -257,15 +266,15 @@
 			byKeeper[keeper] = append(byKeeper[keeper], engine)
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	answers := make(chan []EngineLoad, len(byKeeper))
 	for keeper, asked := range byKeeper {
 		if keeper == s.Self {
-			answers <- s.askOne(ctx, keeper, asked)
+			answers <- s.queryKeeper(ctx, keeper, asked)
 			continue
 		}
-		go func() { answers <- s.askOne(ctx, keeper, asked) }()
+		go func() { answers <- s.queryKeeper(ctx, keeper, asked) }()
 	}
 	var all []EngineLoad
 	for range byKeeper {
@@ -274,8 +283,8 @@
 	return all
 }
 
-// askOne asks one keeper, and tells it what has changed by the way.
-func (s *Client) askOne(ctx context.Context, keeper string, engines []string) []EngineLoad {
+// queryKeeper queries one keeper. The call also reports the changed load.
+func (s *Client) queryKeeper(ctx context.Context, keeper string, engines []string) []EngineLoad {
 	m := s.message(keeper)
 	for _, engine := range engines {
 		m.Asked = append(m.Asked, hash(engine))
@@ -286,12 +295,12 @@
 	}
 	answers := make([]EngineLoad, len(engines))
 	for i, o := range others {
-		answers[i] = EngineLoad{Engine: engines[i], Load: workOf(o)}
+		answers[i] = EngineLoad{Engine: engines[i], Load: loadOf(o)}
 	}
 	return answers
 }
 
-func workOf(m *bronzeturnv1.EngineLoad) Load {
+func loadOf(m *bronzeturnv1.EngineLoad) Load {
 	return Load{
 		Requests: int64(m.GetRequests()), Tokens: int64(m.GetTokens()),
 		Delay: time.Duration(m.GetLateMs()) * time.Millisecond,
