--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -164,15 +164,15 @@
 		fault func(f *testFleet)
 	}{
 		{"coordinator changes", func(f *testFleet) { f.owner.Store(1) }},
-		{"coordinator changes to and fro", func(f *testFleet) {
+		{"coordinator changes back and forth", func(f *testFleet) {
 			for i := range 6 {
 				f.owner.Store(int32(i % 2))
 				time.Sleep(5 * time.Second)
 			}
 		}},
 		{"coordinator is lost for all", func(f *testFleet) { f.owner.Store(5); f.down[5].Store(true) }},
-		{"largest daemon is cut from the coordinator", func(f *testFleet) { f.owner.Store(5); f.down[0].Store(true) }},
-		{"small daemon is cut from the coordinator", func(f *testFleet) { f.down[4].Store(true) }},
+		{"largest daemon is partitioned from the coordinator", func(f *testFleet) { f.owner.Store(5); f.down[0].Store(true) }},
+		{"small daemon is partitioned from the coordinator", func(f *testFleet) { f.down[4].Store(true) }},
 		{"every second answer is lost", func(f *testFleet) { f.lose.Store(true) }},
 		{"answers take 900 ms", func(f *testFleet) { f.delay.Store(int64(450 * time.Millisecond)) }},
 	}
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -251,9 +251,9 @@
 		{"free engines", 4, 6, []int{5, 5}, 4 + 5},
 		{"the last free slot below the reserve", 4, 6, []int{35, 34}, 5},
 		{"the reserve is reached", 4, 6, []int{35, 35}, 4},
-		{"one engine is into the reserve", 9, 6, []int{0, 38}, 8},
-		{"far beyond", 2, 1, []int{200, 200}, 1},
-		{"nothing known", 0, 6, nil, 1},
+		{"one engine uses the reserve", 9, 6, []int{0, 38}, 8},
+		{"far beyond the slots", 2, 1, []int{200, 200}, 1},
+		{"no engine reported", 0, 6, nil, 1},
 		{"one daemon", 0, 0, []int{31}, 2},
 	}
 	for _, test := range cases {
