--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -214,7 +214,7 @@
 		l.refused.Add(1)
 		return
 	}
-	l.longest.Store(max(l.longest.Load(), int64(ticket.Waited(start))))
+	l.longest.Store(max(l.longest.Load(), int64(ticket.WaitTime(start))))
 	l.done.Add(1)
 	time.Sleep(time.Second)
 	ticket.Release(ActualUsage{Tokens: 100})
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -18,8 +18,8 @@
 	released   atomic.Bool
 }
 
-// Waited returns the time from since until the request got its slot.
-func (t *Ticket) Waited(since time.Time) time.Duration { return t.started.Sub(since) }
+// WaitTime returns the time from since until the request got its slot.
+func (t *Ticket) WaitTime(since time.Time) time.Duration { return t.started.Sub(since) }
 
 // Release ends the admission and settles the actual usage of the request. Only the
 // first call has an effect.
