--- a/admission/account.go
+++ b/admission/account.go
@@ -18,7 +18,7 @@
 	requests     bucket
 	tokens       bucket
 	inUse        int
-	spend        spendBook
+	spend        daySpend
 	offered      [2]meter // requests and tokens asked for, admitted or not
 	costs        meter
 	lastActive   time.Time
@@ -131,12 +131,12 @@
 // for requests in progress are carried over.
 func (a *account) advanceDay(now time.Time) {
 	if day := dayOf(now); day != a.spend.day {
-		a.spend = spendBook{day: day, reserved: a.spend.reserved}
+		a.spend = daySpend{day: day, reserved: a.spend.reserved}
 	}
 }
 
-// spendBook holds the spend of one UTC day, in micro-units of currency.
-type spendBook struct {
+// daySpend is the spend of one UTC day, in micro-units of currency.
+type daySpend struct {
 	day          int64
 	spent        float64 // settled on this daemon
 	reserved     float64 // estimated for requests in progress
@@ -147,7 +147,7 @@
 // equalCap returns what this daemon's own spend may reach without a share: the
 // spend that the coordinator acknowledged, and an equal part of what was left of
 // the limit at that time.
-func (b *spendBook) equalCap(limit float64, live int) float64 {
+func (b *daySpend) equalCap(limit float64, live int) float64 {
 	left := max(0, limit-b.fleetTotal)
 	return b.acknowledged + left/float64(max(live, 1))
 }
@@ -155,7 +155,7 @@
 // exceeded returns the refusal. Retry-After is the next UTC day when less than
 // one such request per daemon is left of the limit, and short when only this
 // daemon's share is used up.
-func (b *spendBook) exceeded(now time.Time, limit, fleetCost float64) *failure.Error {
+func (b *daySpend) exceeded(now time.Time, limit, fleetCost float64) *failure.Error {
 	after := concurrencyRetryAfter
 	if b.fleetTotal+fleetCost > limit || b.spent+b.reserved >= limit {
 		after = untilNextDay(now)
