--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,8 +16,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// alone returns a Controller that never hears from a coordinator.
-func alone(tb testing.TB) *Controller {
+// uncoordinated returns a Controller that never reaches a coordinator.
+func uncoordinated(tb testing.TB) *Controller {
 	d, err := New(Options{
 		Name:                "daemon",
 		Owner:               func(string) (string, bool) { return "other", false },
@@ -70,11 +70,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				d := alone(t)
+				d := uncoordinated(t)
 				d.SetCapacity("pool/version", test.slots)
 				if test.limit != nil {
 					test.limit.Organisation = "org"
-					d.Update([]*bronzeturnv1.Limit{test.limit}, test.live)
+					d.SetLimits([]*bronzeturnv1.Limit{test.limit}, test.live)
 				}
 				r := request("org", 100, time.Duration(day)*time.Second)
 				r.CostMicros = test.r.CostMicros
@@ -98,14 +98,14 @@
 	}
 }
 
-// A refused request takes nothing from the limits, a finished one gives back
-// what it did not use, and another organisation is not touched by either.
+// A refused request is not charged to the limits, a finished one is refunded what
+// it did not use, and neither affects another organisation.
 func TestAcquireChargesOnlyWhatRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		d.SetCapacity("pool/version", 1)
-		d.Update([]*bronzeturnv1.Limit{
+		d.SetLimits([]*bronzeturnv1.Limit{
 			{Organisation: "org", RequestsPerSecond: 2, ConcurrentRequests: 2},
 			{Organisation: "other", RequestsPerSecond: 2, ConcurrentRequests: 2},
 		}, 1)
@@ -115,12 +115,12 @@
 			_, err := d.Acquire(context.Background(), request("org", 100, 100*time.Millisecond))
 			c.Assert(failure.From(err).Code, qt.Equals, failure.CodeNoCapacity)
 		}
-		ticket.Release(Used{Tokens: 100})
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 		c.Assert(inUse(d, "org"), qt.Equals, [2]int{0, 0})
 		second, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
-		second.Release(Used{})
+		second.Release(ActualUsage{})
 		_, err = d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(failure.From(err).Code, qt.Equals, failure.CodeLimitExceeded)
 		_, err = d.Acquire(context.Background(), request("other", 100, time.Minute))
@@ -134,18 +134,18 @@
 	return [2]int{d.shard(organisation).accounts[organisation].inUse, value.(*group).queue.inUse}
 }
 
-// A request that waits gets the slot, or is refused with half of its time left.
+// A waiting request gets the slot, or is refused when half of its time has passed.
 func TestAcquireWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		d.SetCapacity("pool/version", 1)
 		ticket, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
 		start := time.Now()
 		go func() {
 			time.Sleep(3 * time.Second)
-			ticket.Release(Used{Tokens: 100})
+			ticket.Release(ActualUsage{Tokens: 100})
 		}()
 		second, err := d.Acquire(context.Background(), request("org", 100, time.Minute))
 		c.Assert(err, qt.IsNil)
@@ -159,19 +159,19 @@
 		defer cancel()
 		_, err = d.Acquire(ctx, request("org", 100, 20*time.Second))
 		c.Assert(errors.Is(err, context.DeadlineExceeded), qt.IsTrue)
-		second.Release(Used{Tokens: 100})
+		second.Release(ActualUsage{Tokens: 100})
 		third, err := d.Acquire(context.Background(), request("org", 100, 20*time.Second))
 		c.Assert(err, qt.IsNil)
-		third.Release(Used{})
+		third.Release(ActualUsage{})
 	})
 }
 
-// A big organisation that overruns the pool leaves a small one its part and a
-// wait no longer than its own requests explain.
-func TestBigOrganisationCannotStarveSmallOne(t *testing.T) {
+// An organisation that overloads the pool does not take a small organisation's
+// fair share: none of the latter's requests are refused, and each waits at most 2 s.
+func TestLargeOrganisationDoesNotStarveSmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		d := alone(t)
+		d := uncoordinated(t)
 		const slots = 10 // 10 requests of one second: 10 a second
 		d.SetCapacity("pool/version", slots)
 		big := startLoad(d, "big", 101)
@@ -190,7 +190,7 @@
 	})
 }
 
-// load offers requests of one second and 100 tokens at a rate.
+// load sends requests of one second and 100 tokens at a constant rate.
 type load struct {
 	stop                   atomic.Bool
 	done, refused, longest atomic.Int64
@@ -214,28 +214,29 @@
 		l.refused.Add(1)
 		return
 	}
-	l.longest.Store(max(l.longest.Load(), int64(ticket.Waited(start))))
+	l.longest.Store(max(l.longest.Load(), int64(ticket.WaitTime(start))))
 	l.done.Add(1)
 	time.Sleep(time.Second)
-	ticket.Release(Used{Tokens: 100})
+	ticket.Release(ActualUsage{Tokens: 100})
 }
 
 func TestAcquireAllocations(t *testing.T) {
-	d := limitedAlone(t)
+	d := uncoordinatedWithLimits(t)
 	r := request("org0", 100, time.Hour)
 	allocations := testing.AllocsPerRun(1000, func() {
 		ticket, err := d.Acquire(context.Background(), r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 	})
 	qt.Assert(t, allocations, qt.Equals, 1.0) // the ticket
 }
 
-// limitedAlone returns a Controller whose limits and capacity are never met.
-func limitedAlone(tb testing.TB) *Controller {
-	d := alone(tb)
+// uncoordinatedWithLimits returns a Controller whose limits and capacity are never
+// reached.
+func uncoordinatedWithLimits(tb testing.TB) *Controller {
+	d := uncoordinated(tb)
 	d.SetCapacity("pool/version", 1<<30)
 	var limits []*bronzeturnv1.Limit
 	for i := range 300 {
@@ -244,12 +245,12 @@
 			ConcurrentRequests: 1 << 30, DailySpendMicros: 1 << 50,
 		})
 	}
-	d.Update(limits, 1)
+	d.SetLimits(limits, 1)
 	return d
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	d := limitedAlone(b)
+	d := uncoordinatedWithLimits(b)
 	r := request("org0", 100, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -257,12 +258,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		ticket.Release(Used{Tokens: 100})
+		ticket.Release(ActualUsage{Tokens: 100})
 	}
 }
 
 func BenchmarkAcquireReleaseParallel(b *testing.B) {
-	d := limitedAlone(b)
+	d := uncoordinatedWithLimits(b)
 	for i := range 36 {
 		d.SetCapacity(fmt.Sprint("pool/version", i), 1<<30)
 	}
@@ -278,7 +279,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			ticket.Release(Used{Tokens: 100})
+			ticket.Release(ActualUsage{Tokens: 100})
 		}
 	})
 }
--- a/admission/fleet_test.go
+++ b/admission/fleet_test.go
@@ -18,20 +18,20 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// testFleet runs daemons that report to each other over the connect service,
+// testFleet runs daemons that report to each other through the Connect service,
 // in virtual time and without a network.
 type testFleet struct {
 	daemons []*Controller
 	owner   atomic.Int32  // index of the coordinator of every shard
-	down    []atomic.Bool // daemons that no other daemon hears
+	down    []atomic.Bool // daemons that no other daemon can reach
 	lose    atomic.Bool   // every second answer is lost
 	calls   atomic.Int32
-	delay   atomic.Int64 // one way
+	delay   atomic.Int64 // one-way, in nanoseconds
 }
 
-var errCut = errors.New("connection is cut")
+var errPartitioned = errors.New("connection is cut")
 
-// link is the HTTP client of one daemon towards another.
+// link is the HTTP client of one daemon for another.
 type link struct {
 	f        *testFleet
 	from, to int
@@ -40,14 +40,14 @@
 func (l link) Do(r *http.Request) (*http.Response, error) {
 	time.Sleep(time.Duration(l.f.delay.Load()))
 	if l.f.down[l.from].Load() || l.f.down[l.to].Load() {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	_, handler := l.f.daemons[l.to].Handler()
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, r)
 	time.Sleep(time.Duration(l.f.delay.Load()))
 	if l.f.calls.Add(1)%2 == 0 && l.f.lose.Load() {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	return recorder.Result(), nil
 }
@@ -70,15 +70,15 @@
 			},
 		})
 		c.Assert(err, qt.IsNil)
-		d.Update([]*bronzeturnv1.Limit{limit}, n)
+		d.SetLimits([]*bronzeturnv1.Limit{limit}, n)
 		f.daemons[i] = d
 		go func() { _ = d.Run(ctx) }()
 	}
 	return f
 }
 
-// offer sends requests to a daemon at a rate for a time. Each holds its ticket
-// for the given time. It returns how many were admitted.
+// offer sends requests to a daemon at a rate for the duration d, each of which
+// holds its ticket for hold. It returns how many were admitted.
 func (f *testFleet) offer(daemon int, rate float64, d, hold time.Duration) (admitted int) {
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
@@ -92,13 +92,13 @@
 		admitted++
 		go func() {
 			time.Sleep(hold)
-			ticket.Release(Used{Tokens: 100, CostMicros: 100})
+			ticket.Release(ActualUsage{Tokens: 100, CostMicros: 100})
 		}()
 	}
 	return admitted
 }
 
-// offerAll offers different rates to the daemons at once.
+// offerAll sends requests to all daemons at once, at one rate each.
 func (f *testFleet) offerAll(rates []float64, d time.Duration) (admitted int) {
 	sums := make(chan int)
 	for i, rate := range rates {
@@ -116,7 +116,8 @@
 	return admitted
 }
 
-// Skewed callers get the whole limit, and at most 5% more, wherever they are.
+// Callers get the whole limit, and at most 5% more, however unevenly they are
+// spread over the daemons.
 func TestFleetHoldsLimitForSkewedCallers(t *testing.T) {
 	requests := &bronzeturnv1.Limit{Organisation: "org", RequestsPerSecond: 20}
 	tokens := &bronzeturnv1.Limit{Organisation: "org", TokensPerSecond: 2_000}
@@ -154,8 +155,8 @@
 	}
 }
 
-// A change, loss or cut of the coordinator neither stops work nor lets the
-// organisation exceed its limit by more than 5% over a minute.
+// When the coordinator changes, fails or can't be reached, requests are still
+// admitted, and the organisation exceeds its limit by at most 5% over a minute.
 func TestFleetHoldsLimitThroughCoordinatorFaults(t *testing.T) {
 	skewed := []float64{40, 12, 6, 2, 1, 0.2}
 	cases := []struct {
@@ -163,15 +164,15 @@
 		fault func(f *testFleet)
 	}{
 		{"coordinator changes", func(f *testFleet) { f.owner.Store(1) }},
-		{"coordinator changes to and fro", func(f *testFleet) {
+		{"coordinator changes back and forth", func(f *testFleet) {
 			for i := range 6 {
 				f.owner.Store(int32(i % 2))
 				time.Sleep(5 * time.Second)
 			}
 		}},
 		{"coordinator is lost for all", func(f *testFleet) { f.owner.Store(5); f.down[5].Store(true) }},
-		{"largest daemon is cut from the coordinator", func(f *testFleet) { f.owner.Store(5); f.down[0].Store(true) }},
-		{"small daemon is cut from the coordinator", func(f *testFleet) { f.down[4].Store(true) }},
+		{"largest daemon is partitioned from the coordinator", func(f *testFleet) { f.owner.Store(5); f.down[0].Store(true) }},
+		{"small daemon is partitioned from the coordinator", func(f *testFleet) { f.down[4].Store(true) }},
 		{"every second answer is lost", func(f *testFleet) { f.lose.Store(true) }},
 		{"answers take 900 ms", func(f *testFleet) { f.delay.Store(int64(450 * time.Millisecond)) }},
 	}
@@ -221,7 +222,7 @@
 						time.Sleep(400 * time.Millisecond)
 						running.Add(-1)
 						spent.Add(100)
-						ticket.Release(Used{CostMicros: 100})
+						ticket.Release(ActualUsage{CostMicros: 100})
 					}()
 				}
 			}()
--- a/compiler.go
+++ b/compiler.go
@@ -106,8 +106,8 @@
 		Versions: selection.NewPlan(register, rules),
 		Engines:  c.decisions.engines.Plan(register, selected.Contains),
 	}
-	c.decisions.versions.Use(tables.Versions)
-	c.decisions.admission.Update(rules.GetLimits(), len(c.live))
+	c.decisions.versions.SetPlan(tables.Versions)
+	c.decisions.admission.SetLimits(rules.GetLimits(), len(c.live))
 	c.setCapacities(register)
 	c.dropBreakers(register)
 	c.publish(tables)
--- a/entry/load.go
+++ b/entry/load.go
@@ -23,7 +23,7 @@
 // sharedBalancer chooses engines by the requests that all daemons have in progress there.
 type sharedBalancer struct {
 	*balance.State
-	sharer *occupancy.Sharer
+	sharer *occupancy.Client
 	daemon *Daemon
 }
 
@@ -34,7 +34,7 @@
 	return &sharedBalancer{daemon: d, State: d.balancer, sharer: occupancy.New(occupancy.Options{
 		Self: d.Settings.Name, Keeper: keepers.of, Client: d.fleet.occupancyClient,
 		InFlight: d.balancer.OwnLoad, EachInFlight: d.balancer.InFlight,
-		Book: d.book, Log: d.logger("occupancy"), Registerer: d.registry,
+		Store: d.book, Log: d.logger("occupancy"), Registerer: d.registry,
 	})}
 }
 
@@ -49,14 +49,14 @@
 		return decision, ok
 	}
 	engines := decision.Compared(maxQueriedEngines)
-	answers := b.sharer.Ask(context.Background(), engines)
+	answers := b.sharer.QueryLoads(context.Background(), engines)
 	if len(answers) == 0 {
 		return decision, ok
 	}
 	now = time.Now()
 	for _, a := range answers {
 		b.PeerLoadReported(balance.PeerLoadReported{
-			Engine: a.Engine, Requests: a.Work.Requests, Tokens: a.Work.Tokens + gateway.WorkOf(a.Work.Late), At: now,
+			Engine: a.Engine, Requests: a.Load.Requests, Tokens: a.Load.Tokens + gateway.WorkOf(a.Load.Delay), At: now,
 		})
 	}
 	again := *r
@@ -74,7 +74,7 @@
 func (b *sharedBalancer) Dispatched(ev balance.Dispatched) {
 	b.State.Dispatched(ev)
 	if ev.Work.PromptTokens > 0 {
-		b.sharer.Sent(context.Background(), ev.Engine)
+		b.sharer.RequestSent(context.Background(), ev.Engine)
 	}
 }
 
@@ -103,7 +103,7 @@
 // prompt are not counted there.
 func (b *sharedBalancer) workChanged(engine string, w balance.Work) {
 	if w.PromptTokens > 0 {
-		b.sharer.Changed(engine)
+		b.sharer.LoadChanged(engine)
 	}
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -122,11 +122,11 @@
 		if g.SlowStarts.Throttled(engine, now) {
 			return true
 		}
-		if !t.homes.Bound {
+		if !t.homes.Limited {
 			return false
 		}
 		e, known := engines.View.Engine(engine)
-		return !known || !t.homes.Allow(g.Regions[e.DataCentre])
+		return !known || !t.homes.Allows(g.Regions[e.DataCentre])
 	}
 }
 
@@ -160,7 +160,7 @@
 func (t *task) balanceRequest(dataCentre string, engines *Engines, models *ModelChoice) *balance.Request {
 	r := &balance.Request{
 		Version: t.group, DataCentre: dataCentre, Work: t.work(models),
-		PrefixHash: t.prefixHash, PrefixWorth: time.Duration(t.prefixTokens) * prefixTokenWorth, NoProbe: t.route.Kind == route.Once,
+		PrefixHash: t.prefixHash, PrefixWorth: time.Duration(t.prefixTokens) * prefixTokenWorth, NoProbe: t.route.Kind == route.AtMostOnce,
 	}
 	if home, ok := engines.home(t.group, t.prefix, t.prefixHomes, t.session); ok {
 		r.Homes[0] = home
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -45,7 +45,7 @@
 	organisation string
 	priority     int
 	// homes holds the regions in which the request may be processed.
-	homes   route.Homes
+	homes   route.RegionSet
 	service string
 	// backend is the service's entry in the configuration, or nil. runsModels is set if
 	// its engines run language models.
@@ -156,7 +156,7 @@
 
 // authenticate looks up the organisation of the caller's key.
 func (g *Gateway) authenticate(q *request) *failure.Error {
-	q.homes = route.HomesFor(q.route, nil)
+	q.homes = route.AllowedRegionsFor(q.route, nil)
 	if q.route.Anonymous || !q.tables.Routes.NeedsKeys() {
 		return nil
 	}
@@ -165,7 +165,7 @@
 		return g.refuseUnknown(failure.CodeUnauthenticated, "the key is missing or not valid")
 	}
 	q.organisation = org.Name
-	q.homes = route.HomesFor(q.route, org)
+	q.homes = route.AllowedRegionsFor(q.route, org)
 	if org.HasPriority {
 		q.priority = org.Priority
 	}
@@ -248,7 +248,7 @@
 
 // chooseService picks one of the route's services at random, by their weights.
 func (g *Gateway) chooseService(q *request) {
-	q.service = q.route.Pick(g.random())
+	q.service = q.route.PickService(g.random())
 	if s, ok := q.tables.Routes.Service(q.service); ok {
 		q.backend, q.runsModels = s, s.Slots > 0
 	}
--- a/gateway/worth.go
+++ b/gateway/worth.go
@@ -75,8 +75,8 @@
 // longer is worth less to its caller. This keeps short requests with a long target off the
 // large model.
 func urgency(r *route.Route, s *route.Service) float64 {
-	if r.Target <= 0 || s.Tightest <= 0 {
+	if r.Target <= 0 || s.ShortestTarget <= 0 {
 		return 1
 	}
-	return min(s.Tightest.Seconds()/r.Target.Seconds(), 1)
+	return min(s.ShortestTarget.Seconds()/r.Target.Seconds(), 1)
 }
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -145,7 +145,7 @@
 		s.launch(r, r.decision.Version)
 	case admission.WaitTurn:
 		d.waiting[item] = r
-		s.after(item.Latest().Sub(s.now), func() { d.giveUp(item) })
+		s.after(item.LatestStart().Sub(s.now), func() { d.giveUp(item) })
 	case admission.Refuse:
 		s.noRoom(r)
 	}
@@ -214,7 +214,7 @@
 		if q == nil {
 			continue
 		}
-		room := admission.Room{Sharers: daemonCount}
+		room := admission.GroupLoad{Daemons: daemonCount}
 		for _, e := range d.sim.serving[v.GetName()] {
 			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < reportValid {
 				room.Add(int(e.GetSlots()), int(report.requests))
--- a/route/homes.go
+++ b/route/homes.go
@@ -2,33 +2,36 @@
 
 import "slices"
 
-// Homes are the regions that a request may be worked on in. The zero value allows all.
-type Homes struct {
-	// Bound tells that only Regions are allowed; with none of them, nowhere is.
-	Bound   bool
-	Regions []string
+// RegionSet is the set of regions whose engines may serve a request. The zero value
+// allows all regions.
+type RegionSet struct {
+	// Limited restricts requests to Names. With no Names, no region is allowed.
+	Limited bool
+	Names   []string
 }
 
-// Allow tells whether a region is among the homes.
-func (h Homes) Allow(region string) bool { return !h.Bound || slices.Contains(h.Regions, region) }
+// Allows reports whether engines of the region may serve the request.
+func (h RegionSet) Allows(region string) bool { return !h.Limited || slices.Contains(h.Names, region) }
 
-// homesOf returns the homes that a configuration lists, where none means all.
-func homesOf(regions []string) Homes { return Homes{Bound: len(regions) > 0, Regions: regions} }
+// regionsOf returns the regions that a configuration lists, where an empty list
+// means all.
+func regionsOf(names []string) RegionSet { return RegionSet{Limited: len(names) > 0, Names: names} }
 
-// HomesFor returns where a route's requests of an organisation, nil for none, may be worked
-// on: where both have homes, both bind.
-func HomesFor(r *Route, o *Organisation) Homes {
-	homes := homesOf(r.Homes)
-	if o == nil || len(o.Homes) == 0 {
-		return homes
+// AllowedRegionsFor returns the regions that may serve an organisation's requests on
+// a route; o is nil for requests without an organisation. When both list regions,
+// only those on both lists are allowed.
+func AllowedRegionsFor(r *Route, o *Organisation) RegionSet {
+	allowed := regionsOf(r.HomeRegions)
+	if o == nil || len(o.HomeRegions) == 0 {
+		return allowed
 	}
-	if !homes.Bound {
-		return homesOf(o.Homes)
+	if !allowed.Limited {
+		return regionsOf(o.HomeRegions)
 	}
-	both := Homes{Bound: true}
-	for _, region := range r.Homes {
-		if slices.Contains(o.Homes, region) {
-			both.Regions = append(both.Regions, region)
+	both := RegionSet{Limited: true}
+	for _, region := range r.HomeRegions {
+		if slices.Contains(o.HomeRegions, region) {
+			both.Names = append(both.Names, region)
 		}
 	}
 	return both
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -225,7 +225,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	state := s.balancer.State
 	tables := &Tables{Snapshot: snapshot, Versions: selection.NewPlan(snapshot.Register(), snapshot.Rules()), Engines: state.Plan(snapshot.Register(), nil)}
-	s.Versions.Use(tables.Versions)
+	s.Versions.SetPlan(tables.Versions)
 	s.current.Store(tables)
 }
 
--- a/selection/bench_test.go
+++ b/selection/bench_test.go
@@ -12,11 +12,11 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// targetVersions is the number of versions at the target size.
+// targetVersions is the number of versions that the project is designed for.
 const targetVersions = 36
 
-// largeSite returns a site with n versions of rising price and quality, all
-// allowed, with a roll-out and a cascade kind.
+// largeSite returns a configuration with n versions of increasing price and
+// quality, all allowed, with a roll-out and a kind with cascades.
 func largeSite(n int) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	reg := &bronzeturnv1.Register{}
 	engine := &bronzeturnv1.Engine{Name: "e", TokensPerSecond: 50}
@@ -52,7 +52,7 @@
 	policy := newPolicy()
 	rng := newRand(1)
 	for _, kind := range []string{"quick", "report"} {
-		request := selection.Request{Organisation: "organisation-1", Kind: kind, Key: "request", PromptTokens: 500, Tried: []string{"model-1@1"}}
+		request := selection.Request{Organisation: "organisation-1", Kind: kind, Key: "request", PromptTokens: 500, FailedVersions: []string{"model-1@1"}}
 		allocs := testing.AllocsPerRun(1000, func() {
 			if _, err := policy.Choose(plan, &request, start, rng); err != nil {
 				t.Fatal(err)
