--- a/entry/change_bench_test.go
+++ b/entry/change_bench_test.go
@@ -34,14 +34,14 @@
 			follower := follow.New(follow.Options{
 				Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop(),
 			})
-			follower.Take(follow.NewSnapshot(1, slices.Values(all)))
+			follower.ApplySnapshot(follow.NewSnapshot(1, slices.Values(all)))
 			revision := uint64(1)
 			for b.Loop() {
 				revision += 2
 				restored := all[0]
 				restored.Revision = revision
-				follower.Change(&follow.Changes{Revision: revision - 1, Removed: []string{all[0].Name}})
-				follower.Change(&follow.Changes{Revision: revision, Changed: []follow.Item{restored}})
+				follower.ApplyChanges(&follow.Changes{Revision: revision - 1, Removed: []string{all[0].Name}})
+				follower.ApplyChanges(&follow.Changes{Revision: revision, Changed: []follow.Item{restored}})
 			}
 		})
 	}
--- a/entry/copies_test.go
+++ b/entry/copies_test.go
@@ -43,7 +43,7 @@
 		Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop(),
 	})
 	listed := func(revision uint64, spec string) {
-		follower.Take(follow.NewSnapshot(revision, slices.Values([]follow.Item{
+		follower.ApplySnapshot(follow.NewSnapshot(revision, slices.Values([]follow.Item{
 			{Name: "a", Revision: revision, Spec: []byte(spec)},
 			{Name: "b", Revision: 1, Spec: []byte("good")},
 		})))
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -204,7 +204,7 @@
 // heardNews takes in the newest revision that any daemon has.
 func (f *fleet) heardNews(key string, revision uint64, _ []byte) {
 	if follower, ok := f.daemon.copies.of(strings.TrimPrefix(key, newsPrefix)); ok {
-		follower.Heard(revision)
+		follower.NotifyRevision(revision)
 	}
 }
 
--- a/entry/memory_test.go
+++ b/entry/memory_test.go
@@ -29,7 +29,7 @@
 	d := newChangingDaemon(t)
 	follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
 	before := heapBytes()
-	follower.Take(follow.NewSnapshot(1, slices.Values(engineEntries(engines))))
+	follower.ApplySnapshot(follow.NewSnapshot(1, slices.Values(engineEntries(engines))))
 	perEngine := (heapBytes() - before) / engines
 	c.Check(perEngine < maxBytes, qt.IsTrue, qt.Commentf("%d bytes per engine", perEngine))
 	runtime.KeepAlive(follower)
@@ -45,16 +45,16 @@
 		d := newChangingDaemon(t)
 		follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
 		all := engineEntries(engines)
-		follower.Take(follow.NewSnapshot(1, slices.Values(all)))
+		follower.ApplySnapshot(follow.NewSnapshot(1, slices.Values(all)))
 		revision := uint64(1)
 		allocations := testing.AllocsPerRun(3, func() {
 			revision++
 			item := all[engines/2]
 			item.Revision = revision
 			if revision%2 == 0 {
-				follower.Change(&follow.Changes{Revision: revision, Removed: []string{item.Name}})
+				follower.ApplyChanges(&follow.Changes{Revision: revision, Removed: []string{item.Name}})
 			} else {
-				follower.Change(&follow.Changes{Revision: revision, Changed: []follow.Item{item}})
+				follower.ApplyChanges(&follow.Changes{Revision: revision, Changed: []follow.Item{item}})
 			}
 		})
 		qt.New(t).Check(allocations < maxAllocations, qt.IsTrue, qt.Commentf("%v allocations with %d engines", allocations, engines))
@@ -68,14 +68,14 @@
 	c := qt.New(t)
 	d := newChangingDaemon(t)
 	follower := follow.New(follow.Options{Kind: "engines", Apply: d.enginesListed, Announce: func(uint64) {}, Log: zerolog.Nop()})
-	follower.Take(follow.NewSnapshot(1, slices.Values([]follow.Item(nil))))
+	follower.ApplySnapshot(follow.NewSnapshot(1, slices.Values([]follow.Item(nil))))
 	before := heapBytes()
 	for chunk := range slices.Chunk(engineEntries(engines), batch) {
 		revision := follower.Snapshot().Revision + batch
 		for i := range chunk {
 			chunk[i].Revision = revision
 		}
-		follower.Change(&follow.Changes{Revision: revision, Changed: chunk})
+		follower.ApplyChanges(&follow.Changes{Revision: revision, Changed: chunk})
 	}
 	perEngine := (heapBytes() - before) / engines
 	c.Check(perEngine < maxBytes, qt.IsTrue, qt.Commentf("%d bytes per engine", perEngine))
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -26,7 +26,7 @@
 		return 0
 	})
 	gauge("bronzeturn_entry_config_unconfirmed_seconds", "Time since the store or another daemon confirmed the configuration.", func() float64 {
-		return d.copies.config.Unconfirmed(time.Now()).Seconds()
+		return d.copies.config.UnconfirmedFor(time.Now()).Seconds()
 	})
 	gauge("bronzeturn_entry_engines", "Engines that take work.", func() float64 { return float64(len(d.engines.View().Engines)) })
 	gauge("bronzeturn_entry_evacuated_data_centres", "Data centres whose engines get nothing new.", func() float64 { return float64(len(d.evacuated.list())) })
--- a/entry/passing_test.go
+++ b/entry/passing_test.go
@@ -177,7 +177,7 @@
 	if err := h.send(ctx, questionSize); err != nil {
 		return nil, err
 	}
-	p := other.follower.Await(ctx, after, wait)
+	p := other.follower.AwaitChanges(ctx, after, wait)
 	if p == nil {
 		return nil, errNotAnswered
 	}
@@ -253,7 +253,7 @@
 func (f *testFleet) announce(revision uint64) {
 	time.AfterFunc(50*time.Millisecond, func() {
 		for _, h := range f.hosts {
-			h.follower.Heard(revision)
+			h.follower.NotifyRevision(revision)
 		}
 	})
 }
--- a/entry/pull.go
+++ b/entry/pull.go
@@ -236,9 +236,9 @@
 		return follower.Part(int(r.GetPart()))
 	}
 	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, mostPullWait)
-	p := follower.Await(ctx, r.GetAfterRevision(), wait)
+	p := follower.AwaitChanges(ctx, r.GetAfterRevision(), wait)
 	if p != nil && (p.NextPart > 0 && !r.GetParts() || p.Names != nil && !r.GetNames()) {
-		p = follower.SinceInOnePart(r.GetAfterRevision()) // The client does not support such a response.
+		p = follower.ChangesSinceInOnePart(r.GetAfterRevision()) // The client does not support such a response.
 	}
 	return p
 }
--- a/follow/copy.go
+++ b/follow/copy.go
@@ -7,11 +7,11 @@
 	"github.com/bronzeturn/bronzeturn/backoff"
 )
 
-// Take applies a complete state read from the store unless it is older than the copy.
-func (f *Follower) Take(next *Snapshot) { f.take(next, false, false) }
+// ApplySnapshot applies a complete state read from the store unless it is older than the copy.
+func (f *Follower) ApplySnapshot(next *Snapshot) { f.take(next, false, false) }
 
-// Change applies changes read from the store.
-func (f *Follower) Change(c *Changes) { f.change(c, false, false) }
+// ApplyChanges applies changes read from the store.
+func (f *Follower) ApplyChanges(c *Changes) { f.change(c, false, false) }
 
 // take puts a whole state in force unless it is older than the copy.
 func (f *Follower) take(next *Snapshot, fromPeer, afterOutage bool) {
@@ -64,9 +64,9 @@
 	f.Apply(Update{Snapshot: next, Changes: diff, AfterOutage: afterOutage, FromPeer: fromPeer})
 }
 
-// Await returns what changed after a revision, for another daemon, as soon as something
+// AwaitChanges returns what changed after a revision, for another daemon, as soon as something
 // did, the wait ends or ctx does; or nil when there is no copy then.
-func (f *Follower) Await(ctx context.Context, after uint64, wait time.Duration) *Pulled {
+func (f *Follower) AwaitChanges(ctx context.Context, after uint64, wait time.Duration) *Pulled {
 	// The timeout is shortened to a tick, so that the responses for several kinds and daemons
 	// share wake-ups and packets.
 	ctx, cancel := context.WithTimeout(ctx, backoff.UntilLastTickWithin(backoff.IdleInterval, wait))
@@ -79,14 +79,14 @@
 		select {
 		case <-updated:
 		case <-ctx.Done():
-			return f.Since(after)
+			return f.ChangesSince(after)
 		}
 	}
 }
 
-// Since returns what changed after a revision, for another daemon, or nil when
+// ChangesSince returns what changed after a revision, for another daemon, or nil when
 // there is no copy.
-func (f *Follower) Since(after uint64) *Pulled {
+func (f *Follower) ChangesSince(after uint64) *Pulled {
 	p, _ := f.sinceAnd(after)
 	return p
 }
@@ -138,9 +138,9 @@
 	f.swap(next, diff, newStep(old.Revision, &diff, true), true, p.AfterOutage)
 }
 
-// SinceInOnePart returns what changed after a revision in a single response of any size,
+// ChangesSinceInOnePart returns what changed after a revision in a single response of any size,
 // for clients that support neither partial responses nor names, or nil when there is no copy.
-func (f *Follower) SinceInOnePart(after uint64) *Pulled {
+func (f *Follower) ChangesSinceInOnePart(after uint64) *Pulled {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.since(after)
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -313,17 +313,17 @@
 	}
 }
 
-// Unconfirmed returns the time since the store or another daemon confirmed the copy,
+// UnconfirmedFor returns the time since the store or another daemon confirmed the copy,
 // zero before the first one.
-func (f *Follower) Unconfirmed(now time.Time) time.Duration {
+func (f *Follower) UnconfirmedFor(now time.Time) time.Duration {
 	if f.snapshot.Load() == nil {
 		return 0
 	}
 	return time.Duration(now.UnixNano() - f.confirmed.Load())
 }
 
-// Heard takes in that another daemon holds the given revision.
-func (f *Follower) Heard(revision uint64) {
+// NotifyRevision takes in that another daemon holds the given revision.
+func (f *Follower) NotifyRevision(revision uint64) {
 	if !raise(&f.newest, revision) {
 		return
 	}
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -202,7 +202,7 @@
 	if other == nil {
 		return nil, errDown
 	}
-	if got := other.Await(ctx, after, wait); got != nil && ctx.Err() == nil {
+	if got := other.AwaitChanges(ctx, after, wait); got != nil && ctx.Err() == nil {
 		return got, nil
 	}
 	return nil, errDown
@@ -528,10 +528,10 @@
 			s.set(func(s *store) { s.deaf, s.silent = true, true })
 			s.put("b", fmt.Sprint("wakes the watch, which stays without an answer ", n))
 			time.Sleep(watchWait + slack)
-			c.Check(d.Since(0).Failing, qt.IsTrue, qt.Commentf("round %d", n))
+			c.Check(d.ChangesSince(0).Failing, qt.IsTrue, qt.Commentf("round %d", n))
 			s.set(func(s *store) { s.deaf, s.silent = false, false })
 			time.Sleep(4 * watchWait)
-			c.Check(d.Since(0).Failing, qt.IsFalse)
+			c.Check(d.ChangesSince(0).Failing, qt.IsFalse)
 		}
 	})
 }
@@ -568,7 +568,7 @@
 		s.put("a", "2")
 		time.Sleep(gatherTime)
 		_, _, revision := s.counts()
-		other.Heard(revision)
+		other.NotifyRevision(revision)
 		time.Sleep(pullPause + time.Millisecond)
 		c.Check(other.spec("a"), qt.Equals, "2")
 		lists, _, _ := s.counts()
@@ -703,7 +703,7 @@
 			if rapid.IntRange(0, 20).Draw(t, "pull") > 0 {
 				continue
 			}
-			got := f.Since(copied.Revision)
+			got := f.ChangesSince(copied.Revision)
 			switch {
 			case got.Full:
 				copied = (&Snapshot{}).with(&got.Changes)
@@ -778,20 +778,20 @@
 		s.put("a", "1")
 		watcher := newDaemon(ctx, s, true, nil)
 		time.Sleep(100 * time.Millisecond)
-		c.Check(watcher.Since(0).Age, qt.Equals, time.Duration(0))
+		c.Check(watcher.ChangesSince(0).Age, qt.Equals, time.Duration(0))
 		other := newDaemon(ctx, s, false, watcher)
 		// A question comes at most passWait after the pause that follows one.
 		const longest = passWait + pullPause
 		for range 50 {
 			time.Sleep(90 * time.Millisecond)
-			c.Check(other.Since(0).Age <= longest, qt.IsTrue)
+			c.Check(other.ChangesSince(0).Age <= longest, qt.IsTrue)
 		}
 		other.peers.mu.Lock()
 		other.peers.other = nil
 		other.peers.mu.Unlock()
-		before := other.Since(0).Age
+		before := other.ChangesSince(0).Age
 		time.Sleep(300 * time.Millisecond)
-		c.Check(other.Since(0).Age, qt.Equals, before+300*time.Millisecond)
+		c.Check(other.ChangesSince(0).Age, qt.Equals, before+300*time.Millisecond)
 	})
 }
 
@@ -803,7 +803,7 @@
 	behind.take(NewSnapshot(5, slices.Values([]Item{{Name: "gone", Revision: 3}, {Name: "kept", Revision: 4}})), false, false)
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
 	ahead.take(NewSnapshot(10, slices.Values([]Item{{Name: "kept", Revision: 4}})), false, false)
-	p := ahead.Since(behind.Snapshot().Revision)
+	p := ahead.ChangesSince(behind.Snapshot().Revision)
 	c.Assert(p.Names, qt.DeepEquals, []string{"kept"})
 	c.Check(p.Changes.Changed, qt.HasLen, 0)
 	behind.reconcile(p)
@@ -825,24 +825,24 @@
 		f.take(&Snapshot{Revision: 10}, false, false)
 	}
 	ahead.change(&Changes{Revision: 20, Changed: []Item{{Name: "other", Revision: 18}}, Removed: []string{"brief"}}, false, false)
-	downstream.change(&ahead.Since(10).Changes, true, false)
+	downstream.change(&ahead.ChangesSince(10).Changes, true, false)
 	for _, f := range []*Follower{ahead, downstream} {
-		p := f.Since(15)
+		p := f.ChangesSince(15)
 		c.Check(p.Full, qt.IsFalse)
 		asker := NewSnapshot(15, slices.Values([]Item{{Name: "brief", Revision: 14}}))
 		c.Check(revisions(asker.with(&p.Changes)), qt.DeepEquals, map[string]uint64{"other": 18})
-		c.Check(f.Since(10).Full, qt.IsFalse)
+		c.Check(f.ChangesSince(10).Full, qt.IsFalse)
 	}
 	ahead.take(NewSnapshot(30, slices.Values([]Item{{Name: "other", Revision: 18}, {Name: "new", Revision: 29}})), false, false)
-	p := ahead.Since(25)
+	p := ahead.ChangesSince(25)
 	asker := NewSnapshot(25, slices.Values([]Item{{Name: "other", Revision: 18}, {Name: "brief", Revision: 24}}))
 	c.Check(revisions(asker.reconciled(p)), qt.DeepEquals, map[string]uint64{"other": 18, "new": 29})
 	c.Check(p.Full, qt.IsFalse)
-	c.Check(ahead.Since(20).Names, qt.IsNil)
-	c.Check(ahead.Since(20).Full, qt.IsFalse)
+	c.Check(ahead.ChangesSince(20).Names, qt.IsNil)
+	c.Check(ahead.ChangesSince(20).Full, qt.IsFalse)
 	ahead.take(NewSnapshot(40, ahead.Snapshot().All()), false, false)
-	c.Check(ahead.Since(35).Names, qt.HasLen, 2)
-	inOne := ahead.SinceInOnePart(35)
+	c.Check(ahead.ChangesSince(35).Names, qt.HasLen, 2)
+	inOne := ahead.ChangesSinceInOnePart(35)
 	c.Check(inOne.Full, qt.IsTrue)
 	c.Check(inOne.Names, qt.IsNil)
 	c.Check(inOne.Changes.Changed, qt.HasLen, 2)
@@ -855,7 +855,7 @@
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
 	ahead.take(&Snapshot{Revision: 10}, false, false)
 	ahead.change(&Changes{Revision: 20, Removed: []string{"brief"}}, false, false)
-	p := ahead.Since(15)
+	p := ahead.ChangesSince(15)
 	asker := NewSnapshot(15, slices.Values([]Item{{Name: "brief", Revision: 14}}))
 	c.Check(asker.with(&p.Changes).Len(), qt.Equals, 0)
 }
@@ -875,7 +875,7 @@
 	c := qt.New(t)
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
 	ahead.take(largeSnapshot(7), false, false)
-	p := ahead.Since(3)
+	p := ahead.ChangesSince(3)
 	c.Check(p.Full, qt.IsTrue)
 	c.Check(p.Changes.Revision, qt.Equals, uint64(7))
 	all, parts := slices.Clone(p.Changes.Changed), 1
@@ -889,7 +889,7 @@
 	copied := NewSnapshot(7, slices.Values(all))
 	diff := copied.Diff(ahead.Snapshot())
 	c.Check(diff.empty(), qt.IsTrue)
-	c.Check(ahead.SinceInOnePart(3).Changes.Changed, qt.HasLen, copied.Len())
+	c.Check(ahead.ChangesSinceInOnePart(3).Changes.Changed, qt.HasLen, copied.Len())
 }
 
 // TestPullTimeoutAppliesToEachPart guards against a single timeout for all parts of a copy:
@@ -916,7 +916,7 @@
 }
 
 func (p *slowPeers) Pull(ctx context.Context, _ string, after uint64, _ time.Duration) (*Pulled, error) {
-	return p.respond(ctx, p.from.Since(after))
+	return p.respond(ctx, p.from.ChangesSince(after))
 }
 
 func (p *slowPeers) respond(ctx context.Context, pulled *Pulled) (*Pulled, error) {
@@ -948,7 +948,7 @@
 		c.Check(rate <= 6.0/3, qt.IsTrue, qt.Commentf("%.2f calls a second", rate))
 		for _, d := range []*daemon{lead, first, second} {
 			c.Check(d.Stale(time.Now()), qt.IsFalse)
-			c.Check(d.Since(0).Failing, qt.IsFalse)
+			c.Check(d.ChangesSince(0).Failing, qt.IsFalse)
 		}
 	})
 }
@@ -1076,7 +1076,7 @@
 	after := before.with(&Changes{Revision: 12, Changed: []Item{{Name: "new", Revision: 11}}, Removed: []string{"engine-00042"}})
 	ahead.take(after, false, false)
 	behind.take(before.with(&Changes{Revision: 9, Changed: []Item{{Name: "newer", Revision: 13}}}), false, false)
-	p := ahead.Since(9)
+	p := ahead.ChangesSince(9)
 	c.Check(p.Full, qt.IsFalse)
 	c.Check(p.Changes.Changed, qt.HasLen, 1)
 	c.Check(p.Changes.size()+namesSize(p.Names) < 200<<10, qt.IsTrue)
@@ -1100,7 +1100,7 @@
 		ends := make(chan time.Time, waits)
 		for range waits {
 			go func() {
-				d.Await(ctx, d.Snapshot().Revision, passWait)
+				d.AwaitChanges(ctx, d.Snapshot().Revision, passWait)
 				ends <- time.Now()
 			}()
 			time.Sleep(15 * time.Millisecond)
--- a/follow/run.go
+++ b/follow/run.go
@@ -39,7 +39,7 @@
 // more frequent once the copy has been unconfirmed for more than half of orphanLimit.
 func (f *Follower) waitIdle(ctx context.Context, now time.Time) {
 	interval := backoff.IdleInterval
-	if 2*f.Unconfirmed(now) > f.orphanLimit() {
+	if 2*f.UnconfirmedFor(now) > f.orphanLimit() {
 		interval = idlePoll
 	}
 	_ = backoff.TickOrWake(ctx, interval, f.watchersChanged) // The loop ends with ctx.
@@ -97,7 +97,7 @@
 	if f.othersAnswer(now) {
 		limit += time.Duration(f.turn * float64(f.Peers.Live()) * float64(spareRetry))
 	}
-	return f.Unconfirmed(now) > limit
+	return f.UnconfirmedFor(now) > limit
 }
 
 // Relist ends a watch in progress and lists instead.
