--- a/entry/passing_test.go
+++ b/entry/passing_test.go
@@ -166,7 +166,7 @@
 }
 
 // Pull implements follow.Peers.
-func (h *host) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*follow.Pulled, error) {
+func (h *host) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*follow.PullResponse, error) {
 	from := h.place.parents[0]
 	if wait == 0 {
 		h.fleet.mu.Lock()
@@ -186,11 +186,11 @@
 }
 
 // setFetchNext sets p.FetchNext to request the next part of the copy from another daemon.
-func (h *host) setFetchNext(p *follow.Pulled, other *host) {
+func (h *host) setFetchNext(p *follow.PullResponse, other *host) {
 	if p.NextPart == 0 {
 		return
 	}
-	p.FetchNext = func(ctx context.Context) (*follow.Pulled, error) {
+	p.FetchNext = func(ctx context.Context) (*follow.PullResponse, error) {
 		if err := h.send(ctx, questionSize); err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 const compressionRatio = 4
 
 // responseSize returns the size of a pull response in bytes.
-func responseSize(p *follow.Pulled) int {
+func responseSize(p *follow.PullResponse) int {
 	size := entryBytes * len(p.Changes.Changed)
 	if p.Full {
 		size /= compressionRatio
--- a/entry/pull.go
+++ b/entry/pull.go
@@ -24,7 +24,7 @@
 func (f *fleet) Depth() int { return f.tree().depth }
 
 // Pull implements follow.Peers.
-func (f *fleet) Pull(ctx context.Context, kind string, after uint64, wait time.Duration) (*follow.Pulled, error) {
+func (f *fleet) Pull(ctx context.Context, kind string, after uint64, wait time.Duration) (*follow.PullResponse, error) {
 	address, ok := f.source(wait > 0)
 	if !ok {
 		return nil, errNobody
@@ -35,7 +35,7 @@
 }
 
 // pullFrom sends a pull request to the daemon at the address.
-func (f *fleet) pullFrom(ctx context.Context, address string, r *bronzeturnv1.PullRequest) (*follow.Pulled, error) {
+func (f *fleet) pullFrom(ctx context.Context, address string, r *bronzeturnv1.PullRequest) (*follow.PullResponse, error) {
 	client, base := f.directory.At(address)
 	service := bronzeturnv1connect.NewFollowServiceClient(client, base, peer.ClientOptions()...)
 	answer, err := service.Pull(ctx, connect.NewRequest(r))
@@ -56,7 +56,7 @@
 		f.avoid(address)
 	}
 	if p.NextPart > 0 {
-		p.FetchNext = func(ctx context.Context) (*follow.Pulled, error) {
+		p.FetchNext = func(ctx context.Context) (*follow.PullResponse, error) {
 			return f.pullFrom(ctx, address, &bronzeturnv1.PullRequest{
 				Kind: r.GetKind(), Parts: true, Part: uint32(p.NextPart), Compressed: true,
 			})
@@ -66,8 +66,8 @@
 }
 
 // decodePullResponse converts a response. It leaves FetchNext unset.
-func decodePullResponse(m *bronzeturnv1.PullResponse) *follow.Pulled {
-	p := &follow.Pulled{
+func decodePullResponse(m *bronzeturnv1.PullResponse) *follow.PullResponse {
+	p := &follow.PullResponse{
 		Full: m.GetFull(), Failing: m.GetFailing(), AfterOutage: m.GetAfterOutage(), NextPart: int(m.GetNextPart()),
 		Age: time.Duration(m.GetConfirmedMsAgo()) * time.Millisecond,
 	}
@@ -231,7 +231,7 @@
 
 // pull returns the changes or the part of the copy that a request asks for, or nil when
 // there is no copy.
-func (s pullServer) pull(ctx context.Context, follower *follow.Follower, r *bronzeturnv1.PullRequest) *follow.Pulled {
+func (s pullServer) pull(ctx context.Context, follower *follow.Follower, r *bronzeturnv1.PullRequest) *follow.PullResponse {
 	if r.GetPart() > 0 {
 		return follower.Part(int(r.GetPart()))
 	}
--- a/follow/copy.go
+++ b/follow/copy.go
@@ -66,7 +66,7 @@
 
 // AwaitChanges returns what changed after a revision, for another daemon, as soon as something
 // did, the wait ends or ctx does; or nil when there is no copy then.
-func (f *Follower) AwaitChanges(ctx context.Context, after uint64, wait time.Duration) *Pulled {
+func (f *Follower) AwaitChanges(ctx context.Context, after uint64, wait time.Duration) *PullResponse {
 	// The timeout is shortened to a tick, so that the responses for several kinds and daemons
 	// share wake-ups and packets.
 	ctx, cancel := context.WithTimeout(ctx, backoff.UntilLastTickWithin(backoff.IdleInterval, wait))
@@ -86,26 +86,26 @@
 
 // ChangesSince returns what changed after a revision, for another daemon, or nil when
 // there is no copy.
-func (f *Follower) ChangesSince(after uint64) *Pulled {
+func (f *Follower) ChangesSince(after uint64) *PullResponse {
 	p, _ := f.sinceAnd(after)
 	return p
 }
 
 // sinceAnd also returns what is closed with the next change.
-func (f *Follower) sinceAnd(after uint64) (*Pulled, <-chan struct{}) {
+func (f *Follower) sinceAnd(after uint64) (*PullResponse, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.since(after), f.updated
 }
 
 // since returns what changed after a revision. The caller holds mu.
-func (f *Follower) since(after uint64) *Pulled {
+func (f *Follower) since(after uint64) *PullResponse {
 	s := f.snapshot.Load()
 	if s == nil {
 		return nil
 	}
 	now := time.Now()
-	p := &Pulled{Failing: f.Failing() || f.Stale(now), AfterOutage: f.echo(), Age: f.age(now)}
+	p := &PullResponse{Failing: f.Failing() || f.Stale(now), AfterOutage: f.echo(), Age: f.age(now)}
 	p.Changes.Revision = s.Revision
 	if after >= s.Revision {
 		return p
@@ -126,7 +126,7 @@
 
 // reconcile applies a response with the names of all objects of another daemon unless it is
 // older than the copy.
-func (f *Follower) reconcile(p *Pulled) {
+func (f *Follower) reconcile(p *PullResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.snapshot.Load()
@@ -140,7 +140,7 @@
 
 // ChangesSinceInOnePart returns what changed after a revision in a single response of any size,
 // for clients that support neither partial responses nor names, or nil when there is no copy.
-func (f *Follower) ChangesSinceInOnePart(after uint64) *Pulled {
+func (f *Follower) ChangesSinceInOnePart(after uint64) *PullResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.since(after)
@@ -159,12 +159,12 @@
 
 // Part returns the part of the current copy that starts at the given shard, or nil when
 // there is no copy.
-func (f *Follower) Part(part int) *Pulled {
+func (f *Follower) Part(part int) *PullResponse {
 	s := f.snapshot.Load()
 	if s == nil {
 		return nil
 	}
-	p := &Pulled{Full: true, Changes: Changes{Revision: s.Revision}}
+	p := &PullResponse{Full: true, Changes: Changes{Revision: s.Revision}}
 	p.Changes.Changed, p.NextPart = s.part(part)
 	return p
 }
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -48,15 +48,15 @@
 	Cause Cause
 }
 
-// Pulled is what another daemon gave of its copy.
-type Pulled struct {
+// PullResponse is what another daemon gave of its copy.
+type PullResponse struct {
 	Changes Changes
 	// Full tells that the changes are the complete set of objects, or a part of it.
 	Full bool
 	// NextPart identifies the next part of the copy. It is zero when there is none.
 	NextPart int
 	// FetchNext requests the next part. It is nil when there is none.
-	FetchNext func(ctx context.Context) (*Pulled, error)
+	FetchNext func(ctx context.Context) (*PullResponse, error)
 	// Names are those of all objects of the other daemon, if its history does not tell which
 	// objects were removed after the requested revision. Otherwise Names is nil.
 	Names []string
@@ -74,7 +74,7 @@
 	// Pull asks another daemon for what changed after a revision. With a wait it asks
 	// the one that passes changes on to this daemon, which answers when it has some or
 	// the wait ends; without, any that may know more, which answers at once.
-	Pull(ctx context.Context, kind string, after uint64, wait time.Duration) (*Pulled, error)
+	Pull(ctx context.Context, kind string, after uint64, wait time.Duration) (*PullResponse, error)
 	// Watching tells whether this daemon is one of those that watch the store.
 	Watching() bool
 	// SelectedToWatch reports whether the current membership view selects this daemon to
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -194,7 +194,7 @@
 	live     int
 }
 
-func (p *peers) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*Pulled, error) {
+func (p *peers) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*PullResponse, error) {
 	p.mu.Lock()
 	p.pulls++
 	other := p.other
@@ -915,18 +915,18 @@
 	from *Follower
 }
 
-func (p *slowPeers) Pull(ctx context.Context, _ string, after uint64, _ time.Duration) (*Pulled, error) {
+func (p *slowPeers) Pull(ctx context.Context, _ string, after uint64, _ time.Duration) (*PullResponse, error) {
 	return p.respond(ctx, p.from.ChangesSince(after))
 }
 
-func (p *slowPeers) respond(ctx context.Context, pulled *Pulled) (*Pulled, error) {
+func (p *slowPeers) respond(ctx context.Context, pulled *PullResponse) (*PullResponse, error) {
 	select {
 	case <-time.After(pullTimeout / 2):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	if next := pulled.NextPart; next > 0 {
-		pulled.FetchNext = func(ctx context.Context) (*Pulled, error) { return p.respond(ctx, p.from.Part(next)) }
+		pulled.FetchNext = func(ctx context.Context) (*PullResponse, error) { return p.respond(ctx, p.from.Part(next)) }
 	}
 	return pulled, nil
 }
@@ -1043,14 +1043,14 @@
 func TestPartsOfDifferentMomentsGiveOneCopy(t *testing.T) {
 	c := qt.New(t)
 	f := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-	first := func(next func(context.Context) (*Pulled, error)) *Pulled {
-		p := &Pulled{Full: true, FetchNext: next}
+	first := func(next func(context.Context) (*PullResponse, error)) *PullResponse {
+		p := &PullResponse{Full: true, FetchNext: next}
 		p.Changes = Changes{Revision: 7, Changed: []Item{{Name: "a", Revision: 3, Created: 3}}}
 		return p
 	}
-	later := func(revision uint64) func(context.Context) (*Pulled, error) {
-		return func(context.Context) (*Pulled, error) {
-			p := &Pulled{Full: true}
+	later := func(revision uint64) func(context.Context) (*PullResponse, error) {
+		return func(context.Context) (*PullResponse, error) {
+			p := &PullResponse{Full: true}
 			p.Changes = Changes{Revision: revision, Changed: []Item{
 				{Name: "changed", Revision: 9, Created: 2}, {Name: "created", Revision: 9, Created: 9},
 			}}
--- a/follow/pull.go
+++ b/follow/pull.go
@@ -101,7 +101,7 @@
 // fetchParts requests the remaining parts of a copy and appends their objects to p. The
 // timeout applies to each part, since a large copy can take longer as a whole. News
 // does not interrupt the transfer.
-func (f *Follower) fetchParts(ctx context.Context, p *Pulled) error {
+func (f *Follower) fetchParts(ctx context.Context, p *PullResponse) error {
 	for fetch := p.FetchNext; fetch != nil; {
 		requestCtx, cancel := context.WithTimeout(ctx, partTimeout)
 		part, err := fetch(requestCtx)
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -183,7 +183,7 @@
 
 // reconciled returns the state after a response with the names of all objects of another
 // daemon. Objects that are not named are removed unless they are newer than the response.
-func (s *Snapshot) reconciled(p *Pulled) *Snapshot {
+func (s *Snapshot) reconciled(p *PullResponse) *Snapshot {
 	known := make(map[string]struct{}, len(p.Names))
 	for _, name := range p.Names {
 		known[name] = struct{}{}
