--- a/entry/copies.go
+++ b/entry/copies.go
@@ -37,9 +37,9 @@
 func (d *Daemon) follower(kind string, lead *follow.Follower, random uint64, apply func(follow.Update)) *follow.Follower {
 	return follow.New(follow.Options{
 		Kind: kind, Source: d.Store, Peers: d.fleet, Apply: apply, Lead: lead,
-		Announce:  func(revision uint64) { d.fleet.announce(kind, revision) },
-		Disturbed: func() { d.copies.relistOthers(kind) },
-		Random:    d.rand(random), Log: d.part("follow"),
+		Announce:       func(revision uint64) { d.fleet.announce(kind, revision) },
+		OnWatchFailure: func() { d.copies.relistOthers(kind) },
+		Random:         d.rand(random), Log: d.part("follow"),
 	})
 }
 
--- a/entry/passing_test.go
+++ b/entry/passing_test.go
@@ -239,7 +239,7 @@
 	for i, h := range f.hosts {
 		h.follower = follow.New(follow.Options{
 			Kind: "engines", Source: s, Peers: h, Apply: func(follow.Update) {}, Announce: f.announce,
-			Disturbed: func() {}, Random: rand.New(rand.NewPCG(1, uint64(len(i)))), Log: zerolog.Nop(),
+			OnWatchFailure: func() {}, Random: rand.New(rand.NewPCG(1, uint64(len(i)))), Log: zerolog.Nop(),
 		})
 	}
 	for _, h := range f.hosts {
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -42,8 +42,8 @@
 	After string
 	// Stale objects, as of some seconds ago, will do, which is cheaper.
 	Stale bool
-	// Patience bounds the time until each answer begins.
-	Patience time.Duration
+	// ResponseTimeout bounds the time until each answer begins.
+	ResponseTimeout time.Duration
 	// Cause is why the list is read.
 	Cause Cause
 }
@@ -207,11 +207,11 @@
 	// Lead, if any, is another Follower of this daemon. While the store answers
 	// neither, only the lead goes on asking: what it hears holds for all.
 	Lead *Follower
-	// Disturbed is called when a watch ended without an answer or the history was
+	// OnWatchFailure is called when a watch ended without an answer or the history was
 	// gone: what befell one watch may have befallen the others of this daemon.
-	Disturbed func()
-	Random    *rand.Rand
-	Log       zerolog.Logger
+	OnWatchFailure func()
+	Random         *rand.Rand
+	Log            zerolog.Logger
 }
 
 // Follower keeps the copy of one kind.
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -118,7 +118,7 @@
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-time.After(o.Patience):
+		case <-time.After(o.ResponseTimeout):
 		}
 		s.mu.Lock()
 		return nil, errDown
@@ -273,7 +273,7 @@
 			d.updates = append(d.updates, u)
 		},
 		Announce: func(uint64) {},
-		Disturbed: func() {
+		OnWatchFailure: func() {
 			d.mu.Lock()
 			disturbed := d.disturbed
 			d.mu.Unlock()
--- a/follow/read.go
+++ b/follow/read.go
@@ -30,7 +30,7 @@
 	for more := true; more; {
 		asked := time.Now()
 		page, err := f.Source.List(ctx, f.Kind, ListOptions{
-			After: f.partial.next, Stale: first, Patience: f.jittered(f.patience), Cause: cause,
+			After: f.partial.next, Stale: first, ResponseTimeout: f.jittered(f.patience), Cause: cause,
 		})
 		if err != nil {
 			f.patience = min(patienceGrowth*f.patience/2, mostPatience)
@@ -84,7 +84,7 @@
 	case errors.Is(err, ErrHistoryGone):
 		f.Log.Info().Str("kind", f.Kind).Uint64("revision", old.Revision).Msg("history gone, listing again")
 		f.relist.set(CauseHistoryGone)
-		f.Disturbed()
+		f.OnWatchFailure()
 		// A store that keeps saying so must not be asked without a pause.
 		_ = backoff.Sleep(ctx, retryBase) // The loop ends with ctx.
 		return nil
@@ -92,7 +92,7 @@
 		return nil // Relist has ended the watch, or the daemon stops.
 	}
 	f.relist.set(CauseNoAnswer)
-	f.Disturbed()
+	f.OnWatchFailure()
 	if errors.Is(err, context.DeadlineExceeded) {
 		// The store may have been silent since its last answer.
 		f.failingSince.CompareAndSwap(0, f.answeredAt.Load())
