--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -58,15 +58,15 @@
 	Store Store
 	// Self is this daemon.
 	Self *bronzeturnv1.Seed
-	// Found is called with the addresses of other daemons after each read.
-	Found func(addresses []string)
-	// Live tells whether a daemon is known to be live.
-	Live func(name string) bool
-	// Spared tells whether this daemon has found the fleet already and need not be
+	// OnAddresses is called with the addresses of other daemons after each read.
+	OnAddresses func(addresses []string)
+	// IsLive tells whether a daemon is known to be live.
+	IsLive func(name string) bool
+	// SkipRegistration tells whether this daemon has found the fleet already and need not be
 	// listed, since enough others are. Nil means never.
-	Spared func() bool
-	// Joined tells whether this daemon knows any other. Nil means never.
-	Joined func() bool
+	SkipRegistration func() bool
+	// HasJoined tells whether this daemon knows any other. Nil means never.
+	HasJoined func() bool
 	// Random is used for jitter by one goroutine.
 	Random *rand.Rand
 	Log    zerolog.Logger
@@ -112,20 +112,20 @@
 // isSpared waits a little for the daemon to join the fleet, and tells whether it
 // neither has to be listed nor needs the list.
 func (r *Registrar) isSpared(ctx context.Context) bool {
-	if r.Spared == nil {
+	if r.SkipRegistration == nil {
 		return false
 	}
-	if backoff.Sleep(ctx, joinTime) != nil || r.Spared() {
+	if backoff.Sleep(ctx, joinTime) != nil || r.SkipRegistration() {
 		return true
 	}
-	if r.Joined == nil {
+	if r.HasJoined == nil {
 		return false
 	}
-	if !r.Joined() {
+	if !r.HasJoined() {
 		r.look(ctx)
 	}
 	pause := time.Duration(r.Random.Int64N(int64(settleTime)))
-	return backoff.Sleep(ctx, pause) != nil || r.Spared()
+	return backoff.Sleep(ctx, pause) != nil || r.SkipRegistration()
 }
 
 // look reads the object for a daemon that has found nobody yet. It need not be listed
@@ -137,7 +137,7 @@
 		r.Log.Debug().Err(err).Msg("seeds not read")
 		return
 	}
-	r.Found(r.others(seeds))
+	r.OnAddresses(r.others(seeds))
 }
 
 // review reads the object, passes on what it lists, and writes this daemon to
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	r.Found(r.others(seeds))
+	r.OnAddresses(r.others(seeds))
 	if !register && r.liveAmong(seeds) >= enoughLive {
 		return nil
 	}
@@ -213,7 +213,7 @@
 func (r *Registrar) liveAmong(seeds *bronzeturnv1.Seeds) int {
 	count := 0
 	for _, seed := range seeds.GetSeeds() {
-		if seed.GetName() == r.Self.GetName() || r.Live(seed.GetName()) {
+		if seed.GetName() == r.Self.GetName() || r.IsLive(seed.GetName()) {
 			count++
 		}
 	}
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -31,14 +31,14 @@
 	r := New(Options{
 		Store: store,
 		Self:  &bronzeturnv1.Seed{Name: d.name, PeerAddress: d.name + ":1"},
-		Found: func(addresses []string) {
+		OnAddresses: func(addresses []string) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			for _, address := range addresses {
 				d.found[address] = true
 			}
 		},
-		Live:   live,
+		IsLive: live,
 		Random: rand.New(rand.NewPCG(uint64(number), 1)),
 		Log:    zerolog.Nop(),
 	})
@@ -132,8 +132,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		registrar := func(number int) *Registrar {
 			return New(Options{
-				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(number)}, Found: func([]string) {},
-				Live: func(string) bool { return true }, Spared: joined.Load,
+				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(number)}, OnAddresses: func([]string) {},
+				IsLive: func(string) bool { return true }, SkipRegistration: joined.Load,
 				Random: rand.New(rand.NewPCG(uint64(number), 1)), Log: zerolog.Nop(),
 			})
 		}
@@ -166,11 +166,11 @@
 		began := time.Now()
 		registrar := func(number int, knows time.Duration, finds bool) *Registrar {
 			return New(Options{
-				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(number)}, Found: func([]string) {},
-				Live:   func(string) bool { return true },
-				Spared: func() bool { return number >= listed && time.Since(began) >= knows },
-				Joined: func() bool { return finds },
-				Random: rand.New(rand.NewPCG(uint64(number), 1)), Log: zerolog.Nop(),
+				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(number)}, OnAddresses: func([]string) {},
+				IsLive:           func(string) bool { return true },
+				SkipRegistration: func() bool { return number >= listed && time.Since(began) >= knows },
+				HasJoined:        func() bool { return finds },
+				Random:           rand.New(rand.NewPCG(uint64(number), 1)), Log: zerolog.Nop(),
 			})
 		}
 		done := make(chan error, fleet+1)
@@ -207,9 +207,9 @@
 		done := make(chan error, fleet)
 		for n := range fleet {
 			r := New(Options{
-				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(n)}, Found: func([]string) {},
-				Live:   func(string) bool { return true },
-				Spared: func() bool { return n >= listed && found() }, Joined: found,
+				Store: store, Self: &bronzeturnv1.Seed{Name: fmt.Sprint(n)}, OnAddresses: func([]string) {},
+				IsLive:           func(string) bool { return true },
+				SkipRegistration: func() bool { return n >= listed && found() }, HasJoined: found,
 				Random: rand.New(rand.NewPCG(uint64(n), 1)), Log: zerolog.Nop(),
 			})
 			go func() { done <- r.Run(ctx) }()
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -132,12 +132,12 @@
 	f.members.Table().Subscribe(quarantine.TablePrefix, d.quarantine.ReceiveEntry)
 	registrar := bootstrap.New(bootstrap.Options{
 		Store: d.Store, Self: &bronzeturnv1.Seed{Name: d.Settings.Name, PeerAddress: d.Settings.PeerListen},
-		Found: f.found,
-		Live: func(name string) bool {
+		OnAddresses: f.found,
+		IsLive: func(name string) bool {
 			member, ok := f.members.View().Member(name)
 			return ok && member.State == membership.Live
 		},
-		Spared: f.spared, Joined: func() bool { return f.members.View().Live() > 1 },
+		SkipRegistration: f.spared, HasJoined: func() bool { return f.members.View().Live() > 1 },
 		Random: d.rand(randBootstrap), Log: logging.Part(d.log, "bootstrap"),
 	})
 	d.goLoop("bootstrap", registrar.Run)
--- a/fleet.go
+++ b/fleet.go
@@ -157,8 +157,8 @@
 	return bootstrap.New(bootstrap.Options{
 		Store: d.platform.store,
 		Self:  &bronzeturnv1.Seed{Name: d.settings.GetName(), PeerAddress: d.listeners.peerAddress},
-		Found: f.members.SetFoundSeeds,
-		Live: func(name string) bool {
+		OnAddresses: f.members.SetFoundSeeds,
+		IsLive: func(name string) bool {
 			member, ok := f.members.View().Member(name)
 			return ok && member.State == membership.Live
 		},
