--- a/configuration.go
+++ b/configuration.go
@@ -172,7 +172,7 @@
 		status := f.provider.Status()
 		f.members.SetNews(status.Generation, status.StoreConfirmed)
 		if age, ok := f.members.News(); ok && status.Generation > 0 {
-			f.provider.Confirm(status.Generation, age)
+			f.provider.RecordHeartbeat(status.Generation, age)
 		}
 	}
 	return nil
--- a/decisions.go
+++ b/decisions.go
@@ -137,7 +137,7 @@
 // news tells whether this daemon may take work, and why.
 func (d *Daemon) news(now time.Time) (provider.Reason, *failure.Error) {
 	members := d.fleet.members
-	ok, reason := d.fleet.provider.Fresh(now, members.PeersHeard(), members.PeersKnown(), members.View().Live()-1)
+	ok, reason := d.fleet.provider.CheckFreshness(now, members.PeersHeard(), members.PeersKnown(), members.View().Live()-1)
 	if ok {
 		d.publishNewest()
 		return reason, nil
--- a/provider/fake_test.go
+++ b/provider/fake_test.go
@@ -158,7 +158,7 @@
 			for _, to := range names {
 				if a, b := f.reach(from, from), f.reach(from, to); a != nil && b != nil && from != to {
 					status := a.provider.Status()
-					b.provider.Confirm(status.Generation, status.NewsAge(time.Now()))
+					b.provider.RecordHeartbeat(status.Generation, status.NewsAge(time.Now()))
 					b.deliver(a.entry())
 				}
 			}
--- a/provider/freshness.go
+++ b/provider/freshness.go
@@ -25,17 +25,17 @@
 	ReasonBehind Reason = "behind"
 )
 
-// News is what a freshness decision rests on.
-type News struct {
+// FreshnessInput is what a freshness decision rests on.
+type FreshnessInput struct {
 	// HasConfiguration is set once a snapshot is in force.
 	HasConfiguration bool
 	// Age is the time since no newer head was known to exist.
 	Age time.Duration
 	// Behind is how long a newer head has been known, zero if there is none.
 	Behind time.Duration
-	// Unsure is how long ago the process resumed after standing still, zero if it
+	// UnconfirmedSinceResume is how long ago the process resumed after standing still, zero if it
 	// never did or has heard first hand since that nothing newer exists.
-	Unsure time.Duration
+	UnconfirmedSinceResume time.Duration
 	// PeersHeard and PeersKnown leave out the daemon itself. Known peers are
 	// those of the live list, whether they are heard or not: a peer must not drop
 	// out of it only because it is not heard.
@@ -46,7 +46,7 @@
 	PeersAsked, PeersLive int
 }
 
-// Decide tells whether a daemon may take new work. A daemon that heard neither
+// DecideFreshness tells whether a daemon may take new work. A daemon that heard neither
 // the store nor most of its peers for longer than bound may have missed a
 // withdrawal, so it refuses. If the store is down for all, no one can have
 // changed the configuration in a way that only others know, as long as most of
@@ -54,19 +54,19 @@
 // the store or a peer told it, first hand and since it resumed, that nothing newer
 // exists. While neither can, most of the peers have to have told it when asked, or
 // it waits and then goes by the majority that is heard.
-func Decide(n News, bound time.Duration) (bool, Reason) {
+func DecideFreshness(n FreshnessInput, bound time.Duration) (bool, Reason) {
 	heard := majority(n.PeersHeard, n.PeersKnown)
 	asked := heard && n.PeersAsked > 0 && majority(n.PeersAsked, n.PeersLive)
 	switch {
 	case !n.HasConfiguration:
 		return false, ReasonNone
-	case n.Unsure > 0 && (n.Behind > 0 || n.Unsure < resumeSettle && !asked):
+	case n.UnconfirmedSinceResume > 0 && (n.Behind > 0 || n.UnconfirmedSinceResume < resumeSettle && !asked):
 		return false, ReasonResumed
 	case n.Behind > bound:
 		return false, ReasonBehind
 	case n.Behind > 0:
 		return true, ReasonCatchingUp
-	case n.Age <= bound && n.Unsure == 0:
+	case n.Age <= bound && n.UnconfirmedSinceResume == 0:
 		return true, ReasonConfirmed
 	case heard:
 		return true, ReasonMajority
--- a/provider/freshness_test.go
+++ b/provider/freshness_test.go
@@ -13,31 +13,31 @@
 	const old = time.Minute
 	for _, tt := range []struct {
 		name   string
-		news   News
+		news   FreshnessInput
 		ok     bool
 		reason Reason
 	}{
-		{"no configuration", News{}, false, ReasonNone},
-		{"confirmed lately", News{HasConfiguration: true, Age: bound, PeersKnown: 5}, true, ReasonConfirmed},
-		{"store down for all", News{HasConfiguration: true, Age: old, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
-		{"cut off from store and most peers", News{HasConfiguration: true, Age: old, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
-		{"cut off from everything", News{HasConfiguration: true, Age: old, PeersKnown: 5}, false, ReasonIsolated},
-		{"half of an even fleet", News{HasConfiguration: true, Age: old, PeersHeard: 204, PeersKnown: 409}, false, ReasonIsolated},
-		{"only daemon", News{HasConfiguration: true, Age: old}, true, ReasonMajority},
-		{"newer head known since a short while", News{HasConfiguration: true, Age: old, Behind: time.Second}, true, ReasonCatchingUp},
-		{"resumed, nothing heard first hand", News{HasConfiguration: true, Unsure: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
-		{"resumed, most peers asked", News{HasConfiguration: true, Age: old, Unsure: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
-		{"resumed, confirmed before, most peers asked", News{HasConfiguration: true, Age: bound, Unsure: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
-		{"resumed, few peers asked", News{HasConfiguration: true, Age: old, Unsure: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 2, PeersLive: 5}, false, ReasonResumed},
-		{"resumed, most of few live peers asked, most peers not heard", News{HasConfiguration: true, Age: old, Unsure: 1, PeersHeard: 1, PeersKnown: 5, PeersAsked: 1, PeersLive: 1}, false, ReasonResumed},
-		{"resumed, most peers asked, newer head known", News{HasConfiguration: true, Unsure: 1, Behind: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 5, PeersLive: 5}, false, ReasonResumed},
-		{"resumed long ago, store down for all", News{HasConfiguration: true, Unsure: resumeSettle, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
-		{"resumed long ago, cut off", News{HasConfiguration: true, Unsure: resumeSettle, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
-		{"resumed long ago, newer head known", News{HasConfiguration: true, Unsure: resumeSettle, Behind: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
-		{"newer head not to be had", News{HasConfiguration: true, Behind: bound + 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonBehind},
+		{"no configuration", FreshnessInput{}, false, ReasonNone},
+		{"confirmed lately", FreshnessInput{HasConfiguration: true, Age: bound, PeersKnown: 5}, true, ReasonConfirmed},
+		{"store down for all", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
+		{"cut off from store and most peers", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
+		{"cut off from everything", FreshnessInput{HasConfiguration: true, Age: old, PeersKnown: 5}, false, ReasonIsolated},
+		{"half of an even fleet", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 204, PeersKnown: 409}, false, ReasonIsolated},
+		{"only daemon", FreshnessInput{HasConfiguration: true, Age: old}, true, ReasonMajority},
+		{"newer head known since a short while", FreshnessInput{HasConfiguration: true, Age: old, Behind: time.Second}, true, ReasonCatchingUp},
+		{"resumed, nothing heard first hand", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
+		{"resumed, most peers asked", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
+		{"resumed, confirmed before, most peers asked", FreshnessInput{HasConfiguration: true, Age: bound, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
+		{"resumed, few peers asked", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 2, PeersLive: 5}, false, ReasonResumed},
+		{"resumed, most of few live peers asked, most peers not heard", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 1, PeersKnown: 5, PeersAsked: 1, PeersLive: 1}, false, ReasonResumed},
+		{"resumed, most peers asked, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, Behind: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 5, PeersLive: 5}, false, ReasonResumed},
+		{"resumed long ago, store down for all", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
+		{"resumed long ago, cut off", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
+		{"resumed long ago, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, Behind: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
+		{"newer head not to be had", FreshnessInput{HasConfiguration: true, Behind: bound + 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonBehind},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			ok, reason := Decide(tt.news, bound)
+			ok, reason := DecideFreshness(tt.news, bound)
 			qt.Assert(t, ok, qt.Equals, tt.ok)
 			qt.Assert(t, reason, qt.Equals, tt.reason)
 		})
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// Confirm takes note of a heartbeat of a peer: the generation in force there
+// RecordHeartbeat takes note of a heartbeat of a peer: the generation in force there
 // and the age of its news.
-func (p *Provider) Confirm(generation uint64, newsAge time.Duration) {
+func (p *Provider) RecordHeartbeat(generation uint64, newsAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if generation == 0 || newsAge < 0 {
--- a/provider/provider_test.go
+++ b/provider/provider_test.go
@@ -70,10 +70,10 @@
 		c.Assert(n.provider.Status().Generation, qt.Equals, uint64(2))
 		c.Assert(n.provider.Status().Source, qt.Not(qt.Equals), SourceStore)
 		time.Sleep(time.Minute)
-		ok, reason := n.provider.Fresh(time.Now(), 5, 5, 5)
+		ok, reason := n.provider.CheckFreshness(time.Now(), 5, 5, 5)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonMajority)
-		ok, reason = n.provider.Fresh(time.Now(), 2, 5, 5)
+		ok, reason = n.provider.CheckFreshness(time.Now(), 2, 5, 5)
 		c.Assert(ok, qt.IsFalse)
 		c.Assert(reason, qt.Equals, ReasonIsolated)
 	})
@@ -100,19 +100,19 @@
 func TestDaemonCutOffFromStoreAndPeersGoesStale(t *testing.T) {
 	run(t, 3, 1, func(c *qt.C, f *fleet) {
 		n := f.nodes["d02"]
-		ok, reason := n.provider.Fresh(time.Now(), 2, 2, 2)
+		ok, reason := n.provider.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonConfirmed)
 		f.setCut("d02", true)
 		f.apply(2)
 		time.Sleep(DefaultStaleAfter + 5*time.Second)
-		ok, reason = n.provider.Fresh(time.Now(), 0, 2, 2)
+		ok, reason = n.provider.CheckFreshness(time.Now(), 0, 2, 2)
 		c.Assert(ok, qt.IsFalse)
 		c.Assert(reason, qt.Equals, ReasonIsolated)
 		f.setCut("d02", false)
 		time.Sleep(5 * time.Second)
 		f.inForce(c, 2)
-		ok, _ = n.provider.Fresh(time.Now(), 2, 2, 2)
+		ok, _ = n.provider.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue)
 	})
 }
@@ -170,7 +170,7 @@
 		c.Assert(errors.As(p.Status().Rejected, &invalid), qt.IsTrue, qt.Commentf("%v", p.Status().Rejected))
 		c.Assert(invalid.Problems[0].Path, qt.Equals, "rules.kinds[0].quality_target")
 		c.Assert(p.Status().Accepted, qt.Equals, uint64(2))
-		ok, reason := p.Fresh(time.Now(), 2, 2, 2)
+		ok, reason := p.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue, qt.Commentf("%s", reason))
 		f.write([]byte("garbage"))
 		time.Sleep(5 * time.Second)
@@ -212,7 +212,7 @@
 		n := f.nodes["d00"]
 		n.provider.fromTable(config.HeadKey, 1, old.Value)
 		n.provider.fromStore(old, time.Now())
-		n.provider.Confirm(1, 0)
+		n.provider.RecordHeartbeat(1, 0)
 		time.Sleep(5 * time.Second)
 		f.inForce(c, 2)
 		c.Assert(n.provider.Status().Rejected, qt.IsNil)
@@ -278,8 +278,8 @@
 		for range 60 {
 			for _, name := range f.names() {
 				p := f.nodes[name].provider
-				p.Confirm(7, 0)
-				ok, reason := p.Fresh(time.Now(), 1, 1, 1)
+				p.RecordHeartbeat(7, 0)
+				ok, reason := p.CheckFreshness(time.Now(), 1, 1, 1)
 				c.Assert(ok, qt.IsTrue, qt.Commentf("%s: %s", name, reason))
 			}
 			time.Sleep(time.Second)
@@ -291,13 +291,13 @@
 	run(t, 2, 1, func(c *qt.C, f *fleet) {
 		f.outage()
 		p := f.nodes["d01"].provider
-		p.Confirm(7, 0)
+		p.RecordHeartbeat(7, 0)
 		c.Assert(p.Status().Accepted, qt.Equals, uint64(7))
-		ok, reason := p.Fresh(time.Now(), 1, 1, 1)
+		ok, reason := p.CheckFreshness(time.Now(), 1, 1, 1)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonCatchingUp)
 		time.Sleep(DefaultStaleAfter + time.Second)
-		ok, reason = p.Fresh(time.Now(), 1, 1, 1)
+		ok, reason = p.CheckFreshness(time.Now(), 1, 1, 1)
 		c.Assert(ok, qt.IsFalse)
 		c.Assert(reason, qt.Equals, ReasonBehind)
 	})
@@ -326,7 +326,7 @@
 				p := f.nodes[name].provider
 				behind := time.Duration(result.Generation-p.Status().Generation) * pause
 				c.Assert(behind <= bound, qt.IsTrue, qt.Commentf("%s is %v behind", name, behind))
-				ok, reason := p.Fresh(time.Now(), 5, 5, 5)
+				ok, reason := p.CheckFreshness(time.Now(), 5, 5, 5)
 				c.Assert(ok, qt.IsTrue, qt.Commentf("%s: %s", name, reason))
 			}
 			time.Sleep(pause)
@@ -347,7 +347,7 @@
 		f.apply(1)
 		time.Sleep(2 * time.Second)
 		resumed := nodes[2].provider
-		fresh := func() (bool, Reason) { return resumed.Fresh(time.Now(), 2, 2, 2) }
+		fresh := func() (bool, Reason) { return resumed.CheckFreshness(time.Now(), 2, 2, 2) }
 
 		reads := nodes[2].storeReads()
 		standStill(resumed)
@@ -387,15 +387,15 @@
 		time.Sleep(20 * time.Second)
 		for range 2 { // What was asked after an earlier pause does not count.
 			standStill(resumed)
-			ok, reason := resumed.Fresh(time.Now(), 2, 2, 2)
+			ok, reason := resumed.CheckFreshness(time.Now(), 2, 2, 2)
 			c.Assert(ok, qt.IsFalse)
 			c.Assert(reason, qt.Equals, ReasonResumed)
 			time.Sleep(300 * time.Millisecond)
-			ok, reason = resumed.Fresh(time.Now(), 2, 2, 2)
+			ok, reason = resumed.CheckFreshness(time.Now(), 2, 2, 2)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(reason, qt.Equals, ReasonMajority)
 			// Not where the peers that answered are no majority.
-			ok, _ = resumed.Fresh(time.Now(), 5, 5, 5)
+			ok, _ = resumed.CheckFreshness(time.Now(), 5, 5, 5)
 			c.Assert(ok, qt.IsFalse)
 			time.Sleep(2 * time.Second)
 		}
--- a/provider/status.go
+++ b/provider/status.go
@@ -59,12 +59,12 @@
 	return s
 }
 
-// Fresh tells whether the daemon may take new work, given how many of a sample of
+// CheckFreshness tells whether the daemon may take new work, given how many of a sample of
 // its peers it hears, and how many live peers there are. See Decide.
-func (p *Provider) Fresh(now time.Time, peersHeard, peersKnown, peersLive int) (bool, Reason) {
+func (p *Provider) CheckFreshness(now time.Time, peersHeard, peersKnown, peersLive int) (bool, Reason) {
 	resumed := p.pauses.check()
 	s := p.Status()
-	news := News{
+	news := FreshnessInput{
 		HasConfiguration: s.Generation > 0,
 		Age:              s.NewsAge(now),
 		PeersHeard:       peersHeard,
@@ -75,10 +75,10 @@
 		news.Behind = max(now.Sub(s.BehindSince), 1)
 	}
 	if p.unsure(resumed) {
-		news.Unsure = max(time.Since(resumed), 1)
+		news.UnconfirmedSinceResume = max(time.Since(resumed), 1)
 		news.PeersAsked = p.askedSince(resumed)
 	}
-	return Decide(news, p.staleAfter)
+	return DecideFreshness(news, p.staleAfter)
 }
 
 // headMissing reports that the store lost the head. What is in force stays.
