--- a/fleet.go
+++ b/fleet.go
@@ -155,8 +155,8 @@
 // newRegistrar lets this daemon find others through the store.
 func newRegistrar(d *Daemon, f *fleet) *bootstrap.Registrar {
 	return bootstrap.New(bootstrap.Options{
-		Store: d.platform.store,
-		Self:  &bronzeturnv1.Seed{Name: d.settings.GetName(), PeerAddress: d.listeners.peerAddress},
+		Store:       d.platform.store,
+		Self:        &bronzeturnv1.Seed{Name: d.settings.GetName(), PeerAddress: d.listeners.peerAddress},
 		OnAddresses: f.members.SetFoundSeeds,
 		IsLive: func(name string) bool {
 			member, ok := f.members.View().Member(name)
