--- a/follow/cause.go
+++ b/follow/cause.go
@@ -2,22 +2,22 @@
 
 import "sync/atomic"
 
-// Cause is why objects are listed rather than watched.
+// Cause is the reason why objects are listed rather than watched.
 type Cause int32
 
 // The causes of a list.
 const (
-	// CauseNone lists nothing.
+	// CauseNone means that no list is required.
 	CauseNone Cause = iota
 	// CauseStart is the first list of a daemon.
 	CauseStart
-	// CauseRetry follows a list that failed.
+	// CauseRetry follows a failed list.
 	CauseRetry
-	// CauseNoAnswer follows a watch that ended without an answer.
+	// CauseNoAnswer follows a watch that ended without a response.
 	CauseNoAnswer
-	// CauseHistoryGone follows a watch whose history the store has forgotten.
+	// CauseHistoryGone follows a watch from a revision whose history the store no longer holds.
 	CauseHistoryGone
-	// CauseOtherWatch follows either of these at a watch of another kind.
+	// CauseOtherWatch follows a failed watch of another kind.
 	CauseOtherWatch
 )
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// causeFlag holds why the next call is a list, if it is one. It is safe for concurrent
-// use.
+// causeFlag holds the reason why the next store call is a list, or CauseNone. It is safe for
+// concurrent use.
 type causeFlag struct{ value atomic.Int32 }
 
 func (f *causeFlag) set(c Cause) { f.value.Store(int32(c)) }
--- a/follow/copy.go
+++ b/follow/copy.go
@@ -8,13 +8,13 @@
 )
 
 // ApplySnapshot applies a complete state read from the store unless it is older than the copy.
-func (f *Follower) ApplySnapshot(next *Snapshot) { f.take(next, false, false) }
+func (f *Follower) ApplySnapshot(next *Snapshot) { f.applySnapshot(next, false, false) }
 
-// ApplyChanges applies changes read from the store.
-func (f *Follower) ApplyChanges(c *Changes) { f.change(c, false, false) }
+// ApplyChanges applies changes read from the store unless they are older than the copy.
+func (f *Follower) ApplyChanges(c *Changes) { f.applyChanges(c, false, false) }
 
-// take puts a whole state in force unless it is older than the copy.
-func (f *Follower) take(next *Snapshot, fromPeer, afterOutage bool) {
+// applySnapshot replaces the copy with a complete state unless that is older.
+func (f *Follower) applySnapshot(next *Snapshot, fromPeer, afterOutage bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.snapshot.Load()
@@ -25,11 +25,11 @@
 		return
 	}
 	diff := old.Diff(next)
-	f.swap(next, diff, newStep(old.Revision, &diff, true), fromPeer, afterOutage)
+	f.install(next, diff, newStep(old.Revision, &diff, true), fromPeer, afterOutage)
 }
 
-// change puts changes in force. Those that the copy already has do no harm.
-func (f *Follower) change(c *Changes, fromPeer, afterOutage bool) {
+// applyChanges applies changes to the copy. Changes that it already includes have no effect.
+func (f *Follower) applyChanges(c *Changes, fromPeer, afterOutage bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.snapshot.Load()
@@ -39,17 +39,17 @@
 	next := old.with(c)
 	diff := old.Diff(next)
 	affected := diff.withRemoved(c.Removed)
-	f.swap(next, diff, newStep(old.Revision, &affected, false), fromPeer, afterOutage)
+	f.install(next, diff, newStep(old.Revision, &affected, false), fromPeer, afterOutage)
 }
 
-// swap puts a state in force and adds the step that led to it to the history. The caller
-// holds mu.
-func (f *Follower) swap(next *Snapshot, diff Changes, s step, fromPeer, afterOutage bool) {
+// install stores a state as the copy and adds the step that led to it to the history. The
+// caller holds mu.
+func (f *Follower) install(next *Snapshot, diff Changes, s step, fromPeer, afterOutage bool) {
 	first := f.snapshot.Load() == nil
 	f.snapshot.Store(next)
 	empty := len(s.names) == 0
 	// The first list has no previous state. An empty net difference is recorded, since
-	// objects may have come and gone within it.
+	// objects may have been created and removed within it.
 	if !first && (!empty || s.netOnly && s.from < next.Revision) {
 		f.history.add(s)
 	}
@@ -64,15 +64,15 @@
 	f.Apply(Update{Snapshot: next, Changes: diff, AfterOutage: afterOutage, FromPeer: fromPeer})
 }
 
-// AwaitChanges returns what changed after a revision, for another daemon, as soon as something
-// did, the wait ends or ctx does; or nil when there is no copy then.
+// AwaitChanges returns the changes after a revision, for another daemon, as soon as there are
+// any, the wait ends or ctx ends. It returns nil if there is no copy then.
 func (f *Follower) AwaitChanges(ctx context.Context, after uint64, wait time.Duration) *PullResponse {
 	// The timeout is shortened to a tick, so that the responses for several kinds and daemons
 	// share wake-ups and packets.
 	ctx, cancel := context.WithTimeout(ctx, backoff.UntilLastTickWithin(backoff.IdleInterval, wait))
 	defer cancel()
 	for {
-		p, updated := f.sinceAnd(after)
+		p, updated := f.changesSinceAndUpdated(after)
 		if p != nil && (p.Full || p.Names != nil || !p.Changes.empty()) {
 			return p
 		}
@@ -84,28 +84,28 @@
 	}
 }
 
-// ChangesSince returns what changed after a revision, for another daemon, or nil when
-// there is no copy.
+// ChangesSince returns the changes after a revision, for another daemon, or nil if there is
+// no copy.
 func (f *Follower) ChangesSince(after uint64) *PullResponse {
-	p, _ := f.sinceAnd(after)
+	p, _ := f.changesSinceAndUpdated(after)
 	return p
 }
 
-// sinceAnd also returns what is closed with the next change.
-func (f *Follower) sinceAnd(after uint64) (*PullResponse, <-chan struct{}) {
+// changesSinceAndUpdated also returns a channel that is closed at the next change.
+func (f *Follower) changesSinceAndUpdated(after uint64) (*PullResponse, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since(after), f.updated
+	return f.changesSinceLocked(after), f.updated
 }
 
-// since returns what changed after a revision. The caller holds mu.
-func (f *Follower) since(after uint64) *PullResponse {
+// changesSinceLocked returns the changes after a revision. The caller holds mu.
+func (f *Follower) changesSinceLocked(after uint64) *PullResponse {
 	s := f.snapshot.Load()
 	if s == nil {
 		return nil
 	}
 	now := time.Now()
-	p := &PullResponse{Failing: f.Failing() || f.Stale(now), AfterOutage: f.echo(), Age: f.age(now)}
+	p := &PullResponse{Failing: f.Failing() || f.Stale(now), AfterOutage: f.followsOutage(), Age: f.age(now)}
 	p.Changes.Revision = s.Revision
 	if after >= s.Revision {
 		return p
@@ -135,15 +135,15 @@
 	}
 	next := old.reconciled(p)
 	diff := old.Diff(next)
-	f.swap(next, diff, newStep(old.Revision, &diff, true), true, p.AfterOutage)
+	f.install(next, diff, newStep(old.Revision, &diff, true), true, p.AfterOutage)
 }
 
-// ChangesSinceInOnePart returns what changed after a revision in a single response of any size,
-// for clients that support neither partial responses nor names, or nil when there is no copy.
+// ChangesSinceInOnePart returns the changes after a revision in a single response of any size,
+// for clients that support neither partial responses nor names, or nil if there is no copy.
 func (f *Follower) ChangesSinceInOnePart(after uint64) *PullResponse {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.since(after)
+	p := f.changesSinceLocked(after)
 	if p == nil || p.NextPart == 0 && p.Names == nil {
 		return p
 	}
@@ -157,7 +157,7 @@
 	return p
 }
 
-// Part returns the part of the current copy that starts at the given shard, or nil when
+// Part returns the part of the current copy that starts at the given shard, or nil if
 // there is no copy.
 func (f *Follower) Part(part int) *PullResponse {
 	s := f.snapshot.Load()
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -30,9 +30,9 @@
 	os.Exit(m.Run())
 }
 
-var errDown = errors.New("down")
+var errDown = errors.New("store is down")
 
-// store is a Source whose faults a test sets.
+// store is a Source with configurable faults.
 type store struct {
 	mu       sync.Mutex
 	revision uint64
@@ -40,13 +40,14 @@
 	log      []Changes
 	changed  chan struct{}
 	down     bool
-	// silent lists never answer.
-	silent bool
-	// deaf watches never answer, gone ones have lost their history.
-	deaf, gone bool
-	lists      int
-	watches    int
-	// old is what a list that may be stale gives, nil for the newest.
+	// hangLists makes lists time out without a response.
+	hangLists bool
+	// hangWatches makes watches end without a response, historyGone makes them fail with
+	// ErrHistoryGone.
+	hangWatches, historyGone bool
+	lists                    int
+	watches                  int
+	// old is the response to a list that may be stale, or nil for the current objects.
 	old *Page
 	// pageSize is the maximum number of objects per page, zero for no limit. Requests for
 	// which failPage returns true fail; its argument counts all list requests.
@@ -69,15 +70,15 @@
 	f(s)
 }
 
-// counts returns the lists and watches so far, and the revision.
+// counts returns the number of lists and watches so far, and the current revision.
 func (s *store) counts() (lists, watches int, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lists, s.watches, s.revision
 }
 
-// tries is the number of calls of any kind.
-func (s *store) tries() int {
+// calls returns the number of lists and watches so far.
+func (s *store) calls() int {
 	lists, watches, _ := s.counts()
 	return lists + watches
 }
@@ -87,7 +88,7 @@
 		s.revision++
 		item := Item{Name: name, Revision: s.revision, Spec: []byte(spec)}
 		s.items[name] = item
-		s.tell(Changes{Revision: s.revision, Changed: []Item{item}})
+		s.publish(Changes{Revision: s.revision, Changed: []Item{item}})
 	})
 }
 
@@ -95,11 +96,11 @@
 	s.set(func(s *store) {
 		s.revision++
 		delete(s.items, name)
-		s.tell(Changes{Revision: s.revision, Removed: []string{name}})
+		s.publish(Changes{Revision: s.revision, Removed: []string{name}})
 	})
 }
 
-func (s *store) tell(c Changes) {
+func (s *store) publish(c Changes) {
 	s.log = append(s.log, c)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -114,7 +115,7 @@
 		time.Sleep(s.pageDelay)
 		s.mu.Lock()
 	}
-	if s.silent {
+	if s.hangLists {
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -150,7 +151,7 @@
 	s.set(func(s *store) { s.watches++ })
 	for {
 		s.mu.Lock()
-		down, deaf, gone, changed, revision := s.down, s.deaf, s.gone, s.changed, s.revision
+		down, hang, historyGone, changed, revision := s.down, s.hangWatches, s.historyGone, s.changed, s.revision
 		var got Changes
 		for _, c := range s.log {
 			if c.Revision > after {
@@ -162,10 +163,10 @@
 		switch {
 		case down:
 			return nil, errDown
-		case deaf:
+		case hang:
 			<-ctx.Done()
 			return nil, ctx.Err()
-		case gone:
+		case historyGone:
 			return nil, ErrHistoryGone
 		case !got.empty():
 			got.Revision = revision
@@ -185,7 +186,7 @@
 	}
 }
 
-// peers gives the copy of one other Follower, if any.
+// peers implements Peers with at most one other Follower.
 type peers struct {
 	mu       sync.Mutex
 	other    *Follower
@@ -208,7 +209,7 @@
 	return nil, errDown
 }
 
-// Depth is that of a daemon that asks one that watches.
+// Depth is that of a daemon that pulls from a watcher.
 func (p *peers) Depth() int { return 1 }
 
 func (p *peers) Watching() bool {
@@ -219,13 +220,13 @@
 
 func (p *peers) SelectedToWatch() bool { return p.Watching() }
 
-func (p *peers) asked() int {
+func (p *peers) pullCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pulls
 }
 
-// Live is the size of a small fleet unless a test sets another.
+// Live returns 6 unless the test sets another number.
 func (p *peers) Live() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -235,17 +236,17 @@
 	return 6
 }
 
-// daemon is a Follower under test with what it was given.
+// daemon is a Follower under test with the updates that it applied.
 type daemon struct {
 	*Follower
 	peers   *peers
 	mu      sync.Mutex
 	updates []Update
-	// disturbed, if any, is called when the follower tells that its watch was disturbed.
-	disturbed func()
+	// onWatchFailure, if not nil, is called by Options.OnWatchFailure.
+	onWatchFailure func()
 }
 
-// newDaemon starts a Follower that ends with the test's bubble.
+// newDaemon starts a Follower that runs until ctx ends. other, if not nil, is its peer.
 func newDaemon(ctx context.Context, s Source, watching bool, other *daemon) *daemon {
 	d := &daemon{peers: &peers{watching: watching}}
 	if other != nil {
@@ -255,7 +256,7 @@
 	return d
 }
 
-// newDaemonWithLead returns a follower that watches beside another of the daemon.
+// newDaemonWithLead starts a Follower that watches another kind on the same daemon as lead.
 func newDaemonWithLead(ctx context.Context, s Source, lead *daemon) *daemon {
 	d := &daemon{peers: &peers{watching: true}}
 	d.run(ctx, s, lead.Follower)
@@ -275,10 +276,10 @@
 		Announce: func(uint64) {},
 		OnWatchFailure: func() {
 			d.mu.Lock()
-			disturbed := d.disturbed
+			onWatchFailure := d.onWatchFailure
 			d.mu.Unlock()
-			if disturbed != nil {
-				disturbed()
+			if onWatchFailure != nil {
+				onWatchFailure()
 			}
 		},
 		Random: rand.New(rand.NewPCG(1, 2)), Log: zerolog.Nop(),
@@ -287,7 +288,7 @@
 	go func() { _ = d.RunPulls(ctx) }() // Ends with ctx.
 }
 
-// last is the newest state that was given.
+// last returns the most recent update.
 func (d *daemon) last() Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -303,7 +304,7 @@
 	return string(item.Spec)
 }
 
-// run runs f in virtual time with a context that ends with it.
+// run runs f in virtual time with a context that ends when f returns.
 func run(t *testing.T, f func(c *qt.C, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -324,7 +325,7 @@
 		time.Sleep(time.Millisecond)
 		c.Check(d.spec("a"), qt.Equals, "2")
 		s.remove("a")
-		time.Sleep(gatherTime + time.Millisecond)
+		time.Sleep(batchPause + time.Millisecond)
 		c.Check(d.Snapshot().Len(), qt.Equals, 0)
 	})
 }
@@ -339,25 +340,25 @@
 			s.put(fmt.Sprint(i), "x")
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(gatherTime + time.Millisecond)
+		time.Sleep(batchPause + time.Millisecond)
 		c.Check(d.Snapshot().Len(), qt.Equals, 100)
 		_, after, _ := s.counts()
 		c.Check(after-before <= 12, qt.IsTrue, qt.Commentf("%d watches", after-before))
 	})
 }
 
-// TestDeafWatchIsNoticed has a store that drops its history and never answers
-// the watches that wait.
-func TestDeafWatchIsNoticed(t *testing.T) {
+// TestHangingWatchIsNoticed guards against changes that are missed for good when the store
+// never answers the waiting watches and then loses its history.
+func TestHangingWatchIsNoticed(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
 		s.put("a", "1")
 		d := newDaemon(ctx, s, true, nil)
 		time.Sleep(100 * time.Millisecond)
-		s.set(func(s *store) { s.deaf = true })
-		s.put("b", "wakes the watches that hear")
+		s.set(func(s *store) { s.hangWatches = true })
+		s.put("b", "wakes the watch in progress, which then hangs")
 		time.Sleep(time.Second)
-		s.set(func(s *store) { s.deaf, s.gone = false, true })
+		s.set(func(s *store) { s.hangWatches, s.historyGone = false, true })
 		s.put("a", "2")
 		time.Sleep(watchWait + time.Second)
 		c.Check(d.spec("a"), qt.Equals, "2")
@@ -432,8 +433,8 @@
 	})
 }
 
-// TestFirstListMayBeStale: the store's cheap answer is old, and both a daemon that
-// watches and one that does not are up to date at once all the same.
+// TestFirstListMayBeStale guards against a stale first list that leaves a copy out of date.
+// Both a watcher and a daemon that does not watch must be up to date immediately.
 func TestFirstListMayBeStale(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
@@ -450,40 +451,42 @@
 		time.Sleep(10 * time.Millisecond)
 		c.Check(other.spec("a"), qt.Equals, "2")
 		c.Check(other.spec("b"), qt.Equals, "1")
-		// Any later list has to be the newest.
+		// A later list must not be stale.
 		watcher.Relist()
 		time.Sleep(10 * time.Millisecond)
 		c.Check(watcher.spec("a"), qt.Equals, "2")
 	})
 }
 
-// TestSilentStoreIsNoticedSoonAfterItsReturn has a daemon start while the store
-// answers nothing: a call that began before the return stays without an answer.
-func TestSilentStoreIsNoticedSoonAfterItsReturn(t *testing.T) {
+// TestRecoveryOfUnresponsiveStoreIsNoticed guards against a long delay before a daemon notices
+// that an unresponsive store has recovered: a call that began before the recovery gets no
+// response. It also guards against too many calls to a store that remains unresponsive.
+func TestRecoveryOfUnresponsiveStoreIsNoticed(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
 		s.put("a", "1")
-		s.set(func(s *store) { s.silent = true })
+		s.set(func(s *store) { s.hangLists = true })
 		d := newDaemon(ctx, s, true, nil)
-		const silence = 500 * time.Millisecond
-		time.Sleep(silence)
-		s.set(func(s *store) { s.silent = false })
-		time.Sleep(2 * firstPatience)
+		const outage = 500 * time.Millisecond
+		time.Sleep(outage)
+		s.set(func(s *store) { s.hangLists = false })
+		time.Sleep(2 * listTimeoutMin)
 		c.Check(d.spec("a"), qt.Equals, "1")
-		// A store that stays silent is not asked more and more often.
-		s.set(func(s *store) { s.silent, s.down = true, true })
+		// The call rate to a store that remains unresponsive is limited.
+		s.set(func(s *store) { s.hangLists, s.down = true, true })
 		d.Relist()
-		before := s.tries()
+		before := s.calls()
 		const long = 20 * time.Second
 		time.Sleep(long)
-		calls := s.tries() - before
-		c.Check(calls <= int(long/mostPatience)+5, qt.IsTrue, qt.Commentf("%d calls", calls))
+		calls := s.calls() - before
+		c.Check(calls <= int(long/listTimeoutMax)+5, qt.IsTrue, qt.Commentf("%d calls", calls))
 	})
 }
 
-// TestOrphansOfALargeFleetReadTheStoreInTime has a long outage in which no other daemon
-// helps, and a change just after it: every daemon must have it within the time that a
-// configuration may take, less what reading it takes.
+// TestOrphansOfALargeFleetReadTheStoreInTime guards against daemons that read the store too
+// late after a long outage in which no other daemon answers them. A change just after the
+// outage must reach every daemon within the time allowed for a configuration change, less
+// the time to read it.
 func TestOrphansOfALargeFleetReadTheStoreInTime(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		const fleet, allowed = 66, 2800 * time.Millisecond
@@ -507,9 +510,9 @@
 	})
 }
 
-// TestWatcherWithoutAnAnswerSaysSoSoon has a store that leaves a daemon's watch without
-// an answer: those that ask it must not be told for long that nothing has changed.
-func TestWatcherWithoutAnAnswerSaysSoSoon(t *testing.T) {
+// TestWatcherWithHangingWatchReportsFailing guards against a watcher whose watch hangs and
+// that tells other daemons for a long time that nothing has changed.
+func TestWatcherWithHangingWatchReportsFailing(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s, other := newStore(), newStore()
 		s.put("a", "1")
@@ -519,35 +522,36 @@
 		d := newDaemon(ctx, s, true, helper)
 		time.Sleep(10 * time.Millisecond)
 		const (
-			slack  = 600 * time.Millisecond // Of the watch beyond its wait.
-			rounds = 6                      // Waits are random.
+			slack  = 600 * time.Millisecond // Time that the watch may take beyond its wait.
+			rounds = 6                      // Several, since waits are random.
 		)
 		for n := range rounds {
-			s.put("b", fmt.Sprint("is heard, and the next watch begins ", n))
-			time.Sleep(gatherTime + time.Millisecond)
-			s.set(func(s *store) { s.deaf, s.silent = true, true })
-			s.put("b", fmt.Sprint("wakes the watch, which stays without an answer ", n))
+			s.put("b", fmt.Sprint("is received, and the next watch begins ", n))
+			time.Sleep(batchPause + time.Millisecond)
+			s.set(func(s *store) { s.hangWatches, s.hangLists = true, true })
+			s.put("b", fmt.Sprint("wakes the watch, which then hangs ", n))
 			time.Sleep(watchWait + slack)
 			c.Check(d.ChangesSince(0).Failing, qt.IsTrue, qt.Commentf("round %d", n))
-			s.set(func(s *store) { s.deaf, s.silent = false, false })
+			s.set(func(s *store) { s.hangWatches, s.hangLists = false, false })
 			time.Sleep(4 * watchWait)
 			c.Check(d.ChangesSince(0).Failing, qt.IsFalse)
 		}
 	})
 }
 
-// TestSilenceOfAWatchCountsAsOutage: a watch that ends without an answer may have
-// missed an outage as long as itself, and what vanished in it may come back.
-func TestSilenceOfAWatchCountsAsOutage(t *testing.T) {
+// TestHangingWatchCountsAsOutage guards against removals after a hanging watch that are not
+// attributed to an outage. Such a watch may have missed an outage of its own duration, and
+// objects removed in an outage may reappear.
+func TestHangingWatchCountsAsOutage(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
 		s.put("a", "1")
 		d := newDaemon(ctx, s, true, nil)
 		time.Sleep(time.Second)
-		s.set(func(s *store) { s.deaf = true })
-		s.put("b", "wakes the watches that hear")
-		time.Sleep(2 * gatherTime)
-		s.set(func(s *store) { s.deaf = false })
+		s.set(func(s *store) { s.hangWatches = true })
+		s.put("b", "wakes the watch in progress, which then hangs")
+		time.Sleep(2 * batchPause)
+		s.set(func(s *store) { s.hangWatches = false })
 		s.remove("a")
 		time.Sleep(watchWait + time.Second)
 		c.Check(d.spec("a"), qt.Equals, "")
@@ -566,36 +570,36 @@
 		calls, _, _ := s.counts()
 		time.Sleep(30 * time.Second)
 		s.put("a", "2")
-		time.Sleep(gatherTime)
+		time.Sleep(batchPause)
 		_, _, revision := s.counts()
 		other.NotifyRevision(revision)
-		time.Sleep(pullPause + time.Millisecond)
+		time.Sleep(pullRetryPause + time.Millisecond)
 		c.Check(other.spec("a"), qt.Equals, "2")
 		lists, _, _ := s.counts()
 		c.Check(lists, qt.Equals, calls)
 	})
 }
 
-func TestDaemonThatIsTurnedAwayLearnsFromAnother(t *testing.T) {
+func TestRejectedDaemonPullsFromAnother(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
-		s, refusing := newStore(), newStore()
+		s, rejecting := newStore(), newStore()
 		s.put("a", "1")
 		watcher := newDaemon(ctx, s, true, nil)
 		time.Sleep(100 * time.Millisecond)
-		refusing.set(func(s *store) { s.down = true })
-		away := newDaemon(ctx, refusing, true, watcher)
+		rejecting.set(func(s *store) { s.down = true })
+		rejected := newDaemon(ctx, rejecting, true, watcher)
 		time.Sleep(time.Second)
-		c.Check(away.spec("a"), qt.Equals, "1")
-		c.Check(away.Stale(time.Now()), qt.IsFalse)
+		c.Check(rejected.spec("a"), qt.Equals, "1")
+		c.Check(rejected.Stale(time.Now()), qt.IsFalse)
 		s.put("a", "2")
 		time.Sleep(time.Second)
-		c.Check(away.spec("a"), qt.Equals, "2")
+		c.Check(rejected.spec("a"), qt.Equals, "2")
 	})
 }
 
-// TestDaemonReadsItselfWhenTheOneThatWatchesFails has the store turn away just
-// the daemon that the other one asks.
-func TestDaemonReadsItselfWhenTheOneThatWatchesFails(t *testing.T) {
+// TestDaemonReadsStoreWhenItsWatcherFails guards against a daemon that misses changes when the
+// store rejects only the watcher that it pulls from.
+func TestDaemonReadsStoreWhenItsWatcherFails(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s, broken := newStore(), newStore()
 		s.put("a", "1")
@@ -606,7 +610,7 @@
 		time.Sleep(time.Second)
 		broken.set(func(s *store) { s.down = true })
 		s.put("a", "2")
-		time.Sleep(watchWait + passWait + orphanMargin + time.Second)
+		time.Sleep(watchWait + pullWait + orphanMargin + time.Second)
 		c.Check(other.spec("a"), qt.Equals, "2")
 	})
 }
@@ -624,7 +628,7 @@
 		c.Assert(d.spec("a"), qt.Equals, "2")
 		s.set(func(s *store) { s.down = true })
 		time.Sleep(5 * time.Second)
-		c.Check(d.peers.asked() > 0, qt.IsTrue)
+		c.Check(d.peers.pullCount() > 0, qt.IsTrue)
 		c.Check(d.spec("a"), qt.Equals, "2")
 	})
 }
@@ -636,9 +640,9 @@
 	state := func(revision uint64) *Snapshot {
 		return NewSnapshot(revision, slices.Values([]Item{{Name: "a", Revision: revision}}))
 	}
-	f.take(state(5), false, false)
-	f.take(state(4), true, false)
-	f.change(&Changes{Revision: 3, Removed: []string{"a"}}, true, false)
+	f.applySnapshot(state(5), false, false)
+	f.applySnapshot(state(4), true, false)
+	f.applyChanges(&Changes{Revision: 3, Removed: []string{"a"}}, true, false)
 	a, _ := f.Snapshot().Item("a")
 	c.Check(a.Revision, qt.Equals, uint64(5))
 	c.Check(applied, qt.Equals, 1)
@@ -652,7 +656,7 @@
 		time.Sleep(time.Second)
 		c.Assert(d.last().AfterOutage, qt.IsFalse)
 		s.set(func(s *store) { s.down = true })
-		s.put("c", "ends the watch that waits")
+		s.put("c", "ends the watch in progress")
 		time.Sleep(3 * time.Second)
 		s.set(func(s *store) { s.down = false })
 		s.remove("a")
@@ -660,7 +664,7 @@
 		last := d.last()
 		c.Check(last.Snapshot.Len(), qt.Equals, 1)
 		c.Check(last.AfterOutage, qt.IsTrue)
-		time.Sleep(outageEcho)
+		time.Sleep(postOutageWindow)
 		s.put("b", "later")
 		time.Sleep(time.Second)
 		c.Check(d.last().AfterOutage, qt.IsFalse)
@@ -675,19 +679,19 @@
 		time.Sleep(time.Second)
 		c.Check(d.Stale(time.Now()), qt.IsFalse)
 		s.set(func(s *store) { s.down = true })
-		s.put("b", "ends the watch that waits")
+		s.put("b", "ends the watch in progress")
 		time.Sleep(staleAfter + watchWait + time.Second)
 		c.Check(d.Stale(time.Now()), qt.IsTrue)
 		c.Check(d.spec("a"), qt.Equals, "1")
 	})
 }
 
-// TestWhatChangedSinceLeadsToTheSameState replays random changes to a copy that
-// falls behind by random steps.
-func TestWhatChangedSinceLeadsToTheSameState(t *testing.T) {
+// TestChangesSinceLeadToTheSameState guards against pulls after which a copy differs from its
+// source. It applies random changes and pulls them at random times.
+func TestChangesSinceLeadToTheSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := New(Options{Announce: func(uint64) {}, Apply: func(Update) {}, Log: zerolog.Nop()})
-		f.take(&Snapshot{Revision: 1}, false, false)
+		f.applySnapshot(&Snapshot{Revision: 1}, false, false)
 		copied := &Snapshot{Revision: 1}
 		revision := uint64(1)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -699,7 +703,7 @@
 			} else {
 				c.Changed = []Item{{Name: name, Revision: revision}}
 			}
-			f.change(c, false, false)
+			f.applyChanges(c, false, false)
 			if rapid.IntRange(0, 20).Draw(t, "pull") > 0 {
 				continue
 			}
@@ -719,37 +723,37 @@
 	})
 }
 
-// TestOnlyTheLeadAsksAStoreThatDoesNotAnswer counts the calls of two followers of one
-// daemon in an outage, and checks that both are up to date soon after it.
-func TestOnlyTheLeadAsksAStoreThatDoesNotAnswer(t *testing.T) {
+// TestOnlyTheLeadCallsAFailingStore guards against calls of all followers of a daemon in an
+// outage, and against one that is not up to date soon after it.
+func TestOnlyTheLeadCallsAFailingStore(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
-		leads, follows := newStore(), newStore()
-		follows.put("a", "1")
-		lead := newDaemon(ctx, leads, true, nil)
-		other := newDaemonWithLead(ctx, follows, lead)
+		leadStore, otherStore := newStore(), newStore()
+		otherStore.put("a", "1")
+		lead := newDaemon(ctx, leadStore, true, nil)
+		other := newDaemonWithLead(ctx, otherStore, lead)
 		time.Sleep(100 * time.Millisecond)
 		down := func(down bool) {
-			for _, s := range []*store{leads, follows} {
+			for _, s := range []*store{leadStore, otherStore} {
 				s.set(func(s *store) { s.down = down })
 			}
 		}
 		down(true)
 		time.Sleep(watchWait + time.Second)
-		before := follows.tries()
-		asked := leads.tries()
+		before := otherStore.calls()
+		asked := leadStore.calls()
 		time.Sleep(30 * time.Second)
-		c.Check(follows.tries()-before <= 11, qt.IsTrue, qt.Commentf("%d calls", follows.tries()-before))
-		c.Check(leads.tries()-asked > 60, qt.IsTrue, qt.Commentf("%d calls", leads.tries()-asked))
-		follows.put("a", "2")
+		c.Check(otherStore.calls()-before <= 11, qt.IsTrue, qt.Commentf("%d calls", otherStore.calls()-before))
+		c.Check(leadStore.calls()-asked > 60, qt.IsTrue, qt.Commentf("%d calls", leadStore.calls()-asked))
+		otherStore.put("a", "2")
 		down(false)
 		time.Sleep(retryMax + 2*leadPoll)
 		c.Check(other.spec("a"), qt.Equals, "2")
 	})
 }
 
-// TestDaemonsDoNotConfirmEachOther has two daemons that do not watch and ask each other,
-// as when the store turns away all that watch: soon one of them reads the store itself,
-// and a change comes to both in less than what an engine that leaves is given.
+// TestDaemonsDoNotConfirmEachOther guards against two daemons that do not watch, pull from each
+// other, and therefore never read the store, as when the store rejects all watchers. A
+// change must reach both within less than the time that a leaving engine is given.
 func TestDaemonsDoNotConfirmEachOther(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
@@ -763,16 +767,16 @@
 			time.Sleep(4 * time.Second)
 			value := fmt.Sprint("changed ", round)
 			s.put("a", value)
-			time.Sleep(passWait + orphanMargin + passWait)
+			time.Sleep(pullWait + orphanMargin + pullWait)
 			c.Check(one.spec("a"), qt.Equals, value)
 			c.Check(two.spec("a"), qt.Equals, value)
 		}
 	})
 }
 
-// TestAnswerOfADaemonIsAsOldAsTheStoresBehindIt follows the age of a confirmation over
-// two daemons.
-func TestAnswerOfADaemonIsAsOldAsTheStoresBehindIt(t *testing.T) {
+// TestAgeOfAConfirmationIsPassedOn guards against a confirmation by another daemon that counts
+// as newer than the store's response behind it.
+func TestAgeOfAConfirmationIsPassedOn(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
 		s.put("a", "1")
@@ -780,8 +784,8 @@
 		time.Sleep(100 * time.Millisecond)
 		c.Check(watcher.ChangesSince(0).Age, qt.Equals, time.Duration(0))
 		other := newDaemon(ctx, s, false, watcher)
-		// A question comes at most passWait after the pause that follows one.
-		const longest = passWait + pullPause
+		// The next pull ends at most pullWait after the pause that follows a pull.
+		const longest = pullWait + pullRetryPause
 		for range 50 {
 			time.Sleep(90 * time.Millisecond)
 			c.Check(other.ChangesSince(0).Age <= longest, qt.IsTrue)
@@ -795,14 +799,15 @@
 	})
 }
 
-// TestRemovalBeforeTheFirstListReachesDaemonsBehindIt has a daemon that read the store
-// before an object went ask one that read it afterwards and never saw the object.
+// TestRemovalBeforeTheFirstListReachesDaemonsBehindIt guards against a removed object that
+// remains in the copy of a daemon that read the store before the removal and pulls from one
+// that read it afterwards and never saw the object.
 func TestRemovalBeforeTheFirstListReachesDaemonsBehindIt(t *testing.T) {
 	c := qt.New(t)
 	behind := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-	behind.take(NewSnapshot(5, slices.Values([]Item{{Name: "gone", Revision: 3}, {Name: "kept", Revision: 4}})), false, false)
+	behind.applySnapshot(NewSnapshot(5, slices.Values([]Item{{Name: "gone", Revision: 3}, {Name: "kept", Revision: 4}})), false, false)
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-	ahead.take(NewSnapshot(10, slices.Values([]Item{{Name: "kept", Revision: 4}})), false, false)
+	ahead.applySnapshot(NewSnapshot(10, slices.Values([]Item{{Name: "kept", Revision: 4}})), false, false)
 	p := ahead.ChangesSince(behind.Snapshot().Revision)
 	c.Assert(p.Names, qt.DeepEquals, []string{"kept"})
 	c.Check(p.Changes.Changed, qt.HasLen, 0)
@@ -811,10 +816,11 @@
 	c.Check(behind.Snapshot().Revision, qt.Equals, uint64(10))
 }
 
-// TestChangesWithinAStepReachDaemonsInsideIt has an object come and go within one step
-// of the daemon that is asked, and the asker's copy lie between the two. The incremental
-// response must remove the object, also when it comes from a daemon that received the step
-// from a peer. Between two lists such objects are unknown and the names of all objects are required.
+// TestChangesWithinAStepReachDaemonsInsideIt guards against an object that remains in a copy
+// after it was created and removed within one step of the responding daemon, when the
+// requested revision lies between the two. The incremental response must remove the object,
+// also when the responding daemon received the step from a peer. Between two lists such
+// objects are unknown, and the names of all objects are required.
 func TestChangesWithinAStepReachDaemonsInsideIt(t *testing.T) {
 	c := qt.New(t)
 	newFollower := func() *Follower {
@@ -822,10 +828,10 @@
 	}
 	ahead, downstream := newFollower(), newFollower()
 	for _, f := range []*Follower{ahead, downstream} {
-		f.take(&Snapshot{Revision: 10}, false, false)
+		f.applySnapshot(&Snapshot{Revision: 10}, false, false)
 	}
-	ahead.change(&Changes{Revision: 20, Changed: []Item{{Name: "other", Revision: 18}}, Removed: []string{"brief"}}, false, false)
-	downstream.change(&ahead.ChangesSince(10).Changes, true, false)
+	ahead.applyChanges(&Changes{Revision: 20, Changed: []Item{{Name: "other", Revision: 18}}, Removed: []string{"brief"}}, false, false)
+	downstream.applyChanges(&ahead.ChangesSince(10).Changes, true, false)
 	for _, f := range []*Follower{ahead, downstream} {
 		p := f.ChangesSince(15)
 		c.Check(p.Full, qt.IsFalse)
@@ -833,14 +839,14 @@
 		c.Check(revisions(asker.with(&p.Changes)), qt.DeepEquals, map[string]uint64{"other": 18})
 		c.Check(f.ChangesSince(10).Full, qt.IsFalse)
 	}
-	ahead.take(NewSnapshot(30, slices.Values([]Item{{Name: "other", Revision: 18}, {Name: "new", Revision: 29}})), false, false)
+	ahead.applySnapshot(NewSnapshot(30, slices.Values([]Item{{Name: "other", Revision: 18}, {Name: "new", Revision: 29}})), false, false)
 	p := ahead.ChangesSince(25)
 	asker := NewSnapshot(25, slices.Values([]Item{{Name: "other", Revision: 18}, {Name: "brief", Revision: 24}}))
 	c.Check(revisions(asker.reconciled(p)), qt.DeepEquals, map[string]uint64{"other": 18, "new": 29})
 	c.Check(p.Full, qt.IsFalse)
 	c.Check(ahead.ChangesSince(20).Names, qt.IsNil)
 	c.Check(ahead.ChangesSince(20).Full, qt.IsFalse)
-	ahead.take(NewSnapshot(40, ahead.Snapshot().All()), false, false)
+	ahead.applySnapshot(NewSnapshot(40, ahead.Snapshot().All()), false, false)
 	c.Check(ahead.ChangesSince(35).Names, qt.HasLen, 2)
 	inOne := ahead.ChangesSinceInOnePart(35)
 	c.Check(inOne.Full, qt.IsTrue)
@@ -853,8 +859,8 @@
 func TestStepWithOnlyTransientObjectIsRecorded(t *testing.T) {
 	c := qt.New(t)
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-	ahead.take(&Snapshot{Revision: 10}, false, false)
-	ahead.change(&Changes{Revision: 20, Removed: []string{"brief"}}, false, false)
+	ahead.applySnapshot(&Snapshot{Revision: 10}, false, false)
+	ahead.applyChanges(&Changes{Revision: 20, Removed: []string{"brief"}}, false, false)
 	p := ahead.ChangesSince(15)
 	asker := NewSnapshot(15, slices.Values([]Item{{Name: "brief", Revision: 14}}))
 	c.Check(asker.with(&p.Changes).Len(), qt.Equals, 0)
@@ -874,7 +880,7 @@
 func TestLargeCopyIsSentInParts(t *testing.T) {
 	c := qt.New(t)
 	ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-	ahead.take(largeSnapshot(7), false, false)
+	ahead.applySnapshot(largeSnapshot(7), false, false)
 	p := ahead.ChangesSince(3)
 	c.Check(p.Full, qt.IsTrue)
 	c.Check(p.Changes.Revision, qt.Equals, uint64(7))
@@ -897,12 +903,12 @@
 func TestPullTimeoutAppliesToEachPart(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		ahead := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
-		ahead.take(largeSnapshot(7), false, false)
+		ahead.applySnapshot(largeSnapshot(7), false, false)
 		behind := New(Options{
 			Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}, Random: rand.New(rand.NewPCG(1, 1)),
 			Peers: &slowPeers{from: ahead}, Log: zerolog.Nop(),
 		})
-		behind.take(&Snapshot{Revision: 1}, false, false)
+		behind.applySnapshot(&Snapshot{Revision: 1}, false, false)
 		c.Assert(behind.pull(ctx, 0), qt.IsTrue)
 		c.Check(behind.Snapshot().Len(), qt.Equals, 10_000)
 		c.Check(behind.Snapshot().Revision, qt.Equals, uint64(7))
@@ -931,9 +937,8 @@
 	return pulled, nil
 }
 
-// TestSteadyCopyCostsFewCalls counts the calls of a daemon that watches three kinds in
-// which nothing happens: three such daemons, all of a fleet of any size, make at most 6
-// calls a second.
+// TestSteadyCopyCostsFewCalls guards against too many calls while nothing changes. The three
+// watchers of a fleet of any size, each with three kinds, make at most 6 calls per second.
 func TestSteadyCopyCostsFewCalls(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
@@ -941,10 +946,10 @@
 		lead := newDaemon(ctx, s, true, nil)
 		first, second := newDaemonWithLead(ctx, s, lead), newDaemonWithLead(ctx, s, lead)
 		time.Sleep(time.Second)
-		before := s.tries()
+		before := s.calls()
 		const span = 60
 		time.Sleep(span * time.Second)
-		rate := float64(s.tries()-before) / span
+		rate := float64(s.calls()-before) / span
 		c.Check(rate <= 6.0/3, qt.IsTrue, qt.Commentf("%.2f calls a second", rate))
 		for _, d := range []*daemon{lead, first, second} {
 			c.Check(d.Stale(time.Now()), qt.IsFalse)
@@ -953,65 +958,65 @@
 	})
 }
 
-// TestSilenceTowardsTheLeadEndsTheOthersWatches has a store leave all watches of a daemon
-// without an answer: the copies that wait longer are listed again when the lead notices.
-func TestSilenceTowardsTheLeadEndsTheOthersWatches(t *testing.T) {
+// TestHangingWatchOfTheLeadEndsOtherWatches guards against watches that go on hanging after the
+// lead's watch ended without a response: the other kinds must be listed again then.
+func TestHangingWatchOfTheLeadEndsOtherWatches(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
 		s.put("a", "1")
 		lead := newDaemon(ctx, s, true, nil)
 		other := newDaemonWithLead(ctx, s, lead)
 		lead.mu.Lock()
-		lead.disturbed = other.Relist
+		lead.onWatchFailure = other.Relist
 		lead.mu.Unlock()
 		time.Sleep(time.Second)
-		s.set(func(s *store) { s.deaf = true })
-		time.Sleep(3 * time.Second) // Both watches are deaf ones now.
+		s.set(func(s *store) { s.hangWatches = true })
+		time.Sleep(3 * time.Second) // Both current watches hang now.
 		s.put("a", "2")
 		time.Sleep(watchWait + time.Second)
 		c.Check(other.spec("a"), qt.Equals, "2")
 	})
 }
 
-// TestDaemonThatIsTurnedAwayAsksLessOften counts the calls of a daemon that the store
-// refuses while it answers another.
-func TestDaemonThatIsTurnedAwayAsksLessOften(t *testing.T) {
+// TestRejectedDaemonCallsLessOften guards against too many calls of a daemon that the store
+// rejects while it answers another.
+func TestRejectedDaemonCallsLessOften(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
-		s, refusing := newStore(), newStore()
+		s, rejecting := newStore(), newStore()
 		s.put("a", "1")
-		refusing.put("a", "1")
+		rejecting.put("a", "1")
 		watcher := newDaemon(ctx, s, true, nil)
-		away := newDaemon(ctx, refusing, true, watcher)
+		rejected := newDaemon(ctx, rejecting, true, watcher)
 		time.Sleep(time.Second)
-		refusing.set(func(s *store) { s.down = true })
+		rejecting.set(func(s *store) { s.down = true })
 		time.Sleep(watchWait)
-		before := refusing.tries()
+		before := rejecting.calls()
 		time.Sleep(20 * time.Second)
-		c.Check(refusing.tries()-before <= 30, qt.IsTrue, qt.Commentf("%d calls", refusing.tries()-before))
-		refusing.set(func(s *store) { s.down = false })
-		time.Sleep(turnedAwayRetry + 100*time.Millisecond)
-		c.Check(away.Failing(), qt.IsFalse)
+		c.Check(rejecting.calls()-before <= 30, qt.IsTrue, qt.Commentf("%d calls", rejecting.calls()-before))
+		rejecting.set(func(s *store) { s.down = false })
+		time.Sleep(rejectedRetryMax + 100*time.Millisecond)
+		c.Check(rejected.Failing(), qt.IsFalse)
 	})
 }
 
-// TestDaemonsInAnOutageAskEachOtherSeldom counts the questions of a daemon that the store
-// fails, as it fails the one that it asks: a question waits for a change rather than being
-// asked ten times a second, and the change comes at once all the same.
-func TestDaemonsInAnOutageAskEachOtherSeldom(t *testing.T) {
+// TestDaemonsPullRarelyInAnOutage guards against frequent pulls between two daemons whose store
+// calls fail. A pull must wait for a change rather than be repeated ten times per second, and
+// still return the change immediately.
+func TestDaemonsPullRarelyInAnOutage(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
-		s, refusing := newStore(), newStore()
+		s, rejecting := newStore(), newStore()
 		s.put("a", "1")
-		refusing.put("a", "1")
+		rejecting.put("a", "1")
 		watcher := newDaemon(ctx, s, true, nil)
 		time.Sleep(100 * time.Millisecond)
-		other := newDaemon(ctx, refusing, true, watcher)
+		other := newDaemon(ctx, rejecting, true, watcher)
 		time.Sleep(time.Second)
-		refusing.set(func(s *store) { s.down = true })
+		rejecting.set(func(s *store) { s.down = true })
 		s.set(func(s *store) { s.down = true })
 		time.Sleep(watchWait + time.Second)
-		before := other.peers.asked()
+		before := other.peers.pullCount()
 		time.Sleep(20 * time.Second)
-		c.Check(other.peers.asked()-before <= 40, qt.IsTrue, qt.Commentf("%d questions", other.peers.asked()-before))
+		c.Check(other.peers.pullCount()-before <= 40, qt.IsTrue, qt.Commentf("%d pulls", other.peers.pullCount()-before))
 		s.set(func(s *store) { s.down = false })
 		s.put("a", "2")
 		time.Sleep(retryMax + 50*time.Millisecond)
@@ -1019,28 +1024,28 @@
 	})
 }
 
-// TestDeafWatchBesideOneThatHearsIsNoticed has the store forget what one kind's watch waits
-// for while the lead's goes on: the change is heard when that watch ends.
-func TestDeafWatchBesideOneThatHearsIsNoticed(t *testing.T) {
+// TestHangingWatchOfOneKindIsNoticed guards against a change that is missed for long when the
+// watch of one kind hangs while the lead's continues.
+func TestHangingWatchOfOneKindIsNoticed(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
-		hears, deaf := newStore(), newStore()
-		hears.put("a", "1")
-		deaf.put("a", "1")
-		lead := newDaemon(ctx, hears, true, nil)
-		other := newDaemonWithLead(ctx, deaf, lead)
+		healthy, hanging := newStore(), newStore()
+		healthy.put("a", "1")
+		hanging.put("a", "1")
+		lead := newDaemon(ctx, healthy, true, nil)
+		other := newDaemonWithLead(ctx, hanging, lead)
 		time.Sleep(time.Second)
-		deaf.set(func(s *store) { s.deaf = true })
-		time.Sleep(watchWait) // The watch that waits now is a deaf one.
-		deaf.put("a", "2")
+		hanging.set(func(s *store) { s.hangWatches = true })
+		time.Sleep(watchWait) // The current watch hangs now.
+		hanging.put("a", "2")
 		time.Sleep(watchWait + time.Second)
 		c.Check(other.spec("a"), qt.Equals, "2")
 	})
 }
 
-// TestPartsOfDifferentMomentsGiveOneCopy guards against objects that are created after the
-// first part of a copy and removed before the next difference, and against a part of an
-// older copy.
-func TestPartsOfDifferentMomentsGiveOneCopy(t *testing.T) {
+// TestPartsOfDifferentRevisionsGiveOneCopy guards against objects that are created after the
+// first part of a copy and removed before the next incremental response, and against a part
+// of an older copy.
+func TestPartsOfDifferentRevisionsGiveOneCopy(t *testing.T) {
 	c := qt.New(t)
 	f := New(Options{Kind: "things", Apply: func(Update) {}, Announce: func(uint64) {}})
 	first := func(next func(context.Context) (*PullResponse, error)) *PullResponse {
@@ -1074,8 +1079,8 @@
 	before := largeSnapshot(7)
 	ahead, behind := newFollower(), newFollower()
 	after := before.with(&Changes{Revision: 12, Changed: []Item{{Name: "new", Revision: 11}}, Removed: []string{"engine-00042"}})
-	ahead.take(after, false, false)
-	behind.take(before.with(&Changes{Revision: 9, Changed: []Item{{Name: "newer", Revision: 13}}}), false, false)
+	ahead.applySnapshot(after, false, false)
+	behind.applySnapshot(before.with(&Changes{Revision: 9, Changed: []Item{{Name: "newer", Revision: 13}}}), false, false)
 	p := ahead.ChangesSince(9)
 	c.Check(p.Full, qt.IsFalse)
 	c.Check(p.Changes.Changed, qt.HasLen, 1)
@@ -1100,7 +1105,7 @@
 		ends := make(chan time.Time, waits)
 		for range waits {
 			go func() {
-				d.AwaitChanges(ctx, d.Snapshot().Revision, passWait)
+				d.AwaitChanges(ctx, d.Snapshot().Revision, pullWait)
 				ends <- time.Now()
 			}()
 			time.Sleep(15 * time.Millisecond)
@@ -1120,13 +1125,13 @@
 		watcher := newDaemon(ctx, s, true, nil)
 		other := newDaemon(ctx, s, false, watcher)
 		time.Sleep(time.Second + backoff.UntilTick(backoff.IdleInterval) + time.Millisecond)
-		before := s.tries()
+		before := s.calls()
 		other.peers.mu.Lock()
 		other.peers.watching = true
 		other.peers.mu.Unlock()
 		other.WatchersChanged()
 		time.Sleep(time.Millisecond)
-		c.Check(s.tries(), qt.Equals, before+1)
+		c.Check(s.calls(), qt.Equals, before+1)
 	})
 }
 
--- a/follow/listing.go
+++ b/follow/listing.go
@@ -33,10 +33,10 @@
 		return false
 	}
 	timeout := peerCopyTimeout + time.Duration(f.Peers.Depth())*peerCopyHopTimeout +
-		time.Duration(f.Random.Float64()*float64(f.Peers.Live())*float64(freshRetry))
+		time.Duration(f.Random.Float64()*float64(f.Peers.Live())*float64(emptyRetryPerDaemon))
 	f.awaitingPeerCopy.Store(true)
 	defer f.awaitingPeerCopy.Store(false)
-	f.wake()
+	f.wakePulls()
 	began := time.Now()
 	for f.snapshot.Load() == nil && !f.Peers.SelectedToWatch() && time.Since(began) < timeout {
 		if backoff.Sleep(ctx, peerCopyPoll) != nil {
--- a/follow/pull.go
+++ b/follow/pull.go
@@ -8,32 +8,32 @@
 	"github.com/bronzeturn/bronzeturn/backoff"
 )
 
-// RunPulls takes changes from other daemons until ctx ends. A daemon that does not watch,
-// whose store calls fail, or whose first list is slow, always has a question waiting at the
-// one that passes changes on to it; any daemon asks another at once when it has no copy and
-// its store calls fail, or when news did not come by their usual way.
+// RunPulls pulls changes from other daemons until ctx ends. A daemon that does not watch,
+// whose store calls fail, or whose first list is slow, always has a pull waiting at its parent
+// in the tree. Any daemon makes an immediate pull if it has no copy and its store calls fail,
+// or if an announced revision did not arrive by watch or regular pull in time.
 func (f *Follower) RunPulls(ctx context.Context) error {
 	for ctx.Err() == nil {
 		switch {
 		case f.behind():
 			if !f.pull(ctx, 0) || f.behind() {
-				_ = backoff.Sleep(ctx, pullPause) // The loop ends with ctx.
+				_ = backoff.Sleep(ctx, pullRetryPause) // The loop ends with ctx.
 			}
 		case f.snapshot.Load() == nil && f.awaitingPeerCopy.Load(),
 			f.snapshot.Load() != nil && (f.Failing() || !f.Peers.Watching()):
-			if !f.pull(ctx, passWait) {
-				_ = backoff.Sleep(ctx, pullPause) // The loop ends with ctx.
+			if !f.pull(ctx, pullWait) {
+				_ = backoff.Sleep(ctx, pullRetryPause) // The loop ends with ctx.
 			}
 		default:
-			_ = backoff.TickOrWake(ctx, idlePoll, f.kick) // The loop ends with ctx.
+			_ = backoff.TickOrWake(ctx, idlePoll, f.pullsWake) // The loop ends with ctx.
 		}
 	}
 	return nil
 }
 
-// behind tells whether other daemons may have what does not come by the usual way: news
-// heard of is overdue, or the store does not answer a daemon without a copy. A daemon that
-// starts reads the store first; awaitPeerCopy handles a store that is slow to list.
+// behind reports whether an immediate pull from other daemons is needed: an announced revision
+// is overdue, or the store does not answer a daemon without a copy. A daemon that starts reads
+// the store first; awaitPeerCopy handles a store that is slow to list.
 func (f *Follower) behind() bool {
 	s := f.snapshot.Load()
 	if s == nil {
@@ -42,12 +42,12 @@
 	return f.overdue.Load() > s.Revision
 }
 
-// pull asks another daemon once, and tells whether it answered.
+// pull makes one request to another daemon and reports whether it succeeded.
 func (f *Follower) pull(ctx context.Context, wait time.Duration) bool {
 	requestCtx, cancel := context.WithTimeout(ctx, wait+pullTimeout)
 	defer cancel()
-	f.asking.Store(&cancel)
-	defer f.asking.Store(nil)
+	f.cancelPull.Store(&cancel)
+	defer f.cancelPull.Store(nil)
 	after := uint64(0)
 	if s := f.snapshot.Load(); s != nil {
 		after = s.Revision
@@ -58,10 +58,10 @@
 		err = f.fetchParts(ctx, p)
 	}
 	if err != nil {
-		f.Log.Debug().Err(err).Str("kind", f.Kind).Msg("no daemon gave its copy")
+		f.Log.Debug().Err(err).Str("kind", f.Kind).Msg("pull from another daemon failed")
 		return false
 	}
-	f.heardPeer.Store(time.Now().UnixNano())
+	f.peerAnsweredAt.Store(time.Now().UnixNano())
 	if !p.Failing {
 		f.confirm(answered.Add(-p.Age))
 		f.clearFailure()
@@ -71,10 +71,10 @@
 		return true
 	}
 	if p.Full {
-		f.take((&Snapshot{}).with(&p.Changes), true, p.AfterOutage)
+		f.applySnapshot((&Snapshot{}).with(&p.Changes), true, p.AfterOutage)
 		return true
 	}
-	f.change(&p.Changes, true, p.AfterOutage)
+	f.applyChanges(&p.Changes, true, p.AfterOutage)
 	return true
 }
 
@@ -89,18 +89,18 @@
 	if since == 0 {
 		return
 	}
-	f.reported.Store(false)
+	f.failureReported.Store(false)
 	f.Log.Info().Str("kind", f.Kind).Dur("failed_for_ms", time.Duration(time.Now().UnixNano()-since)).
 		Msg("failing state cleared: another daemon confirmed that the store answers")
 }
 
-// errOlderPart reports a part that is older than the first one: the other daemon has
-// started again meanwhile.
-var errOlderPart = errors.New("a part of the copy is older than the first one")
+// errOlderPart reports a part that is older than the first one, because the other daemon has
+// restarted in the meantime.
+var errOlderPart = errors.New("part of the copy is older than its first part")
 
 // fetchParts requests the remaining parts of a copy and appends their objects to p. The
-// timeout applies to each part, since a large copy can take longer as a whole. News
-// does not interrupt the transfer.
+// timeout applies to each part, since a large copy can take longer as a whole. An
+// announced revision does not interrupt the transfer.
 func (f *Follower) fetchParts(ctx context.Context, p *PullResponse) error {
 	for fetch := p.FetchNext; fetch != nil; {
 		requestCtx, cancel := context.WithTimeout(ctx, partTimeout)
@@ -113,8 +113,8 @@
 			return errOlderPart
 		}
 		for _, item := range part.Changes.Changed {
-			// Objects created since the first part come with the next difference, which
-			// also tells when they are gone again.
+			// Objects created since the first part are included in the next incremental
+			// response, which also includes their removal.
 			if item.Created <= p.Changes.Revision {
 				p.Changes.Changed = append(p.Changes.Changed, item)
 			}
--- a/follow/run.go
+++ b/follow/run.go
@@ -7,13 +7,13 @@
 	"github.com/bronzeturn/bronzeturn/backoff"
 )
 
-// Run follows the store until ctx ends.
+// Run lists and watches the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	pauses := &backoff.Backoff{Base: retryBase, Max: retryMax, Random: f.Random}
 	f.relist.set(CauseStart)
-	f.turn = f.Random.Float64()
+	f.stagger = f.Random.Float64()
 	for ctx.Err() == nil {
-		if now := time.Now(); !f.reads(now) {
+		if now := time.Now(); !f.mayRead(now) {
 			f.waitIdle(ctx, now)
 			continue
 		}
@@ -22,14 +22,14 @@
 			continue
 		}
 		pauses.Base, pauses.Max = f.pauses(time.Now())
-		f.tried = time.Now()
-		f.turn = f.Random.Float64()
-		err := f.step(ctx)
+		f.lastCall = time.Now()
+		f.stagger = f.Random.Float64()
+		err := f.readOnce(ctx)
 		if err == nil {
 			pauses.Reset()
 			continue
 		}
-		f.failed(err)
+		f.recordFailure(err)
 		_ = backoff.Sleep(ctx, pauses.Next()) // The loop ends with ctx.
 	}
 	return nil
@@ -57,53 +57,53 @@
 // orphanLimit returns how long the copy of a daemon that does not watch the store may remain
 // unconfirmed before the daemon may read the store.
 func (f *Follower) orphanLimit() time.Duration {
-	return time.Duration(max(f.Peers.Depth(), 1))*passWait + orphanMargin
+	return time.Duration(max(f.Peers.Depth(), 1))*pullWait + orphanMargin
 }
 
-// waitsForLead tells whether the lead asks the store for this Follower too.
+// waitsForLead reports whether this Follower relies on its lead to notice the store's recovery.
 func (f *Follower) waitsForLead(now time.Time) bool {
-	return f.Lead != nil && f.Failing() && f.Lead.Failing() && now.Sub(f.tried) < leadPatience
+	return f.Lead != nil && f.Failing() && f.Lead.Failing() && now.Sub(f.lastCall) < leadTimeout
 }
 
-// pauses bounds the first and the longest pause after calls that failed.
+// pauses returns the first and the longest pause after failed calls.
 func (f *Follower) pauses(now time.Time) (first, longest time.Duration) {
 	live := time.Duration(f.Peers.Live())
 	switch {
 	case f.snapshot.Load() == nil:
-		return retryBase, retryMax + live*freshRetry
-	case f.Peers.Watching() && now.UnixNano()-f.confirmed.Load() < int64(answeredLately):
-		return retryBase, turnedAwayRetry
+		return retryBase, retryMax + live*emptyRetryPerDaemon
+	case f.Peers.Watching() && now.UnixNano()-f.confirmedAt.Load() < int64(recentAnswerWindow):
+		return retryBase, rejectedRetryMax
 	case f.Peers.Watching():
 		return retryBase, retryMax
-	case f.othersAnswer(now):
-		longest = max(retryMax, live*spareRetry)
+	case f.peersAnswer(now):
+		longest = max(retryMax, live*standbyRetryPerDaemon)
 		return longest, longest
 	}
-	return retryBase, max(retryMax, live*orphanRetry)
+	return retryBase, max(retryMax, live*orphanRetryPerDaemon)
 }
 
-// othersAnswer tells whether another daemon has answered lately.
-func (f *Follower) othersAnswer(now time.Time) bool {
-	return now.UnixNano()-f.heardPeer.Load() < int64(answeredLately)
+// peersAnswer reports whether another daemon has answered recently.
+func (f *Follower) peersAnswer(now time.Time) bool {
+	return now.UnixNano()-f.peerAnsweredAt.Load() < int64(recentAnswerWindow)
 }
 
-// reads tells whether this daemon reads the store itself now. Where others answer, but
-// know no more, the daemons of the fleet take turns.
-func (f *Follower) reads(now time.Time) bool {
+// mayRead reports whether this daemon reads the store itself now. If other daemons answer but
+// do not confirm the copy either, stagger spreads the reads of the fleet's daemons.
+func (f *Follower) mayRead(now time.Time) bool {
 	if f.snapshot.Load() == nil || f.Peers.Watching() {
 		return true
 	}
 	limit := f.orphanLimit()
-	if f.othersAnswer(now) {
-		limit += time.Duration(f.turn * float64(f.Peers.Live()) * float64(spareRetry))
+	if f.peersAnswer(now) {
+		limit += time.Duration(f.stagger * float64(f.Peers.Live()) * float64(standbyRetryPerDaemon))
 	}
 	return f.UnconfirmedFor(now) > limit
 }
 
-// Relist ends a watch in progress and lists instead.
+// Relist ends the watch in progress, if any, and starts a list.
 func (f *Follower) Relist() {
 	f.relist.set(CauseOtherWatch)
-	if cancel := f.interrupt.Load(); cancel != nil {
+	if cancel := f.cancelWatch.Load(); cancel != nil {
 		(*cancel)()
 	}
 }
--- a/follow/snapshot.go
+++ b/follow/snapshot.go
@@ -9,11 +9,11 @@
 // Item is one object.
 type Item struct {
 	Name string
-	// Revision is that of the object's last change.
+	// Revision is the revision of the object's last change.
 	Revision uint64
-	// Created is the revision at which the object came to be.
+	// Created is the revision at which the object was created.
 	Created uint64
-	// Spec and Status are encoded as the store has them.
+	// Spec and Status are encoded as in the store.
 	Spec, Status []byte
 }
 
@@ -23,7 +23,7 @@
 // content returns the spec followed by the status.
 func (i *Item) content() []byte { return slices.Concat(i.Spec, i.Status) }
 
-// equal tells whether two states of an object are the same.
+// equal reports whether two states of an object have the same revision, spec and status.
 func (i Item) equal(o Item) bool {
 	return i.Revision == o.Revision && bytes.Equal(i.Spec, o.Spec) && bytes.Equal(i.Status, o.Status)
 }
@@ -31,7 +31,7 @@
 // Snapshot is an immutable state of all objects of a kind. Successive snapshots share
 // unmodified objects.
 type Snapshot struct {
-	// Revision is that of the store when the state was read.
+	// Revision is the store's revision when the state was read.
 	Revision uint64
 	items    items
 }
@@ -68,15 +68,15 @@
 	}
 }
 
-// Changes are what happened after a revision.
+// Changes holds the differences after a revision.
 type Changes struct {
-	// Revision is where the next watch continues.
+	// Revision is the revision after which the next watch continues.
 	Revision uint64
 	Changed  []Item
 	Removed  []string
 }
 
-// empty tells whether nothing happened.
+// empty reports whether there are no changes.
 func (c *Changes) empty() bool { return len(c.Changed) == 0 && len(c.Removed) == 0 }
 
 // size returns the approximate encoded size of the changes in bytes.
