--- a/provider/fake_test.go
+++ b/provider/fake_test.go
@@ -32,22 +32,22 @@
 	heartbeat = 500 * time.Millisecond
 )
 
-// fleet is a small fake of the other parts of a daemon: the flooded table, the
-// heartbeats and the connections between peers.
+// fleet simulates several daemons with their flooded table, heartbeats and peer
+// connections.
 type fleet struct {
 	t     testing.TB
 	store *memstore.Store
 
-	mu     sync.Mutex
-	random *rand.Rand
-	nodes  map[string]*node
-	cut    map[string]bool
-	stop   chan struct{}
-	done   sync.WaitGroup
-	bad    []string
+	mu         sync.Mutex
+	random     *rand.Rand
+	nodes      map[string]*node
+	isolated   map[string]bool
+	stop       chan struct{}
+	done       sync.WaitGroup
+	violations []string
 }
 
-// node is one daemon in one life.
+// node is one run of a daemon.
 type node struct {
 	fleet    *fleet
 	name     string
@@ -67,13 +67,13 @@
 func newFleet(t testing.TB, seed uint64) *fleet {
 	f := &fleet{
 		t: t, store: memstore.New(), random: rand.New(rand.NewPCG(seed, 3)),
-		nodes: make(map[string]*node), cut: make(map[string]bool), stop: make(chan struct{}),
+		nodes: make(map[string]*node), isolated: make(map[string]bool), stop: make(chan struct{}),
 	}
-	f.done.Go(f.beat)
+	f.done.Go(f.heartbeatLoop)
 	return f
 }
 
-// start adds a daemon, or a new life of one that was crashed.
+// start starts a daemon, or restarts one that was crashed.
 func (f *fleet) start(name string, watching bool) *node {
 	n := &node{fleet: f, name: name, watching: watching, changed: make(chan struct{})}
 	f.mu.Lock()
@@ -86,7 +86,7 @@
 	qt.Assert(f.t, err, qt.IsNil)
 	n.provider = p
 	_, n.handler = p.Handler()
-	p.Subscribe(n.check)
+	p.Subscribe(n.checkSnapshot)
 	f.mu.Lock()
 	f.nodes[name] = n
 	f.mu.Unlock()
@@ -94,7 +94,7 @@
 	return n
 }
 
-// crash ends a daemon.
+// crash stops a daemon.
 func (f *fleet) crash(name string) {
 	f.mu.Lock()
 	n := f.nodes[name]
@@ -105,7 +105,7 @@
 	}
 }
 
-// close ends all daemons and asserts that no subscriber saw anything wrong.
+// close stops all daemons and reports the violations that subscribers found.
 func (f *fleet) close() {
 	close(f.stop)
 	for _, name := range f.names() {
@@ -113,8 +113,8 @@
 	}
 	f.done.Wait()
 	time.Sleep(time.Second)
-	for _, bad := range f.bad {
-		f.t.Error(bad)
+	for _, violation := range f.violations {
+		f.t.Error(violation)
 	}
 }
 
@@ -129,24 +129,24 @@
 	return names
 }
 
-// reach returns a daemon that can be reached from another, or nil.
-func (f *fleet) reach(from, to string) *node {
+// reachable returns the daemon to if from can reach it, or nil.
+func (f *fleet) reachable(from, to string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cut[from] != f.cut[to] {
+	if f.isolated[from] != f.isolated[to] {
 		return nil
 	}
 	return f.nodes[to]
 }
 
-func (f *fleet) setCut(name string, cut bool) {
+func (f *fleet) setIsolated(name string, isolated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[name] = cut
+	f.isolated[name] = isolated
 }
 
-// beat sends heartbeats and repairs the table, as the overlay does.
-func (f *fleet) beat() {
+// heartbeatLoop sends heartbeats and synchronises the tables, as the overlay does.
+func (f *fleet) heartbeatLoop() {
 	for {
 		select {
 		case <-time.After(heartbeat):
@@ -156,7 +156,7 @@
 		names := f.names()
 		for _, from := range names {
 			for _, to := range names {
-				if a, b := f.reach(from, from), f.reach(from, to); a != nil && b != nil && from != to {
+				if a, b := f.reachable(from, from), f.reachable(from, to); a != nil && b != nil && from != to {
 					status := a.provider.Status()
 					b.provider.RecordHeartbeat(status.Generation, status.NewsAge(time.Now()))
 					b.deliver(a.entry())
@@ -172,7 +172,7 @@
 	return n.version, n.value
 }
 
-// deliver takes a table entry of a peer.
+// deliver processes a table entry from a peer.
 func (n *node) deliver(version uint64, value []byte) {
 	n.mu.Lock()
 	newer := version > n.version
@@ -194,7 +194,7 @@
 	for _, to := range n.fleet.names() {
 		if to != n.name {
 			time.AfterFunc(linkDelay, func() {
-				if peer := n.fleet.reach(n.name, to); peer != nil {
+				if peer := n.fleet.reachable(n.name, to); peer != nil {
 					peer.deliver(version, value)
 				}
 			})
@@ -244,27 +244,27 @@
 	return link{from: n, to: name}, "http://" + name, true
 }
 
-// link is a connection between two daemons without a network.
+// link is a simulated connection between two daemons.
 type link struct {
 	from *node
 	to   string
 }
 
-var errCut = errors.New("no route")
+var errUnreachable = errors.New("no route")
 
 // Do implements connect.HTTPClient.
 func (l link) Do(request *http.Request) (*http.Response, error) {
 	time.Sleep(linkDelay)
-	peer := l.from.fleet.reach(l.from.name, l.to)
+	peer := l.from.fleet.reachable(l.from.name, l.to)
 	if peer == nil {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	recorder := httptest.NewRecorder()
 	peer.handler.ServeHTTP(recorder, request)
 	return recorder.Result(), nil
 }
 
-// daemonKey marks the calls of daemons for fault hooks.
+// daemonKey marks the store calls of daemons for the fault functions.
 type daemonKey struct{}
 
 // Get implements Store.
@@ -286,9 +286,9 @@
 	return n.reads
 }
 
-// check is a subscriber: generations rise, and register and rules belong
-// together.
-func (n *node) check(s *config.Snapshot) {
+// checkSnapshot is a subscriber that checks that generations increase and that register and
+// rules are from the same change.
+func (n *node) checkSnapshot(s *config.Snapshot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.history) > 0 && s.Generation() <= n.history[len(n.history)-1] {
@@ -303,18 +303,18 @@
 func (f *fleet) report(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.bad = append(f.bad, fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf(format, args...))
 }
 
-// marker returns the numbers by which the register and the rules of one change
-// are told apart.
+// marker returns the numbers that identify the change from which the register and the
+// rules come.
 func marker(s *config.Snapshot) (int64, int64) {
 	version, _ := s.Version("etiqueta@5")
 	kind, _ := s.Kind(config.DefaultKind)
 	return version.GetPromptPriceMicros(), kind.GetExpectedCompletionTokens()
 }
 
-// change returns a change of register and rules with a marker.
+// change returns a change of register and rules with the marker n.
 func change(t testing.TB, n int64) config.Change {
 	reg, rules := example(t)
 	for _, v := range reg.GetVersions() {
@@ -350,7 +350,7 @@
 	return proto.CloneOf(reg), proto.CloneOf(rules)
 }
 
-// apply publishes a change with a marker and returns its generation.
+// apply publishes a change with the marker n and returns its generation.
 func (f *fleet) apply(n int64) uint64 {
 	result, err := f.publisher().Apply(context.Background(), change(f.t, n))
 	qt.Assert(f.t, err, qt.IsNil)
@@ -361,15 +361,15 @@
 	return config.NewPublisher(config.PublisherOptions{Store: f.store, Random: rand.New(rand.NewPCG(1, 1))})
 }
 
-// head returns the head in the store.
+// head returns the head object in the store.
 func (f *fleet) head() objectstore.Object {
 	obj, err := f.store.Get(context.Background(), config.HeadKey)
 	qt.Assert(f.t, err, qt.IsNil)
 	return obj
 }
 
-// outage lets the calls of daemons fail.
-func (f *fleet) outage() {
+// failStoreCalls makes all store calls of daemons fail.
+func (f *fleet) failStoreCalls() {
 	f.store.SetFault(func(ctx context.Context, _ memstore.Op, _ string) memstore.Verdict {
 		if ctx.Value(daemonKey{}) != nil {
 			return memstore.Refuse
@@ -378,8 +378,8 @@
 	})
 }
 
-// counted returns the value of a counter.
-func counted(c *qt.C, counter prometheus.Counter) float64 {
+// counterValue returns the value of a counter.
+func counterValue(c *qt.C, counter prometheus.Counter) float64 {
 	var m dto.Metric
 	c.Assert(counter.Write(&m), qt.IsNil)
 	return m.GetCounter().GetValue()
--- a/provider/fetch.go
+++ b/provider/fetch.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// callTimeout bounds one call of a peer or the store.
+	// callTimeout limits one call to a peer or the store.
 	callTimeout = 2 * time.Second
-	// peersAsked bounds the peers asked in one round.
-	peersAsked = 3
-	// maxFetchBytes bounds the parts in one answer of a peer.
+	// peersPerRound is the maximum number of peers queried in one round.
+	peersPerRound = 3
+	// maxFetchBytes limits the total size of the parts in one response to a peer.
 	maxFetchBytes = 1 << 20
-	// maxResponseBytes bounds the answers read from a peer.
+	// maxResponseBytes limits the size of a response from a peer.
 	maxResponseBytes = maxFetchBytes + config.MaxPartBytes + 64<<10
-	// maxNewsAgeMillis bounds the age of news that a peer may report.
+	// maxNewsAgeMillis limits the news age that a peer may report (see Status.NewsAge).
 	maxNewsAgeMillis = 365 * 24 * 3600 * 1000
-	// storeReadRate and storeReadBurst bound the reads of one daemon that does
-	// not watch the store, in calls a second.
+	// storeReadRate, in calls per second, and storeReadBurst limit the store reads of a
+	// daemon that does not watch the store.
 	storeReadRate  = 2
 	storeReadBurst = 32
 )
 
-// collect returns the parts of the head: from what is in force, then from peers
-// and, if store is set, from the store. A watcher asks the store first. It reports false if some are still missing.
-func (p *Provider) collect(ctx context.Context, c *candidate, store bool) (map[config.Digest][]byte, bool) {
-	values, missing := p.known(c)
+// collectParts returns the parts of the head. It takes those that the daemon holds, and fetches
+// the others from peers and then, if store is set, from the store. A watcher fetches from the
+// store first. It returns false if parts are still missing.
+func (p *Provider) collectParts(ctx context.Context, c *candidate, store bool) (map[config.Digest][]byte, bool) {
+	values, missing := p.heldParts(c)
 	if p.watcher.Watching() {
 		missing = p.partsFromStore(ctx, values, missing)
 	}
@@ -44,13 +45,13 @@
 	if len(missing) > 0 && store && !p.watcher.Watching() {
 		missing = p.partsFromStore(ctx, values, missing)
 	}
-	p.keep(c, values)
+	p.retainParts(c, values)
 	return values, len(missing) == 0
 }
 
-// known returns the parts of the head that the daemon holds and the digests of
-// those it does not.
-func (p *Provider) known(c *candidate) (map[config.Digest][]byte, []config.Digest) {
+// heldParts returns the parts of the head that the daemon holds and the digests of
+// those that it does not hold.
+func (p *Provider) heldParts(c *candidate) (map[config.Digest][]byte, []config.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	values := make(map[config.Digest][]byte, len(c.head.GetParts()))
@@ -68,9 +69,9 @@
 	return values, missing
 }
 
-// keep holds on to the parts of an incomplete head for the next round and for
-// peers that ask.
-func (p *Provider) keep(c *candidate, values map[config.Digest][]byte) {
+// retainParts keeps the parts of an incomplete head for the next round and for
+// requests of peers.
+func (p *Provider) retainParts(c *candidate, values map[config.Digest][]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state.pending == c && len(values) < len(c.head.GetParts()) {
@@ -78,11 +79,11 @@
 	}
 }
 
-// partsFromStore reads parts one by one and returns what is still missing.
+// partsFromStore reads parts one by one and returns the digests still missing.
 func (p *Provider) partsFromStore(ctx context.Context, values map[config.Digest][]byte, missing []config.Digest) []config.Digest {
 	var left []config.Digest
 	for i, digest := range missing {
-		obj, err := p.read(ctx, digest.Key())
+		obj, err := p.readStore(ctx, digest.Key())
 		if err != nil {
 			p.log.Debug().Str("digest", digest.String()).Err(err).Msg("part not read from store")
 			return append(left, missing[i:]...)
@@ -98,8 +99,8 @@
 	return left
 }
 
-// read reads an object within the daemon's share of store reads.
-func (p *Provider) read(ctx context.Context, key string) (objectstore.Object, error) {
+// readStore reads an object. Reads of a daemon that does not watch the store are rate-limited.
+func (p *Provider) readStore(ctx context.Context, key string) (objectstore.Object, error) {
 	if !p.watcher.Watching() {
 		if err := p.storeReads.Wait(ctx); err != nil {
 			return objectstore.Object{}, err
@@ -110,9 +111,9 @@
 	return p.store.Get(ctx, key)
 }
 
-// partsFromPeers asks a few peers and returns what is still missing.
+// partsFromPeers fetches parts from a few peers and returns the digests still missing.
 func (p *Provider) partsFromPeers(ctx context.Context, values map[config.Digest][]byte, missing []config.Digest) []config.Digest {
-	for _, name := range p.draw() {
+	for _, name := range p.samplePeers() {
 		if len(missing) == 0 {
 			break
 		}
@@ -125,13 +126,14 @@
 			p.log.Debug().Str("peer", name).Err(err).Msg("parts not read from peer")
 			continue
 		}
-		missing = p.take(values, missing, found)
+		missing = p.acceptParts(values, missing, found)
 	}
 	return missing
 }
 
-// take keeps those of the found parts that are missing and match their digest.
-func (p *Provider) take(values map[config.Digest][]byte, missing []config.Digest, found [][]byte) []config.Digest {
+// acceptParts adds those of the found parts that match a missing digest to values, and returns
+// the digests still missing.
+func (p *Provider) acceptParts(values map[config.Digest][]byte, missing []config.Digest, found [][]byte) []config.Digest {
 	offered := make(map[config.Digest][]byte, len(found))
 	for _, value := range found {
 		offered[config.DigestOf(value)] = value
@@ -149,11 +151,11 @@
 	return left
 }
 
-// draw returns a few candidates in random order. The install loop alone calls it.
-func (p *Provider) draw() []string {
+// samplePeers returns a few candidates in random order. It is called by installLoop only.
+func (p *Provider) samplePeers() []string {
 	names := append([]string(nil), p.peers.Candidates()...)
 	p.fetchRandom.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	return names[:min(len(names), peersAsked)]
+	return names[:min(len(names), peersPerRound)]
 }
 
 func (p *Provider) dial(name string) (bronzeturnv1connect.ConfigurationServiceClient, bool) {
@@ -178,24 +180,24 @@
 	return response.Msg.GetParts(), nil
 }
 
-// askPeers asks a few peers for their heads.
-func (p *Provider) askPeers(ctx context.Context) {
-	var asking sync.WaitGroup
-	for _, name := range p.draw() {
+// queryPeers queries a few peers for their heads.
+func (p *Provider) queryPeers(ctx context.Context) {
+	var queries sync.WaitGroup
+	for _, name := range p.samplePeers() {
 		client, ok := p.dial(name)
 		if !ok {
 			continue
 		}
-		asking.Go(func() {
-			if err := p.askPeer(ctx, name, client); err != nil {
+		queries.Go(func() {
+			if err := p.queryPeer(ctx, name, client); err != nil {
 				p.log.Debug().Str("peer", name).Err(err).Msg("head not read from peer")
 			}
 		})
 	}
-	asking.Wait()
+	queries.Wait()
 }
 
-func (p *Provider) askPeer(ctx context.Context, name string, client bronzeturnv1connect.ConfigurationServiceClient) error {
+func (p *Provider) queryPeer(ctx context.Context, name string, client bronzeturnv1connect.ConfigurationServiceClient) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	start := time.Now()
@@ -217,23 +219,23 @@
 	defer p.mu.Unlock()
 	p.state.confirmPeer(c.generation(), age, start)
 	if c.generation() <= p.state.inForce.generation() {
-		p.noteAsked(name, start)
+		p.recordPeerAnswer(name, start)
 	}
 	if c.generation() == p.state.inForce.generation() {
-		p.state.firstHand = latest(p.state.firstHand, start.Add(-age))
+		p.state.peerConfirmed = latest(p.state.peerConfirmed, start.Add(-age))
 	}
 	return nil
 }
 
-// askStore reads the head once.
-func (p *Provider) askStore(ctx context.Context) {
+// queryStore reads the head once.
+func (p *Provider) queryStore(ctx context.Context) {
 	start := time.Now()
-	obj, err := p.read(ctx, config.HeadKey)
+	obj, err := p.readStore(ctx, config.HeadKey)
 	if err != nil {
 		if !errors.Is(err, objectstore.ErrNotFound) {
 			p.log.Debug().Err(err).Msg("head not read from store")
 		}
 		return
 	}
-	p.fromStore(obj, start)
+	p.handleStoreHead(obj, start)
 }
--- a/provider/freshness.go
+++ b/provider/freshness.go
@@ -2,65 +2,69 @@
 
 import "time"
 
-// Reason tells why a daemon may or may not take new work.
+// Reason is why a daemon may or may not accept new work.
 type Reason string
 
 // The reasons of a freshness decision. The first three allow new work.
 const (
-	// ReasonConfirmed: the store or a peer confirmed the configuration lately.
+	// ReasonConfirmed: the store or a peer confirmed the configuration recently.
 	ReasonConfirmed Reason = "confirmed"
-	// ReasonMajority: nobody could confirm it lately, but most of the live peers
-	// are heard, and none of them has a newer one.
+	// ReasonMajority: there is no recent confirmation, but heartbeats arrive from most
+	// of the live peers, and none of them has a newer configuration.
 	ReasonMajority Reason = "majority_heard"
-	// ReasonCatchingUp: a newer head is known since a short while.
+	// ReasonCatchingUp: a newer head has been known for a short time.
 	ReasonCatchingUp Reason = "catching_up"
 	// ReasonNone: there is no configuration yet.
 	ReasonNone Reason = "no_configuration"
-	// ReasonIsolated: neither the store nor most of the live peers were heard.
+	// ReasonIsolated: neither the store nor most of the live peers could be reached.
 	ReasonIsolated Reason = "isolated"
-	// ReasonResumed: the process stood still and has not yet heard, first hand,
-	// that no newer configuration came meanwhile.
+	// ReasonResumed: the process was paused, and neither the store nor a peer has yet
+	// told it directly that no newer configuration appeared in the meantime.
 	ReasonResumed Reason = "resumed"
-	// ReasonBehind: a newer head exists and could not be put in force.
+	// ReasonBehind: a newer head exists but could not be put in force in time.
 	ReasonBehind Reason = "behind"
 )
 
-// FreshnessInput is what a freshness decision rests on.
+// FreshnessInput is the input of a freshness decision.
 type FreshnessInput struct {
 	// HasConfiguration is set once a snapshot is in force.
 	HasConfiguration bool
-	// Age is the time since no newer head was known to exist.
+	// Age is the time since the head in force was last known to be the newest.
 	Age time.Duration
-	// Behind is how long a newer head has been known, zero if there is none.
+	// Behind is how long a newer head has been known, or zero if there is none.
 	Behind time.Duration
-	// UnconfirmedSinceResume is how long ago the process resumed after standing still, zero if it
-	// never did or has heard first hand since that nothing newer exists.
+	// UnconfirmedSinceResume is the time since the process resumed after a pause, or zero if
+	// there was none or the store or a peer has told it directly since then that nothing
+	// newer exists.
 	UnconfirmedSinceResume time.Duration
-	// PeersHeard and PeersKnown leave out the daemon itself. Known peers are
-	// those of the live list, whether they are heard or not: a peer must not drop
-	// out of it only because it is not heard.
+	// PeersHeard is the number of the PeersKnown peers whose heartbeats arrive. Neither
+	// includes the daemon itself. Known peers are those in the live list, which must not
+	// exclude a peer only because its heartbeats do not arrive.
 	PeersHeard, PeersKnown int
-	// PeersAsked of PeersLive have told this daemon, when it asked them since it
-	// resumed, that they know no newer head. Live ones are all that are not known to
-	// have ended; unlike PeersKnown they are no sample.
-	PeersAsked, PeersLive int
+	// PeersAnswered is the number of the PeersLive peers that have reported no newer head
+	// in response to queries made since the daemon resumed. Live peers are all that are not
+	// known to have ended; unlike PeersKnown, they are not a sample.
+	PeersAnswered, PeersLive int
 }
 
-// DecideFreshness tells whether a daemon may take new work. A daemon that heard neither
-// the store nor most of its peers for longer than bound may have missed a
-// withdrawal, so it refuses. If the store is down for all, no one can have
-// changed the configuration in a way that only others know, as long as most of
-// the peers are heard; then work goes on. A daemon that stood still refuses until
-// the store or a peer told it, first hand and since it resumed, that nothing newer
-// exists. While neither can, most of the peers have to have told it when asked, or
-// it waits and then goes by the majority that is heard.
+// DecideFreshness reports whether a daemon may accept new work.
+//
+// A daemon that has had no confirmation from the store or a peer for longer than bound,
+// and no heartbeats from most of its peers, may have missed a withdrawal and refuses. While
+// the heartbeats of most peers arrive, it continues: if the store is down for all, nobody can
+// have changed the configuration without most peers knowing.
+//
+// A daemon whose process was paused refuses until the store or a peer, queried since it
+// resumed, has confirmed that nothing newer exists. If neither can, most of the live peers
+// must have reported no newer head in response to queries. Otherwise, the daemon waits for
+// resumeGracePeriod and then relies on the heartbeats of the majority.
 func DecideFreshness(n FreshnessInput, bound time.Duration) (bool, Reason) {
 	heard := majority(n.PeersHeard, n.PeersKnown)
-	asked := heard && n.PeersAsked > 0 && majority(n.PeersAsked, n.PeersLive)
+	answered := heard && n.PeersAnswered > 0 && majority(n.PeersAnswered, n.PeersLive)
 	switch {
 	case !n.HasConfiguration:
 		return false, ReasonNone
-	case n.UnconfirmedSinceResume > 0 && (n.Behind > 0 || n.UnconfirmedSinceResume < resumeSettle && !asked):
+	case n.UnconfirmedSinceResume > 0 && (n.Behind > 0 || n.UnconfirmedSinceResume < resumeGracePeriod && !answered):
 		return false, ReasonResumed
 	case n.Behind > bound:
 		return false, ReasonBehind
@@ -75,8 +79,8 @@
 	}
 }
 
-// majority tells whether the heard peers and the daemon itself are more than
-// half of all daemons. Two halves of a split fleet never both have it.
+// majority reports whether the heard peers and the daemon itself are more than half of all
+// daemons. At most one side of a network partition has a majority.
 func majority(heard, known int) bool {
 	heard = min(heard, known)
 	return 2*(heard+1) > known+1
--- a/provider/freshness_test.go
+++ b/provider/freshness_test.go
@@ -18,23 +18,23 @@
 		reason Reason
 	}{
 		{"no configuration", FreshnessInput{}, false, ReasonNone},
-		{"confirmed lately", FreshnessInput{HasConfiguration: true, Age: bound, PeersKnown: 5}, true, ReasonConfirmed},
+		{"confirmed recently", FreshnessInput{HasConfiguration: true, Age: bound, PeersKnown: 5}, true, ReasonConfirmed},
 		{"store down for all", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
 		{"cut off from store and most peers", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
 		{"cut off from everything", FreshnessInput{HasConfiguration: true, Age: old, PeersKnown: 5}, false, ReasonIsolated},
 		{"half of an even fleet", FreshnessInput{HasConfiguration: true, Age: old, PeersHeard: 204, PeersKnown: 409}, false, ReasonIsolated},
 		{"only daemon", FreshnessInput{HasConfiguration: true, Age: old}, true, ReasonMajority},
-		{"newer head known since a short while", FreshnessInput{HasConfiguration: true, Age: old, Behind: time.Second}, true, ReasonCatchingUp},
-		{"resumed, nothing heard first hand", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
-		{"resumed, most peers asked", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
-		{"resumed, confirmed before, most peers asked", FreshnessInput{HasConfiguration: true, Age: bound, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAsked: 3, PeersLive: 5}, true, ReasonMajority},
-		{"resumed, few peers asked", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 2, PeersLive: 5}, false, ReasonResumed},
-		{"resumed, most of few live peers asked, most peers not heard", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 1, PeersKnown: 5, PeersAsked: 1, PeersLive: 1}, false, ReasonResumed},
-		{"resumed, most peers asked, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, Behind: 1, PeersHeard: 5, PeersKnown: 5, PeersAsked: 5, PeersLive: 5}, false, ReasonResumed},
-		{"resumed long ago, store down for all", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
-		{"resumed long ago, cut off", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
-		{"resumed long ago, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeSettle, Behind: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
-		{"newer head not to be had", FreshnessInput{HasConfiguration: true, Behind: bound + 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonBehind},
+		{"newer head known for a short time", FreshnessInput{HasConfiguration: true, Age: old, Behind: time.Second}, true, ReasonCatchingUp},
+		{"resumed, no direct confirmation", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
+		{"resumed, most peers answered", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAnswered: 3, PeersLive: 5}, true, ReasonMajority},
+		{"resumed, confirmed before, most peers answered", FreshnessInput{HasConfiguration: true, Age: bound, UnconfirmedSinceResume: 1, PeersHeard: 3, PeersKnown: 5, PeersAnswered: 3, PeersLive: 5}, true, ReasonMajority},
+		{"resumed, few peers answered", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 5, PeersKnown: 5, PeersAnswered: 2, PeersLive: 5}, false, ReasonResumed},
+		{"resumed, most of few live peers answered, most peers not heard", FreshnessInput{HasConfiguration: true, Age: old, UnconfirmedSinceResume: 1, PeersHeard: 1, PeersKnown: 5, PeersAnswered: 1, PeersLive: 1}, false, ReasonResumed},
+		{"resumed, most peers answered, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: 1, Behind: 1, PeersHeard: 5, PeersKnown: 5, PeersAnswered: 5, PeersLive: 5}, false, ReasonResumed},
+		{"resumed long ago, store down for all", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeGracePeriod, PeersHeard: 3, PeersKnown: 5}, true, ReasonMajority},
+		{"resumed long ago, cut off", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeGracePeriod, PeersHeard: 2, PeersKnown: 5}, false, ReasonIsolated},
+		{"resumed long ago, newer head known", FreshnessInput{HasConfiguration: true, UnconfirmedSinceResume: resumeGracePeriod, Behind: 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonResumed},
+		{"newer head unavailable for too long", FreshnessInput{HasConfiguration: true, Behind: bound + 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonBehind},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			ok, reason := DecideFreshness(tt.news, bound)
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestNoTwoMajorities: whatever way a fleet splits, at most one side goes on
+// TestNoTwoMajorities guards against a partition of which both sides accept new work
 // without the store.
 func TestNoTwoMajorities(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/provider/install.go
+++ b/provider/install.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// retryBase and retryMax bound the pause before missing parts are asked for
+	// retryBase and retryMax bound the pause before missing parts are requested
 	// again.
 	retryBase = 100 * time.Millisecond
 	retryMax  = time.Second
-	// storeAfter is how long a daemon that does not watch asks its peers only.
-	// The pause before its first store read is spread over storeSpread.
-	storeAfter  = 2 * time.Second
-	storeSpread = 4 * time.Second
-	// probeAfter and probeSpread give the pause between two looks at the age of
-	// the news. A daemon with stale news reads the head itself, so that work does
-	// not depend on the few watchers alone.
+	// storeFallbackAfter is how long a daemon that does not watch queries only its
+	// peers before it reads the store. storeFallbackSpread is the range of a random
+	// addition.
+	storeFallbackAfter  = 2 * time.Second
+	storeFallbackSpread = 4 * time.Second
+	// probeAfter plus up to probeSpread is the interval at which a daemon whose head
+	// is unconfirmed for too long reads the head itself, so that the fleet does not
+	// depend on its few watchers.
 	probeAfter  = 5 * time.Second
 	probeSpread = 10 * time.Second
 )
 
-// installLoop puts pending heads in force, one at a time.
+// installLoop puts pending heads in force one after another.
 func (p *Provider) installLoop() error {
 	ctx := p.tomb.Context(context.Background())
 	pauses := &backoff.Backoff{Base: retryBase, Max: retryMax, Random: p.fetchRandom}
-	since, fallback := time.Now(), p.drawFallback()
+	since, fallback := time.Now(), p.randomFallbackDelay()
 	for {
-		p.verifyNow(ctx)
+		p.verifyHead(ctx)
 		p.probe(ctx)
 		useStore := time.Since(since) >= fallback
-		done := p.step(ctx, useStore)
+		done := p.tryInstall(ctx, useStore)
 		if !p.wait(done, pauses) {
 			return tomb.ErrDying
 		}
 		if done || useStore {
-			since, fallback = time.Now(), p.drawFallback()
+			since, fallback = time.Now(), p.randomFallbackDelay()
 		}
 	}
 }
 
-// drawFallback returns how long only peers are asked.
-func (p *Provider) drawFallback() time.Duration {
-	return storeAfter + time.Duration(p.fetchRandom.Int64N(int64(storeSpread)))
+// randomFallbackDelay returns how long only peers are queried.
+func (p *Provider) randomFallbackDelay() time.Duration {
+	return storeFallbackAfter + time.Duration(p.fetchRandom.Int64N(int64(storeFallbackSpread)))
 }
 
-// probe reads the head if the news is stale although nothing newer is known.
+// probe reads the head from the store if the head in force has been unconfirmed for longer
+// than staleAfter.
 func (p *Provider) probe(ctx context.Context) {
 	status := p.Status()
 	if p.watcher.Watching() || status.Generation == 0 || status.NewsAge(time.Now()) <= p.staleAfter {
 		return
 	}
 	if now := time.Now(); now.After(p.nextProbe) {
-		p.nextProbe = now.Add(p.drawProbe())
-		p.askStore(ctx)
+		p.nextProbe = now.Add(p.randomProbePause())
+		p.queryStore(ctx)
 	}
 }
 
-func (p *Provider) drawProbe() time.Duration {
+func (p *Provider) randomProbePause() time.Duration {
 	return probeAfter + time.Duration(p.fetchRandom.Int64N(int64(probeSpread)))
 }
 
-// wait returns when there may be work: on a signal, and after a pause, which is
-// short if the last step left something undone. It returns false when the
-// provider stops.
+// wait returns on a signal or after a pause, which is short if the last attempt left
+// something undone. It returns false when the provider stops.
 func (p *Provider) wait(done bool, pauses *backoff.Backoff) bool {
-	pause := p.drawProbe()
+	pause := p.randomProbePause()
 	if done {
 		pauses.Reset()
 	} else {
@@ -87,44 +88,44 @@
 	return true
 }
 
-// step tries to make progress and tells whether nothing is left to do. The
-// store is asked for parts by watchers, and by others when fallback is set.
-func (p *Provider) step(ctx context.Context, fallback bool) bool {
+// tryInstall fetches and installs the pending head, if any, and reports whether nothing is left
+// to do. Watchers read parts from the store; other daemons do so only if fallback is set.
+func (p *Provider) tryInstall(ctx context.Context, fallback bool) bool {
 	p.mu.Lock()
-	target, ask := p.state.pending, p.ask || p.state.inForce == nil
+	target, query := p.state.pending, p.peerAhead || p.state.inForce == nil
 	p.mu.Unlock()
-	if target == nil && ask {
-		p.askPeers(ctx)
+	if target == nil && query {
+		p.queryPeers(ctx)
 		if fallback {
-			p.askStore(ctx)
+			p.queryStore(ctx)
 		}
 		p.mu.Lock()
 		target = p.state.pending
 		p.mu.Unlock()
 	}
 	if target == nil {
-		return p.settled()
+		return p.upToDate()
 	}
-	values, complete := p.collect(ctx, target, fallback)
+	values, complete := p.collectParts(ctx, target, fallback)
 	if !complete {
 		return false
 	}
-	p.put(target, values)
-	return p.settled()
+	p.installOrRefuse(target, values)
+	return p.upToDate()
 }
 
-// settled tells whether the daemon knows of nothing newer than what is in force.
-func (p *Provider) settled() bool {
+// settled reports whether a head is in force and the daemon knows of no newer valid one.
+func (p *Provider) upToDate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ask && p.state.newest <= max(p.state.inForce.generation(), p.state.refused.generation()) {
-		p.ask = false
+	if p.peerAhead && p.state.newest <= max(p.state.inForce.generation(), p.state.refused.generation()) {
+		p.peerAhead = false
 	}
-	return p.state.pending == nil && p.state.inForce != nil && !p.ask
+	return p.state.pending == nil && p.state.inForce != nil && !p.peerAhead
 }
 
-// put validates the whole and swaps it in, or refuses it.
-func (p *Provider) put(c *candidate, values map[config.Digest][]byte) {
+// installOrRefuse validates the complete configuration and puts it in force, or refuses it.
+func (p *Provider) installOrRefuse(c *candidate, values map[config.Digest][]byte) {
 	snapshot, err := config.Build(c.head, values)
 	if err != nil {
 		p.mu.Lock()
--- a/provider/pause.go
+++ b/provider/pause.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// pulseEvery is how often a running daemon notes that it runs.
-	pulseEvery = 100 * time.Millisecond
-	// pauseBound is the gap between two notes from which the process counts as
-	// having stood still. It is far above the delays of a busy host.
-	pauseBound = time.Second
-	// resumeAsk is the pause between two questions of a daemon that resumed.
-	resumeAsk = 500 * time.Millisecond
-	// resumeSettle is when the heartbeats of peers count again after a pause:
-	// those heard until then may have waited in the buffers of the connections.
-	resumeSettle = 5 * time.Second
+	// pauseCheckInterval is the interval at which a daemon checks for pauses of its process.
+	pauseCheckInterval = 100 * time.Millisecond
+	// pauseThreshold is the time between two checks from which the process counts as
+	// having been paused. It is far above the scheduling delays of a busy host.
+	pauseThreshold = time.Second
+	// resumeRetryInterval is the interval between two queries of a daemon that has resumed.
+	resumeRetryInterval = 500 * time.Millisecond
+	// resumeGracePeriod is the time after a pause from which heartbeats of peers count again.
+	// Earlier ones may have waited in connection buffers during the pause.
+	resumeGracePeriod = 5 * time.Second
 )
 
-// pauseGuard notices that the process stood still, by either clock. Whoever
-// asks first after the pause notices it, so no request is faster than the guard.
+// pauseGuard detects pauses of the process, by the monotonic or the wall clock. The first
+// call of check after a pause detects it, so no request can precede the detection.
 type pauseGuard struct {
-	mu      sync.Mutex
-	last    time.Time
+	mu sync.Mutex
+	// last is the time of the last check.
+	last time.Time
+	// resumed is when the last pause was detected.
 	resumed time.Time
 }
 
-// check notes that the process runs and returns when it last resumed, zero if
-// it never stood still.
+// check looks for a pause since its last call and returns when the last pause was detected,
+// or zero if there was none.
 func (g *pauseGuard) check() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	if !g.last.IsZero() {
 		wall := now.Round(0).Sub(g.last.Round(0))
-		if max(now.Sub(g.last), wall) > pauseBound {
+		if max(now.Sub(g.last), wall) > pauseThreshold {
 			g.resumed = now
 		}
 	}
@@ -44,12 +46,12 @@
 	return g.resumed
 }
 
-// keepPulse notes that the process runs, and asks for the configuration after
-// a pause until the daemon knows again that it is the newest.
-func (p *Provider) keepPulse() error {
-	ticker := time.NewTicker(pulseEvery)
+// pauseLoop checks for pauses of the process. After one, it requests verification of the
+// configuration until the daemon knows again that it is the newest.
+func (p *Provider) pauseLoop() error {
+	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
-	var asked time.Time
+	var queried time.Time
 	for {
 		select {
 		case <-ticker.C:
@@ -57,41 +59,42 @@
 			return nil
 		}
 		resumed := p.pauses.check()
-		if !p.unsure(resumed) {
+		if !p.unconfirmedSinceResume(resumed) {
 			continue
 		}
-		if asked.Before(resumed) {
-			p.log.Warn().Msg("this daemon stood still, no new work until it knows the newest configuration")
+		if queried.Before(resumed) {
+			p.log.Warn().Msg("process was paused, refusing new work until the newest configuration is confirmed")
 		}
-		if time.Since(asked) >= resumeAsk || asked.Before(resumed) {
-			asked = time.Now()
-			p.askAfterPause()
+		if time.Since(queried) >= resumeRetryInterval || queried.Before(resumed) {
+			queried = time.Now()
+			p.requestVerification()
 		}
 	}
 }
 
-// unsure tells whether the daemon has not yet heard first hand, since it
-// resumed, that no newer configuration exists.
-func (p *Provider) unsure(resumed time.Time) bool {
+// unconfirmedSinceResume reports whether the process was paused and neither the store nor a
+// peer, queried by this daemon, has confirmed since it resumed that no newer configuration
+// exists.
+func (p *Provider) unconfirmedSinceResume(resumed time.Time) bool {
 	if resumed.IsZero() {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.firstHand.Before(resumed) && p.state.storeConfirmed.Before(resumed)
+	return p.state.peerConfirmed.Before(resumed) && p.state.storeConfirmed.Before(resumed)
 }
 
-// askAfterPause makes the install loop ask the store and peers.
-func (p *Provider) askAfterPause() {
+// requestVerification makes installLoop query the store and peers for the head.
+func (p *Provider) requestVerification() {
 	p.mu.Lock()
 	p.verify = true
 	p.mu.Unlock()
 	p.signal()
 }
 
-// verifyNow asks the store and a few peers for the head, after a pause. All are
-// asked at once, since any of them may be silent.
-func (p *Provider) verifyNow(ctx context.Context) {
+// verifyHead queries the store and a few peers for the head after a pause. They are
+// queried concurrently, since any of them may fail to answer.
+func (p *Provider) verifyHead(ctx context.Context) {
 	p.mu.Lock()
 	verify := p.verify
 	p.verify = false
@@ -99,32 +102,33 @@
 	if !verify {
 		return
 	}
-	var asking sync.WaitGroup
-	asking.Go(func() { p.askStore(ctx) })
-	p.askPeers(ctx)
-	asking.Wait()
+	var queries sync.WaitGroup
+	queries.Go(func() { p.queryStore(ctx) })
+	p.queryPeers(ctx)
+	queries.Wait()
 }
 
-// askedSince returns how many peers have told, when asked since then, that they
-// know no newer head.
-func (p *Provider) askedSince(resumed time.Time) int {
+// peersAnsweredSince returns how many peers have reported no newer head in response to queries
+// made since the given time.
+func (p *Provider) peersAnsweredSince(resumed time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	asked := 0
-	for _, at := range p.state.asked {
+	count := 0
+	for _, at := range p.state.peerAnswers {
 		if !at.Before(resumed) {
-			asked++
+			count++
 		}
 	}
-	return asked
+	return count
 }
 
-// noteAsked takes in that a peer knows no newer head. The caller holds p.mu.
-func (p *Provider) noteAsked(name string, at time.Time) {
+// recordPeerAnswer records that a peer, queried at the given time, reported no newer head. The
+// caller holds p.mu.
+func (p *Provider) recordPeerAnswer(name string, at time.Time) {
 	resumed := p.pauses.check()
-	if p.state.asked == nil {
-		p.state.asked = make(map[string]time.Time)
+	if p.state.peerAnswers == nil {
+		p.state.peerAnswers = make(map[string]time.Time)
 	}
-	maps.DeleteFunc(p.state.asked, func(_ string, at time.Time) bool { return at.Before(resumed) })
-	p.state.asked[name] = at
+	maps.DeleteFunc(p.state.peerAnswers, func(_ string, at time.Time) bool { return at.Before(resumed) })
+	p.state.peerAnswers[name] = at
 }
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -1,9 +1,9 @@
 // Package provider keeps the newest accepted configuration in force on a
 // daemon.
 //
-// A few daemons watch the store; the others hear of new heads through a flooded
-// table and fetch the missing parts from their peers. A head comes into force
-// whole or not at all, and the generation in force never falls.
+// A few daemons watch the store. The others learn of new heads through a table that
+// is flooded to all daemons, and fetch missing parts from their peers. A head comes into
+// force completely or not at all, and the generation in force never decreases.
 package provider
 
 import (
@@ -32,8 +32,9 @@
 	Watch(ctx context.Context, prefix string, after uint64) ([]objectstore.Object, error)
 }
 
-// Table is a small table that is flooded to all daemons: one entry per key, the
-// higher version wins. It calls f for each change, also for its own Publish.
+// Table is a small table that is flooded to all daemons. It has one entry per key, of which
+// the highest version wins. It calls the functions passed to Subscribe for each change,
+// including those made by Publish on this daemon.
 type Table interface {
 	Publish(key string, version uint64, value []byte)
 	Subscribe(prefix string, f func(key string, version uint64, value []byte))
@@ -41,13 +42,13 @@
 
 // Peers gives access to other daemons.
 type Peers interface {
-	// Candidates returns the names of daemons that may be asked.
+	// Candidates returns the names of daemons that may be queried.
 	Candidates() []string
-	// Dial returns a client and a base URL for a daemon, or false if it is gone.
+	// Dial returns a client and a base URL for a daemon, or false if the daemon no longer exists.
 	Dial(name string) (connect.HTTPClient, string, bool)
 }
 
-// Watcher says whether this daemon is one of those that watch the store.
+// Watcher reports whether this daemon is one of those that watch the store.
 type Watcher interface {
 	Watching() bool
 	// Changed returns a channel that is closed when Watching may have changed
@@ -64,20 +65,20 @@
 	Table   Table
 	Peers   Peers
 	Watcher Watcher
-	// Random seeds the random sources of the provider. It is used by New only.
+	// Random seeds the provider's random sources. It is used by New only.
 	Random     *rand.Rand
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
-	// StaleAfter is how long a daemon without news takes new work. Zero means
-	// DefaultStaleAfter.
+	// StaleAfter is how long a daemon accepts new work without a confirmation that its
+	// configuration is the newest. Zero means DefaultStaleAfter.
 	StaleAfter time.Duration
 }
 
 // ErrOptions reports that a required option is missing.
 var ErrOptions = errors.New("provider: missing option")
 
-// Provider keeps the newest accepted configuration in force. Its methods may be
-// called concurrently.
+// Provider keeps the newest accepted configuration in force. It is safe for
+// concurrent use.
 type Provider struct {
 	store      Store
 	table      Table
@@ -89,10 +90,10 @@
 	storeReads *rate.Limiter
 
 	tomb tomb.Tomb
-	// fetchRandom belongs to the loop that puts heads in force, pollRandom and
-	// watchRandom to the loops that read the store.
+	// fetchRandom is used by installLoop only, pollRandom and watchRandom by pollLoop
+	// and watchLoop.
 	fetchRandom, pollRandom, watchRandom *rand.Rand
-	// nextProbe is when the install loop may read the head again on stale news.
+	// nextProbe is when installLoop may next read the head because it is unconfirmed.
 	nextProbe time.Time
 
 	snapshot atomic.Pointer[config.Snapshot]
@@ -101,15 +102,15 @@
 	state state
 	// values are the stored bytes of the parts in force.
 	values map[config.Digest][]byte
-	// fetched are parts of the pending head, kept until it is complete.
+	// fetched are the parts of the pending head, kept until it is complete.
 	fetched map[config.Digest][]byte
-	// work is signalled when there is a pending head or a reason to ask peers.
+	// work is signalled when there is a pending head or a reason to query peers.
 	work chan struct{}
 	// rejected is the digest of the last value that could not be decoded.
 	rejected config.Digest
-	// ask is set when a peer is known to have a newer head.
-	ask bool
-	// verify is set after a pause, when the newest head has to be asked for.
+	// peerAhead is set when a peer is known to have a newer head.
+	peerAhead bool
+	// verify requests a query for the newest head after a pause of the process.
 	verify bool
 	pauses pauseGuard
 
@@ -123,14 +124,15 @@
 // watchState is shared by the loops that read the store.
 type watchState struct {
 	sync.Mutex
-	// revision is the highest one seen of the head.
+	// revision is the highest revision of the head that has been read.
 	revision uint64
-	// cancel drops the watch under way, nil if there is none.
-	cancel    context.CancelFunc
+	// cancel ends the watch in progress. It is nil if there is none.
+	cancel context.CancelFunc
+	// overtaken is set when a read returned a revision that the watch in progress missed.
 	overtaken bool
 }
 
-// New returns a provider that is not running yet.
+// New returns a provider that is idle until Start is called.
 func New(o Options) (*Provider, error) {
 	if o.Store == nil || o.Table == nil || o.Peers == nil || o.Watcher == nil || o.Random == nil || o.Registerer == nil {
 		return nil, ErrOptions
@@ -143,9 +145,9 @@
 		log:         o.Log.With().Str("part", "provider").Logger(),
 		staleAfter:  o.StaleAfter,
 		storeReads:  rate.NewLimiter(storeReadRate, storeReadBurst),
-		fetchRandom: split(o.Random),
-		pollRandom:  split(o.Random),
-		watchRandom: split(o.Random),
+		fetchRandom: newRandom(o.Random),
+		pollRandom:  newRandom(o.Random),
+		watchRandom: newRandom(o.Random),
 		work:        make(chan struct{}, 1),
 	}
 	var err error
@@ -155,31 +157,32 @@
 	return p, nil
 }
 
-// split returns a random source of its own for one goroutine.
-func split(random *rand.Rand) *rand.Rand {
+// newRandom returns a separate random source for use by one goroutine.
+func newRandom(random *rand.Rand) *rand.Rand {
 	return rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 }
 
-// Start begins to keep the configuration in force.
+// Start starts the loops that keep the configuration in force.
 func (p *Provider) Start() {
 	p.pauses.check()
-	p.table.Subscribe(config.HeadKey, p.fromTable)
+	p.table.Subscribe(config.HeadKey, p.handleTableHead)
 	p.tomb.Go(func() error {
 		p.tomb.Go(p.installLoop)
 		p.tomb.Go(p.pollLoop)
 		p.tomb.Go(p.watchLoop)
-		p.tomb.Go(p.keepPulse)
+		p.tomb.Go(p.pauseLoop)
 		return nil
 	})
 }
 
-// Stop ends the provider and waits for it. The snapshot in force stays readable.
+// Stop stops the provider and waits for its loops to end. The snapshot in force remains
+// available.
 func (p *Provider) Stop() error {
 	p.tomb.Kill(nil)
 	return p.tomb.Wait()
 }
 
-// Snapshot returns the snapshot in force, nil when there is none yet.
+// Snapshot returns the snapshot in force, or nil if there is none yet.
 func (p *Provider) Snapshot() *config.Snapshot { return p.snapshot.Load() }
 
 // Subscribe calls f with the snapshot in force, if there is one, and then with
@@ -193,21 +196,21 @@
 	}
 }
 
-// RecordHeartbeat takes note of a heartbeat of a peer: the generation in force there
-// and the age of its news.
+// RecordHeartbeat processes a peer's heartbeat, which contains the peer's generation in
+// force and the time since the peer knew that no newer head existed.
 func (p *Provider) RecordHeartbeat(generation uint64, newsAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if generation == 0 || newsAge < 0 {
 		return
 	}
-	if p.state.confirmPeer(generation, newsAge, time.Now()) && !p.ask {
-		p.ask = true
+	if p.state.confirmPeer(generation, newsAge, time.Now()) && !p.peerAhead {
+		p.peerAhead = true
 		p.signal()
 	}
 }
 
-// signal wakes the install loop. The caller holds p.mu or does not care.
+// signal wakes installLoop. It may be called with or without p.mu held.
 func (p *Provider) signal() {
 	select {
 	case p.work <- struct{}{}:
@@ -215,8 +218,8 @@
 	}
 }
 
-// fromTable takes a head out of the flooded table.
-func (p *Provider) fromTable(key string, version uint64, value []byte) {
+// handleTableHead processes a head received through the flooded table.
+func (p *Provider) handleTableHead(key string, version uint64, value []byte) {
 	if key != config.HeadKey {
 		return
 	}
@@ -231,7 +234,7 @@
 	p.offer(c)
 }
 
-// decodeCandidate decodes a head that came from outside.
+// decodeCandidate decodes a head received from the source.
 func decodeCandidate(value []byte, source Source) (*candidate, error) {
 	head, err := config.DecodeHead(value)
 	if err != nil {
@@ -240,12 +243,13 @@
 	return &candidate{head: head, value: slices.Clone(value), digest: config.DigestOf(value), source: source}, nil
 }
 
-// reject reports a head that could not even be decoded, once for the same value.
+// reject records a head that is missing or cannot be decoded. Repetitions of the same value
+// are not logged again.
 func (p *Provider) reject(source Source, value []byte, err error) {
 	digest := config.DigestOf(value)
 	p.mu.Lock()
 	known := p.state.problem != nil && p.rejected == digest
-	p.state.trouble(err, time.Now())
+	p.state.recordProblem(err, time.Now())
 	p.rejected = digest
 	p.mu.Unlock()
 	p.metrics.refused.WithLabelValues(string(source)).Inc()
@@ -254,7 +258,7 @@
 	}
 }
 
-// offer hands a decoded head to the state and wakes the install loop.
+// offer passes a decoded head to the state, and wakes installLoop if the head is new.
 func (p *Provider) offer(c *candidate) {
 	p.mu.Lock()
 	v, err := p.state.offer(c, time.Now())
--- a/provider/provider_test.go
+++ b/provider/provider_test.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// inForce asserts the generation in force on all daemons.
-func (f *fleet) inForce(c *qt.C, want uint64) {
+// assertGeneration asserts that all daemons have the generation in force.
+func (f *fleet) assertGeneration(c *qt.C, want uint64) {
 	for _, name := range f.names() {
 		c.Assert(f.nodes[name].provider.Status().Generation, qt.Equals, want, qt.Commentf("%s", name))
 	}
@@ -43,14 +43,14 @@
 
 func TestChangeReachesAllWithFewStoreCalls(t *testing.T) {
 	run(t, 24, 2, func(c *qt.C, f *fleet) {
-		f.inForce(c, 1)
+		f.assertGeneration(c, 1)
 		reads := make(map[string]int)
 		for _, name := range f.names() {
 			reads[name] = f.nodes[name].storeReads()
 		}
 		f.apply(2)
 		time.Sleep(4 * time.Second)
-		f.inForce(c, 2)
+		f.assertGeneration(c, 2)
 		for _, name := range f.names()[2:] {
 			c.Assert(f.nodes[name].storeReads(), qt.Equals, reads[name], qt.Commentf("%s", name))
 		}
@@ -64,7 +64,7 @@
 	run(t, 5, 2, func(c *qt.C, f *fleet) {
 		f.apply(2)
 		time.Sleep(2 * time.Second)
-		f.outage()
+		f.failStoreCalls()
 		n := f.start("new", true)
 		time.Sleep(3 * time.Second)
 		c.Assert(n.provider.Status().Generation, qt.Equals, uint64(2))
@@ -81,10 +81,11 @@
 
 func TestLoneDaemonFallsBackToTheStore(t *testing.T) {
 	run(t, 1, 0, func(c *qt.C, f *fleet) {
-		f.inForce(c, 1)
+		f.assertGeneration(c, 1)
 		n := f.nodes["d00"]
 		c.Assert(n.provider.Status().Source, qt.Equals, SourceStore)
-		// Every part once, the head once, and again when the news is stale.
+		// Each part is read once, and the head up to three times: it is read again when
+		// it has been unconfirmed for too long.
 		const heads = 3
 		parts := len(headOf(c, f).GetParts())
 		c.Assert(n.storeReads() <= parts+heads, qt.IsTrue, qt.Commentf("%d reads", n.storeReads()))
@@ -103,21 +104,21 @@
 		ok, reason := n.provider.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonConfirmed)
-		f.setCut("d02", true)
+		f.setIsolated("d02", true)
 		f.apply(2)
 		time.Sleep(DefaultStaleAfter + 5*time.Second)
 		ok, reason = n.provider.CheckFreshness(time.Now(), 0, 2, 2)
 		c.Assert(ok, qt.IsFalse)
 		c.Assert(reason, qt.Equals, ReasonIsolated)
-		f.setCut("d02", false)
+		f.setIsolated("d02", false)
 		time.Sleep(5 * time.Second)
-		f.inForce(c, 2)
+		f.assertGeneration(c, 2)
 		ok, _ = n.provider.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue)
 	})
 }
 
-func TestSilentWatchIsReplaced(t *testing.T) {
+func TestHangingWatchIsReplaced(t *testing.T) {
 	run(t, 1, 1, func(c *qt.C, f *fleet) {
 		f.store.SetFault(func(ctx context.Context, op memstore.Op, _ string) memstore.Verdict {
 			if op == memstore.OpWatch {
@@ -126,17 +127,17 @@
 			}
 			return memstore.Pass
 		})
-		// The watch under way ends at its wait, the next one stays silent.
+		// The watch in progress ends after its wait, the next one hangs.
 		time.Sleep(watchTimeout)
 		f.apply(2)
 		time.Sleep(pollInterval + 500*time.Millisecond)
-		f.inForce(c, 2)
-		c.Assert(counted(c, f.nodes["d00"].provider.metrics.silent) >= 1, qt.IsTrue)
+		f.assertGeneration(c, 2)
+		c.Assert(counterValue(c, f.nodes["d00"].provider.metrics.overtaken) >= 1, qt.IsTrue)
 	})
 }
 
-// write stores a head past all checks of the publisher.
-func (f *fleet) write(value []byte) {
+// writeHead stores a head without the publisher's checks.
+func (f *fleet) writeHead(value []byte) {
 	_, err := f.store.Update(context.Background(), config.HeadKey, value, f.head().Revision)
 	qt.Assert(f.t, err, qt.IsNil)
 }
@@ -162,9 +163,9 @@
 func TestBadConfigurationIsRefusedWhole(t *testing.T) {
 	run(t, 3, 1, func(c *qt.C, f *fleet) {
 		good := f.head().Value
-		f.write(badHead(c, f))
+		f.writeHead(badHead(c, f))
 		time.Sleep(15 * time.Second)
-		f.inForce(c, 1)
+		f.assertGeneration(c, 1)
 		p := f.nodes["d00"].provider
 		var invalid *config.ValidationError
 		c.Assert(errors.As(p.Status().Rejected, &invalid), qt.IsTrue, qt.Commentf("%v", p.Status().Rejected))
@@ -172,16 +173,16 @@
 		c.Assert(p.Status().Accepted, qt.Equals, uint64(2))
 		ok, reason := p.CheckFreshness(time.Now(), 2, 2, 2)
 		c.Assert(ok, qt.IsTrue, qt.Commentf("%s", reason))
-		f.write([]byte("garbage"))
+		f.writeHead([]byte("garbage"))
 		time.Sleep(5 * time.Second)
-		f.inForce(c, 1)
+		f.assertGeneration(c, 1)
 		var head *config.HeadError
 		c.Assert(errors.As(p.Status().Rejected, &head), qt.IsTrue)
-		f.write(good)
+		f.writeHead(good)
 		c.Assert(f.apply(2), qt.Equals, uint64(2))
 		c.Assert(f.apply(3), qt.Equals, uint64(3))
 		time.Sleep(5 * time.Second)
-		f.inForce(c, 3)
+		f.assertGeneration(c, 3)
 		c.Assert(p.Status().Rejected, qt.IsNil)
 	})
 }
@@ -195,7 +196,7 @@
 		value, err := config.EncodeHead(head)
 		c.Assert(err, qt.IsNil)
 		n := f.nodes["d02"]
-		n.provider.fromTable(config.HeadKey, head.GetGeneration(), value)
+		n.provider.handleTableHead(config.HeadKey, head.GetGeneration(), value)
 		var divergent *DivergentError
 		c.Assert(errors.As(n.provider.Status().Rejected, &divergent), qt.IsTrue)
 		c.Assert(divergent.Generation, qt.Equals, uint64(2))
@@ -210,21 +211,21 @@
 		f.apply(2)
 		time.Sleep(5 * time.Second)
 		n := f.nodes["d00"]
-		n.provider.fromTable(config.HeadKey, 1, old.Value)
-		n.provider.fromStore(old, time.Now())
+		n.provider.handleTableHead(config.HeadKey, 1, old.Value)
+		n.provider.handleStoreHead(old, time.Now())
 		n.provider.RecordHeartbeat(1, 0)
 		time.Sleep(5 * time.Second)
-		f.inForce(c, 2)
+		f.assertGeneration(c, 2)
 		c.Assert(n.provider.Status().Rejected, qt.IsNil)
-		c.Assert(counted(c, n.provider.metrics.older), qt.Equals, 2.0)
+		c.Assert(counterValue(c, n.provider.metrics.older), qt.Equals, 2.0)
 	})
 }
 
 func TestTableVersionMustMatchTheGeneration(t *testing.T) {
 	run(t, 1, 1, func(c *qt.C, f *fleet) {
-		f.outage()
+		f.failStoreCalls()
 		n := f.nodes["d00"]
-		n.provider.fromTable(config.HeadKey, 99, f.head().Value)
+		n.provider.handleTableHead(config.HeadKey, 99, f.head().Value)
 		var refused *config.HeadError
 		c.Assert(errors.As(n.provider.Status().Rejected, &refused), qt.IsTrue)
 		c.Assert(n.provider.Status().Accepted, qt.Equals, uint64(1))
@@ -236,10 +237,10 @@
 		n := f.nodes["d00"]
 		wanted := config.DigestOf([]byte("good"))
 		values := make(map[config.Digest][]byte)
-		missing := n.provider.take(values, []config.Digest{wanted}, [][]byte{[]byte("altered"), nil})
+		missing := n.provider.acceptParts(values, []config.Digest{wanted}, [][]byte{[]byte("altered"), nil})
 		c.Assert(missing, qt.DeepEquals, []config.Digest{wanted})
 		c.Assert(values, qt.HasLen, 0)
-		missing = n.provider.take(values, missing, [][]byte{[]byte("good")})
+		missing = n.provider.acceptParts(values, missing, [][]byte{[]byte("good")})
 		c.Assert(missing, qt.HasLen, 0)
 		c.Assert(values[wanted], qt.DeepEquals, []byte("good"))
 	})
@@ -258,18 +259,18 @@
 	})
 }
 
-func TestHeartbeatsMakeUpForALostTable(t *testing.T) {
+func TestHeartbeatsReplaceLostTableUpdates(t *testing.T) {
 	run(t, 3, 1, func(c *qt.C, f *fleet) {
-		deaf := f.nodes["d02"]
-		deaf.mu.Lock()
-		deaf.listener = nil
-		deaf.mu.Unlock()
-		reads := deaf.storeReads()
+		withoutTable := f.nodes["d02"]
+		withoutTable.mu.Lock()
+		withoutTable.listener = nil
+		withoutTable.mu.Unlock()
+		reads := withoutTable.storeReads()
 		f.apply(2)
 		time.Sleep(3 * time.Second)
-		f.inForce(c, 2)
-		c.Assert(deaf.provider.Status().Source, qt.Equals, SourcePeer)
-		c.Assert(deaf.storeReads(), qt.Equals, reads)
+		f.assertGeneration(c, 2)
+		c.Assert(withoutTable.provider.Status().Source, qt.Equals, SourcePeer)
+		c.Assert(withoutTable.storeReads(), qt.Equals, reads)
 	})
 }
 
@@ -287,9 +288,9 @@
 	})
 }
 
-func TestNewerHeadThatCannotBeHadMakesStale(t *testing.T) {
+func TestUnavailableNewerHeadEndsFreshness(t *testing.T) {
 	run(t, 2, 1, func(c *qt.C, f *fleet) {
-		f.outage()
+		f.failStoreCalls()
 		p := f.nodes["d01"].provider
 		p.RecordHeartbeat(7, 0)
 		c.Assert(p.Status().Accepted, qt.Equals, uint64(7))
@@ -303,11 +304,11 @@
 	})
 }
 
-func TestFleetWithoutWatchersStillHearsOfChanges(t *testing.T) {
+func TestFleetWithoutWatchersReceivesChanges(t *testing.T) {
 	run(t, 3, 0, func(c *qt.C, f *fleet) {
 		f.apply(2)
 		time.Sleep(DefaultStaleAfter + probeAfter + probeSpread)
-		f.inForce(c, 2)
+		f.assertGeneration(c, 2)
 	})
 }
 
@@ -332,13 +333,13 @@
 			time.Sleep(pause)
 		}
 		time.Sleep(2 * time.Second)
-		f.inForce(c, changes+1)
+		f.assertGeneration(c, changes+1)
 	})
 }
 
-// TestResumedDaemonWaitsForNews: the clock of the guard is set back, as it is
-// found after the process stood still.
-func TestResumedDaemonWaitsForNews(t *testing.T) {
+// TestResumedDaemonWaitsForConfirmation guards against a daemon that accepts new work right after
+// a pause of its process, during which it may have missed a newer configuration.
+func TestResumedDaemonWaitsForConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(t, 5)
@@ -350,7 +351,7 @@
 		fresh := func() (bool, Reason) { return resumed.CheckFreshness(time.Now(), 2, 2, 2) }
 
 		reads := nodes[2].storeReads()
-		standStill(resumed)
+		simulatePause(resumed)
 		ok, reason := fresh()
 		c.Assert(ok, qt.IsFalse)
 		c.Assert(reason, qt.Equals, ReasonResumed)
@@ -360,12 +361,12 @@
 		c.Assert(reason, qt.Equals, ReasonConfirmed)
 		c.Assert(nodes[2].storeReads(), qt.Equals, reads+1)
 
-		// With the store down for all, the majority counts after a while.
-		f.outage()
-		standStill(resumed)
+		// If the store is down for all, the majority counts after resumeGracePeriod.
+		f.failStoreCalls()
+		simulatePause(resumed)
 		ok, _ = fresh()
 		c.Assert(ok, qt.IsFalse)
-		time.Sleep(resumeSettle)
+		time.Sleep(resumeGracePeriod)
 		ok, reason = fresh()
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonMajority)
@@ -373,7 +374,7 @@
 }
 
 // TestResumedDaemonAsksMostPeersDuringAnOutage guards against daemons that refuse all work for
-// seconds after a pause though most of their peers tell at once that nothing newer exists.
+// seconds after a pause although most of their peers report immediately that nothing newer exists.
 func TestResumedDaemonAsksMostPeersDuringAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -383,10 +384,10 @@
 		f.apply(1)
 		time.Sleep(2 * time.Second)
 		resumed := nodes[2].provider
-		f.outage()
+		f.failStoreCalls()
 		time.Sleep(20 * time.Second)
-		for range 2 { // What was asked after an earlier pause does not count.
-			standStill(resumed)
+		for range 2 { // Answers after an earlier pause do not count.
+			simulatePause(resumed)
 			ok, reason := resumed.CheckFreshness(time.Now(), 2, 2, 2)
 			c.Assert(ok, qt.IsFalse)
 			c.Assert(reason, qt.Equals, ReasonResumed)
@@ -394,7 +395,7 @@
 			ok, reason = resumed.CheckFreshness(time.Now(), 2, 2, 2)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(reason, qt.Equals, ReasonMajority)
-			// Not where the peers that answered are no majority.
+			// The peers that answered must be a majority of the live peers.
 			ok, _ = resumed.CheckFreshness(time.Now(), 5, 5, 5)
 			c.Assert(ok, qt.IsFalse)
 			time.Sleep(2 * time.Second)
@@ -402,10 +403,11 @@
 	})
 }
 
-func standStill(p *Provider) {
+// simulatePause sets back the time of the last check, as it is found after a pause.
+func simulatePause(p *Provider) {
 	p.pauses.mu.Lock()
 	defer p.pauses.mu.Unlock()
-	p.pauses.last = p.pauses.last.Add(-2 * pauseBound)
+	p.pauses.last = p.pauses.last.Add(-2 * pauseThreshold)
 }
 
 func TestNewRefusesMissingOptions(t *testing.T) {
@@ -413,18 +415,18 @@
 	qt.Assert(t, errors.Is(err, ErrOptions), qt.IsTrue)
 }
 
-// TestFleetUnderFaults plays a drawn schedule of changes, crashes, cuts, lost
-// calls, outages and lagging heads, and asserts that the generation never falls,
-// no snapshot is a mix, and all daemons end at the newest generation.
+// TestFleetUnderFaults guards against a generation that decreases, a snapshot that mixes two
+// configurations, and daemons that do not converge to the newest generation. It runs random
+// schedules of changes, crashes, partitions, lost calls, outages and outdated heads.
 func TestFleetUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		steps := rapid.SliceOfN(rapid.IntRange(0, 9), 5, 40).Draw(rt, "steps")
-		synctest.Test(t, func(t *testing.T) { playSchedule(t, seed, steps) })
+		synctest.Test(t, func(t *testing.T) { runSchedule(t, seed, steps) })
 	})
 }
 
-func playSchedule(t *testing.T, seed uint64, steps []int) {
+func runSchedule(t *testing.T, seed uint64, steps []int) {
 	f := newFleet(t, seed)
 	defer f.close()
 	random := rand.New(rand.NewPCG(seed, 2))
@@ -434,44 +436,44 @@
 		f.start(fmt.Sprintf("d%d", i), i < 2)
 	}
 	for i, step := range steps {
-		f.play(step, name(), int64(i+1), seed)
+		f.applyStep(step, name(), int64(i+1), seed)
 		time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 	}
 	f.store.SetFault(nil)
 	for i := range count {
-		f.setCut(fmt.Sprintf("d%d", i), false)
+		f.setIsolated(fmt.Sprintf("d%d", i), false)
 	}
 	last := f.apply(int64(len(steps) + 1))
 	time.Sleep(30 * time.Second)
-	f.inForce(qt.New(t), last)
+	f.assertGeneration(qt.New(t), last)
 }
 
-// play makes one step of a schedule.
-func (f *fleet) play(step int, name string, n int64, seed uint64) {
+// applyStep executes one step of a schedule.
+func (f *fleet) applyStep(step int, name string, n int64, seed uint64) {
 	switch step {
 	case 0, 1, 2:
-		// A change may get lost in an outage, or its fate be unknown.
+		// During an outage, the change may be lost or its result unknown.
 		_, _ = f.publisher().Apply(context.Background(), change(f.t, n))
 	case 3:
 		f.crash(name)
 		f.start(name, n%2 == 0)
 	case 4:
-		f.setCut(name, n%2 == 0)
+		f.setIsolated(name, n%2 == 0)
 	case 5:
-		f.outage()
+		f.failStoreCalls()
 	case 6:
 		f.store.SetFault(nil)
 	case 7:
-		f.unsteady(seed + uint64(n))
+		f.failRandomly(seed + uint64(n))
 	case 8:
-		f.reach(name, name).setWatching(n%2 == 0)
+		f.reachable(name, name).setWatching(n%2 == 0)
 	case 9:
 		f.replayOld(name)
 	}
 }
 
-// unsteady makes the store refuse and lose calls by chance.
-func (f *fleet) unsteady(seed uint64) {
+// failRandomly makes the store refuse or lose random calls.
+func (f *fleet) failRandomly(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	f.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict {
 		f.mu.Lock()
@@ -480,17 +482,16 @@
 	})
 }
 
-// replayOld lets a daemon hear the head that another one has in force, which
-// may lag behind.
+// replayOld delivers the heads in force on all daemons, which may be outdated, to one daemon.
 func (f *fleet) replayOld(name string) {
-	n := f.reach(name, name)
+	n := f.reachable(name, name)
 	for _, other := range f.names() {
-		peer := f.reach(other, other)
+		peer := f.reachable(other, other)
 		peer.provider.mu.Lock()
 		c := peer.provider.state.inForce
 		peer.provider.mu.Unlock()
 		if c != nil {
-			n.provider.fromTable(config.HeadKey, c.generation(), c.value)
+			n.provider.handleTableHead(config.HeadKey, c.generation(), c.value)
 		}
 	}
 }
--- a/provider/service.go
+++ b/provider/service.go
@@ -13,14 +13,14 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// maxRequestBytes bounds a request of a peer: every digest of a head.
+// maxRequestBytes limits the size of a request. It suffices for all digests of a head.
 const maxRequestBytes = config.MaxParts*40 + 4<<10
 
-// compressBytes is the size from which answers are compressed.
+// compressBytes is the size from which responses are compressed.
 const compressBytes = 4 << 10
 
-// Handler returns the path and the handler by which peers fetch the
-// configuration. It belongs on the listener of the peers.
+// Handler returns the path and the handler through which peers fetch the
+// configuration. It is meant for the listener for peers.
 func (p *Provider) Handler(options ...connect.HandlerOption) (string, http.Handler) {
 	options = append(options, connect.WithReadMaxBytes(maxRequestBytes), connect.WithCompressMinBytes(compressBytes))
 	return bronzeturnv1connect.NewConfigurationServiceHandler(&service{provider: p}, options...)
@@ -46,8 +46,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// FetchParts implements the ConfigurationService. What does not fit into one
-// answer is left out; the peer asks again.
+// FetchParts implements the ConfigurationService. Parts that do not fit into one
+// response are left out; the peer requests them again.
 func (s *service) FetchParts(_ context.Context, request *connect.Request[bronzeturnv1.FetchPartsRequest]) (*connect.Response[bronzeturnv1.FetchPartsResponse], error) {
 	response := &bronzeturnv1.FetchPartsResponse{}
 	size := 0
--- a/provider/state.go
+++ b/provider/state.go
@@ -9,7 +9,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Source tells where a head came from.
+// Source is where a head came from.
 type Source string
 
 // The sources of heads.
@@ -20,29 +20,29 @@
 	SourcePeer  Source = "peer"
 )
 
-// DivergentError reports a head that has the generation of another head but
-// not its content. It is never put in force.
+// DivergentError reports a head that has the same generation as a known head but
+// different content. Such a head never comes into force.
 type DivergentError struct {
 	Generation uint64
-	// Have is the digest of the head already known, Offered that of the refused one.
+	// Have is the digest of the known head, Offered that of the refused one.
 	Have, Offered config.Digest
 	Source        Source
 }
 
 // Error implements error.
 func (e *DivergentError) Error() string {
-	return fmt.Sprintf("generation %d from %s has another content than the known one", e.Generation, e.Source)
+	return fmt.Sprintf("generation %d from %s differs in content from the known head", e.Generation, e.Source)
 }
 
-// candidate is a head that may come into force.
+// candidate is a head that can come into force. A nil candidate has generation zero.
 type candidate struct {
 	head   *bronzeturnv1.Head
 	value  []byte
 	digest config.Digest
 	source Source
-	// seen is when the head was first offered.
+	// seen is when the head became pending.
 	seen time.Time
-	// confirmed is the latest time at which the store named the head.
+	// confirmed is the start of the latest read of the store that returned the head.
 	confirmed time.Time
 }
 
@@ -53,53 +53,54 @@
 	return c.head.GetGeneration()
 }
 
-// verdict is what becomes of an offered head.
+// verdict is the result of offering a head.
 type verdict int
 
 const (
-	// verdictOlder: a newer one is known. Nothing happens.
+	// verdictOlder: a newer head is known. The offered one is ignored.
 	verdictOlder verdict = iota
-	// verdictKnown: the very head is in force, pending or refused.
+	// verdictKnown: the same head is in force, pending or refused.
 	verdictKnown
-	// verdictDivergent: another content under a known generation.
+	// verdictDivergent: the content differs from the known head of the same generation.
 	verdictDivergent
 	// verdictNewer: the head becomes pending.
 	verdictNewer
 )
 
-// readLag is how far a read of the store may lie behind. Only a read that began
-// that long after a peer claimed a newer head contradicts the claim.
-const readLag = 2 * time.Second
+// maxReadLag is how far a read of the store may lag behind. Only a read that began
+// more than maxReadLag after a peer claimed a newer head refutes the claim.
+const maxReadLag = 2 * time.Second
 
-// state holds what a daemon knows of the configuration. Its methods decide
-// without I/O and without reading a clock.
+// state holds what a daemon knows about the configuration. Its methods perform no I/O
+// and do not read a clock.
 type state struct {
 	inForce *candidate
-	// pending is newer than inForce and waits for its parts.
+	// pending is newer than inForce and not yet installed, since its parts must be fetched.
 	pending *candidate
-	// refused is the last head that was refused whole.
+	// refused is the last head whose configuration was invalid.
 	refused *candidate
-	// problem is the last refusal that is still of interest, problemAt when it
-	// was found.
+	// problem is the last refusal that is still relevant, problemAt the time of the
+	// refusal.
 	problem   error
 	problemAt time.Time
-	// newest is the highest generation heard of.
+	// newest is the highest generation known to exist.
 	newest uint64
-	// behindSince is when a generation above the one in force was first heard
-	// of, zero when there is none.
+	// behindSince is when a generation newer than the one in force became known, zero
+	// if there is none.
 	behindSince time.Time
-	// confirmed is the latest time at which no newer head existed.
+	// confirmed is the latest time at which no newer head is known to have existed.
 	confirmed time.Time
-	// storeConfirmed is the same, as the store told this daemon itself.
+	// storeConfirmed is the same, counting only this daemon's own reads of the store.
 	storeConfirmed time.Time
-	// firstHand is the same, as a peer told this daemon itself.
-	firstHand time.Time
-	// asked are the peers that know no newer head, with the time of the question.
-	asked map[string]time.Time
+	// peerConfirmed is the same, counting only peers' responses to this daemon's queries.
+	peerConfirmed time.Time
+	// peerAnswers are the peers that reported no newer head when queried, with the time of
+	// the query.
+	peerAnswers map[string]time.Time
 }
 
-// offer takes note of a head and decides what becomes of it. The generation in
-// force never falls, and never changes its content.
+// offer records a head as pending if it is newer than those known, and returns the verdict.
+// The generation in force never decreases, and its content never changes.
 func (s *state) offer(c *candidate, now time.Time) (verdict, error) {
 	for _, known := range []*candidate{s.inForce, s.pending, s.refused} {
 		if known != nil && known.digest == c.digest {
@@ -110,37 +111,36 @@
 		return verdictOlder, nil
 	}
 	if c.generation() == s.inForce.generation() {
-		return verdictDivergent, s.diverge(s.inForce, c, now)
+		return verdictDivergent, s.recordDivergence(s.inForce, c, now)
 	}
 	if s.pending != nil && c.generation() < s.pending.generation() {
 		return verdictOlder, nil
 	}
 	if s.pending != nil && c.generation() == s.pending.generation() && c.source != SourceStore {
-		return verdictDivergent, s.diverge(s.pending, c, now)
+		return verdictDivergent, s.recordDivergence(s.pending, c, now)
 	}
 	s.pending = c
 	c.seen = now
-	s.hear(c.generation(), now)
+	s.recordGeneration(c.generation(), now)
 	return verdictNewer, nil
 }
 
-// diverge records a head whose generation is known with another content.
-func (s *state) diverge(known, c *candidate, now time.Time) error {
-	s.trouble(&DivergentError{Generation: c.generation(), Have: known.digest, Offered: c.digest, Source: c.source}, now)
+// recordDivergence records a head whose content differs from the known one of its generation.
+func (s *state) recordDivergence(known, c *candidate, now time.Time) error {
+	s.recordProblem(&DivergentError{Generation: c.generation(), Have: known.digest, Offered: c.digest, Source: c.source}, now)
 	return s.problem
 }
 
-// hear takes note of a generation that exists somewhere.
-func (s *state) hear(generation uint64, now time.Time) {
+// recordGeneration records that a generation exists.
+func (s *state) recordGeneration(generation uint64, now time.Time) {
 	s.newest = max(s.newest, generation)
 	if generation > s.inForce.generation() && s.behindSince.IsZero() {
 		s.behindSince = now
 	}
 }
 
-// install puts the candidate in force. It reports false if something at least
-// as new came into force in the meantime, or if the store named another head of
-// the same generation.
+// install puts the candidate in force. It returns false if a head at least as new has come
+// into force in the meantime, or if the store holds another head of the same generation.
 func (s *state) install(c *candidate) bool {
 	if c.generation() <= s.inForce.generation() {
 		return false
@@ -158,31 +158,31 @@
 	s.newest = max(s.newest, c.generation())
 	s.behindSince = time.Time{}
 	if s.newest > c.generation() {
-		// The newer one appeared after this one.
+		// The newer generation became known after this one was offered.
 		s.behindSince = c.seen
 	}
 	return true
 }
 
-// trouble records a refusal.
-func (s *state) trouble(err error, now time.Time) {
+// recordProblem records a refusal.
+func (s *state) recordProblem(err error, now time.Time) {
 	s.problem = err
 	s.problemAt = now
 }
 
-// refuse records that the candidate is bad. What was in force stays, and the
-// daemon does not count as behind unless a peer says that it runs a newer one.
+// refuse records that the candidate is invalid. The head in force remains, and the daemon
+// does not count as behind unless a peer reports that it runs a newer generation.
 func (s *state) refuse(c *candidate, err error, now time.Time) {
 	s.refused = c
-	s.trouble(err, now)
+	s.recordProblem(err, now)
 	if s.pending == c {
 		s.pending = nil
 		s.behindSince = time.Time{}
 	}
 }
 
-// confirmStore takes note that the store named this head at the given time. A
-// call that began before the last refusal says nothing about it.
+// confirmStore records that a read of the store that began at the given time returned the
+// head. A read that began before the last refusal does not clear the refusal.
 func (s *state) confirmStore(digest config.Digest, at time.Time) {
 	if s.pending != nil && s.pending.digest == digest {
 		s.pending.confirmed = at
@@ -194,7 +194,7 @@
 	}
 	s.confirmed = latest(s.confirmed, at)
 	s.storeConfirmed = latest(s.storeConfirmed, at)
-	if inForce && s.pending == nil && at.Sub(s.behindSince) > readLag {
+	if inForce && s.pending == nil && at.Sub(s.behindSince) > maxReadLag {
 		s.newest = s.inForce.generation()
 		s.behindSince = time.Time{}
 	}
@@ -204,11 +204,11 @@
 	}
 }
 
-// confirmPeer takes note of the generation in force on a peer, which was the
-// newest one newsAge ago. It tells whether the peer has a newer head to ask for.
+// confirmPeer records the generation in force on a peer, which was the newest one newsAge
+// ago. It reports whether the peer has a newer head than this daemon.
 func (s *state) confirmPeer(generation uint64, newsAge time.Duration, now time.Time) bool {
 	if generation > s.inForce.generation() {
-		s.hear(generation, now)
+		s.recordGeneration(generation, now)
 		return true
 	}
 	if generation == s.inForce.generation() {
--- a/provider/state_test.go
+++ b/provider/state_test.go
@@ -12,7 +12,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// newCandidate returns a head of a generation with a content of its own.
+// newCandidate returns a head with the given generation and content.
 func newCandidate(generation uint64, content string, source Source) *candidate {
 	head := &bronzeturnv1.Head{Generation: generation, Note: content}
 	value, err := proto.Marshal(head)
@@ -31,13 +31,14 @@
 	)
 }
 
-// TestGenerationNeverFalls offers heads in any order to the state.
+// TestGenerationNeverFalls guards against a generation in force that decreases or changes its
+// content. It offers, installs and refuses heads in random order.
 func TestGenerationNeverFalls(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := &state{}
 		now := time.Unix(0, 0)
 		content := make(map[uint64]string)
-		// begun are heads whose parts may have been fetched, however late.
+		// begun are heads whose parts may have been fetched, with any delay.
 		var begun []*candidate
 		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			now = now.Add(time.Second)
@@ -57,11 +58,11 @@
 				}
 			case 1:
 				if s.pending != nil {
-					s.refuse(s.pending, errCut, now)
+					s.refuse(s.pending, errUnreachable, now)
 				}
 			}
 			if s.inForce.generation() < before {
-				rt.Fatalf("went from %d to %d", before, s.inForce.generation())
+				rt.Fatalf("generation fell from %d to %d", before, s.inForce.generation())
 			}
 			if s.inForce == nil {
 				continue
@@ -82,18 +83,18 @@
 	v, err := s.offer(forged, now)
 	c.Assert(v, qt.Equals, verdictNewer)
 	c.Assert(err, qt.IsNil)
-	true3 := newCandidate(3, "true", SourceStore)
-	v, err = s.offer(true3, now)
+	genuine := newCandidate(3, "true", SourceStore)
+	v, err = s.offer(genuine, now)
 	c.Assert(v, qt.Equals, verdictNewer)
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.install(forged), qt.IsFalse)
-	c.Assert(s.install(true3), qt.IsTrue)
+	c.Assert(s.install(genuine), qt.IsTrue)
 	v, err = s.offer(forged, now)
 	c.Assert(v, qt.Equals, verdictDivergent)
 	c.Assert(err, qt.ErrorMatches, "generation 3 from table .*")
 }
 
-func TestNewsOfPeers(t *testing.T) {
+func TestPeerConfirmations(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := &state{}
@@ -101,16 +102,16 @@
 	_, err := s.offer(second, now)
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.install(second), qt.IsTrue)
-	// A peer that lags behind confirms nothing.
+	// A peer with an older generation confirms nothing.
 	c.Assert(s.confirmPeer(1, 0, now), qt.IsFalse)
 	c.Assert(s.confirmed.IsZero(), qt.IsTrue)
-	// A peer with the same generation hands on the age of its own news.
+	// A peer with the same generation passes on the age of its confirmation.
 	c.Assert(s.confirmPeer(2, 3*time.Second, now), qt.IsFalse)
 	c.Assert(s.confirmed, qt.Equals, now.Add(-3*time.Second))
-	// Older news does not replace newer news.
+	// An older confirmation does not replace a newer one.
 	c.Assert(s.confirmPeer(2, time.Minute, now), qt.IsFalse)
 	c.Assert(s.confirmed, qt.Equals, now.Add(-3*time.Second))
-	// A peer that is ahead shows that this daemon is behind.
+	// A peer with a newer generation shows that this daemon is behind.
 	c.Assert(s.confirmPeer(5, 0, now), qt.IsTrue)
 	c.Assert(s.newest, qt.Equals, uint64(5))
 	c.Assert(s.behindSince, qt.Equals, now)
--- a/provider/status.go
+++ b/provider/status.go
@@ -7,29 +7,29 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Status tells what is in force on a daemon.
+// Status describes the configuration of a daemon.
 type Status struct {
-	// Generation in force, zero when there is none.
+	// Generation is the generation in force, or zero if there is none.
 	Generation uint64
-	// Accepted is the newest generation that the daemon has heard of.
+	// Accepted is the newest generation known to the daemon.
 	Accepted uint64
-	// Source of the head in force.
+	// Source is the source of the head in force.
 	Source Source
-	// Rejected is the last refusal, nil when the newest head is in force. It is a
+	// Rejected is the last refusal that is still relevant, or nil. It is a
 	// *config.ValidationError, *config.PartError, *config.HeadError,
 	// *DivergentError or ErrHeadMissing.
 	Rejected error
-	// Confirmed is the latest time at which no newer head existed, zero if never.
+	// Confirmed is the latest time at which no newer head is known to have existed, or zero.
 	Confirmed time.Time
-	// StoreConfirmed is the same, as the store told this daemon itself.
+	// StoreConfirmed is the same, counting only this daemon's own reads of the store.
 	StoreConfirmed time.Time
-	// BehindSince is when a newer generation was first heard of, zero if there
-	// is none.
+	// BehindSince is when a newer generation became known, or zero if there is
+	// none.
 	BehindSince time.Time
 }
 
-// NewsAge returns the time since no newer head existed. Without any news it is
-// the longest duration.
+// NewsAge returns the time since the head in force was last known to be the newest. If it
+// never was, it returns the longest duration.
 func (s Status) NewsAge(now time.Time) time.Duration {
 	if s.Confirmed.IsZero() {
 		return 1<<63 - 1
@@ -37,10 +37,10 @@
 	return max(now.Sub(s.Confirmed), 0)
 }
 
-// ErrHeadMissing reports that the store holds no head although one was in force.
+// ErrHeadMissing reports that the store holds no head although one is in force.
 var ErrHeadMissing = errors.New("configuration head is missing in the store")
 
-// Status returns what is in force and what is known.
+// Status returns the current status.
 func (p *Provider) Status() Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,8 +59,8 @@
 	return s
 }
 
-// CheckFreshness tells whether the daemon may take new work, given how many of a sample of
-// its peers it hears, and how many live peers there are. See Decide.
+// CheckFreshness reports whether the daemon may accept new work, given the size of a sample of
+// its peers, how many of them it hears, and the number of live peers. See DecideFreshness.
 func (p *Provider) CheckFreshness(now time.Time, peersHeard, peersKnown, peersLive int) (bool, Reason) {
 	resumed := p.pauses.check()
 	s := p.Status()
@@ -74,27 +74,27 @@
 	if !s.BehindSince.IsZero() {
 		news.Behind = max(now.Sub(s.BehindSince), 1)
 	}
-	if p.unsure(resumed) {
+	if p.unconfirmedSinceResume(resumed) {
 		news.UnconfirmedSinceResume = max(time.Since(resumed), 1)
-		news.PeersAsked = p.askedSince(resumed)
+		news.PeersAnswered = p.peersAnsweredSince(resumed)
 	}
 	return DecideFreshness(news, p.staleAfter)
 }
 
-// headMissing reports that the store lost the head. What is in force stays.
-func (p *Provider) headMissing() {
+// reportMissingHead records that the store has lost the head. The head in force remains.
+func (p *Provider) reportMissingHead() {
 	if p.Snapshot() != nil {
 		p.reject(SourceStore, nil, ErrHeadMissing)
 	}
 }
 
-// metrics are the measurements of a provider.
+// metrics holds the metrics of a provider.
 type metrics struct {
-	refused  *prometheus.CounterVec
-	parts    *prometheus.CounterVec
-	older    prometheus.Counter
-	badParts prometheus.Counter
-	silent   prometheus.Counter
+	refused   *prometheus.CounterVec
+	parts     *prometheus.CounterVec
+	older     prometheus.Counter
+	badParts  prometheus.Counter
+	overtaken prometheus.Counter
 }
 
 func newMetrics(p *Provider, registerer prometheus.Registerer) (*metrics, error) {
@@ -108,17 +108,17 @@
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value)
 	}
 	m := &metrics{
-		refused:  vector("bronzeturn_configuration_refused_total", "Heads and configurations that were refused."),
-		parts:    vector("bronzeturn_configuration_parts_fetched_total", "Parts fetched."),
-		older:    counter("bronzeturn_configuration_older_heads_total", "Heads ignored because a newer one was known."),
-		badParts: counter("bronzeturn_configuration_bad_parts_total", "Parts whose content did not match the digest."),
-		silent:   counter("bronzeturn_configuration_watches_overtaken_total", "Watches dropped because a read was faster."),
+		refused:   vector("bronzeturn_configuration_refused_total", "Heads and configurations refused, by source."),
+		parts:     vector("bronzeturn_configuration_parts_fetched_total", "Configuration parts fetched, by source."),
+		older:     counter("bronzeturn_configuration_older_heads_total", "Heads ignored because a newer one was known."),
+		badParts:  counter("bronzeturn_configuration_bad_parts_total", "Parts whose content did not match the digest."),
+		overtaken: counter("bronzeturn_configuration_watches_overtaken_total", "Watches cancelled because a read returned a newer revision."),
 	}
 	for _, c := range []prometheus.Collector{
-		m.refused, m.parts, m.older, m.badParts, m.silent,
+		m.refused, m.parts, m.older, m.badParts, m.overtaken,
 		gauge("bronzeturn_configuration_generation", "Generation in force.", func() float64 { return float64(p.Status().Generation) }),
-		gauge("bronzeturn_configuration_accepted_generation", "Newest generation heard of.", func() float64 { return float64(p.Status().Accepted) }),
-		gauge("bronzeturn_configuration_news_age_seconds", "Time since no newer head existed.", func() float64 { return p.Status().NewsAge(time.Now()).Seconds() }),
+		gauge("bronzeturn_configuration_accepted_generation", "Newest known generation.", func() float64 { return float64(p.Status().Accepted) }),
+		gauge("bronzeturn_configuration_news_age_seconds", "Time since the head in force was last known to be the newest.", func() float64 { return p.Status().NewsAge(time.Now()).Seconds() }),
 	} {
 		if err := registerer.Register(c); err != nil {
 			return nil, err
--- a/provider/watch.go
+++ b/provider/watch.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// pollInterval is the pause between two reads of the head by a watcher. They
-	// confirm that there is no newer head, and find watches that went silent.
+	// pollInterval is the pause between two reads of the head by a watcher. The reads
+	// confirm that there is no newer head, and detect watches that hang.
 	pollInterval = time.Second
-	// watchTimeout ends a watch that is past the wait of the object API.
-	watchTimeout = 40 * time.Second
-	storeBackoff = 200 * time.Millisecond
-	storePauses  = 5 * time.Second
+	// watchTimeout ends a watch that exceeds the wait of the object API.
+	watchTimeout     = 40 * time.Second
+	storeBackoffBase = 200 * time.Millisecond
+	storeBackoffMax  = 5 * time.Second
 )
 
-// pollLoop reads the head again and again while this daemon watches.
+// pollLoop reads the head periodically while this daemon watches the store.
 func (p *Provider) pollLoop() error {
 	return p.whileWatching(func(ctx context.Context) {
-		pauses := &backoff.Backoff{Base: storeBackoff, Max: storePauses, Random: p.pollRandom}
+		pauses := &backoff.Backoff{Base: storeBackoffBase, Max: storeBackoffMax, Random: p.pollRandom}
 		for ctx.Err() == nil {
 			pause := pollInterval
 			if err := p.poll(ctx); err != nil {
@@ -47,21 +47,21 @@
 	defer cancel()
 	obj, err := p.store.Get(callCtx, config.HeadKey)
 	if errors.Is(err, objectstore.ErrNotFound) {
-		p.headMissing()
+		p.reportMissingHead()
 		return nil
 	}
 	if err != nil {
 		p.log.Debug().Err(err).Msg("head not read")
 		return err
 	}
-	p.fromStore(obj, start)
+	p.handleStoreHead(obj, start)
 	return nil
 }
 
-// watchLoop waits for changes of the head while this daemon watches.
+// watchLoop waits for changes of the head while this daemon watches the store.
 func (p *Provider) watchLoop() error {
 	return p.whileWatching(func(ctx context.Context) {
-		pauses := &backoff.Backoff{Base: storeBackoff, Max: storePauses, Random: p.watchRandom}
+		pauses := &backoff.Backoff{Base: storeBackoffBase, Max: storeBackoffMax, Random: p.watchRandom}
 		for ctx.Err() == nil {
 			err := p.watch(ctx)
 			if err == nil {
@@ -75,8 +75,8 @@
 	})
 }
 
-// watch makes one long poll. It is dropped when it takes too long, and when the
-// poll loop has read a revision that the watch should have told of.
+// watch makes one long poll. It is cancelled when it takes too long, and when
+// another read returned a revision that the watch should have returned.
 func (p *Provider) watch(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -86,7 +86,7 @@
 	overtaken := p.endWatch()
 	if err != nil {
 		if overtaken {
-			p.metrics.silent.Inc()
+			p.metrics.overtaken.Inc()
 			return nil
 		}
 		p.log.Debug().Err(err).Msg("watch failed")
@@ -94,13 +94,13 @@
 	}
 	for _, obj := range objects {
 		if obj.Key == config.HeadKey {
-			p.fromStore(obj, start)
+			p.handleStoreHead(obj, start)
 		}
 	}
 	return nil
 }
 
-// beginWatch notes the watch under way and returns the revision to watch after.
+// beginWatch registers the watch in progress and returns the revision to watch after.
 func (p *Provider) beginWatch(cancel context.CancelFunc) uint64 {
 	p.watching.Lock()
 	defer p.watching.Unlock()
@@ -109,7 +109,7 @@
 	return p.watching.revision
 }
 
-// endWatch tells whether the poll loop dropped the watch.
+// endWatch unregisters the watch and reports whether another read overtook it.
 func (p *Provider) endWatch() bool {
 	p.watching.Lock()
 	defer p.watching.Unlock()
@@ -117,8 +117,8 @@
 	return p.watching.overtaken
 }
 
-// seen notes a revision of the head and drops a watch that did not tell of it.
-func (p *Provider) seen(revision uint64) {
+// recordRevision records a revision of the head and cancels a watch in progress that missed it.
+func (p *Provider) recordRevision(revision uint64) {
 	p.watching.Lock()
 	defer p.watching.Unlock()
 	if revision <= p.watching.revision {
@@ -131,9 +131,9 @@
 	}
 }
 
-// fromStore takes a head that was in the store at some time after start.
-func (p *Provider) fromStore(obj objectstore.Object, start time.Time) {
-	p.seen(obj.Revision)
+// handleStoreHead processes a head returned by a read of the store that began at start.
+func (p *Provider) handleStoreHead(obj objectstore.Object, start time.Time) {
+	p.recordRevision(obj.Revision)
 	c, err := decodeCandidate(obj.Value, SourceStore)
 	if err != nil {
 		p.reject(SourceStore, obj.Value, err)
@@ -145,13 +145,13 @@
 	p.mu.Unlock()
 }
 
-// whileWatching runs f whenever this daemon watches, and ends it when it no
-// longer does.
+// whileWatching runs f while this daemon watches the store, and cancels its context when the
+// daemon stops watching.
 func (p *Provider) whileWatching(f func(ctx context.Context)) error {
 	for {
 		changed := p.watcher.Changed()
 		if p.watcher.Watching() {
-			p.session(f)
+			p.runUntilNotWatching(f)
 		} else {
 			select {
 			case <-changed:
@@ -164,8 +164,9 @@
 	}
 }
 
-// session runs f until the daemon stops watching or the provider ends.
-func (p *Provider) session(f func(ctx context.Context)) {
+// runUntilNotWatching runs f with a context that ends when the daemon stops watching the store
+// or the provider stops.
+func (p *Provider) runUntilNotWatching(f func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(p.tomb.Context(context.Background()))
 	defer cancel()
 	go func() {
@@ -185,7 +186,7 @@
 	f(ctx)
 }
 
-// retryAfter returns the pause that the object API asked for, if any.
+// retryAfter returns the pause that the object API requested, or zero.
 func retryAfter(err error) time.Duration {
 	var limited *objectstore.RateLimitError
 	if errors.As(err, &limited) {
