--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -1,10 +1,10 @@
-// Package bootstrap lets daemons find each other through one object of the
-// object API: the peer addresses of the daemons that registered last. Hosts are
-// replaced at any time, so a list in the settings alone would grow stale.
+// Package bootstrap lets daemons find each other through one object in the object API, which
+// holds the peer addresses of the daemons that registered most recently. Hosts can be
+// replaced at any time, so a list in the settings alone would become outdated.
 //
-// A daemon writes once at its start, unless it has found the fleet by other means
-// and others are to be listed. Afterwards it reads rarely, and writes again only when
-// most of the listed daemons are no longer known to be live.
+// A daemon writes to the object once at startup, unless it has found the fleet by other means
+// and enough other daemons are to be listed. Afterwards it reads the object rarely, and writes
+// again only when fewer than minLive of the listed daemons are known to be live.
 package bootstrap
 
 import (
@@ -26,23 +26,23 @@
 const Key = "members/seeds"
 
 const (
-	// maxSeeds bounds the listed daemons.
+	// maxSeeds is the maximum number of listed daemons.
 	maxSeeds = 24
-	// enoughLive is the number of listed live daemons with which nobody writes.
-	enoughLive = 3
-	// reviewInterval is the mean time between two reads after the start.
+	// minLive is the number of live daemons in the list from which nobody writes again.
+	minLive = 3
+	// reviewInterval is the mean interval between reads after startup.
 	reviewInterval = 10 * time.Minute
-	// retryBase and retryMax bound the pause after a failure.
+	// retryBase and retryMax bound the pause after a failed review.
 	retryBase = 200 * time.Millisecond
 	retryMax  = 15 * time.Second
-	// joinTime is how long a daemon that might not have to be listed waits to join
-	// the fleet before it decides, and settleTime by up to how much longer one that has
-	// found too few looks again: where 295 start together, half know 280 after 1.1 s, one
-	// in five too few after a second, and all after 3.6 s. Each that registers makes two
-	// calls and may meet a conflict with others that do.
-	joinTime   = 2 * time.Second
-	settleTime = 3 * time.Second
-	// callTimeout bounds one store call.
+	// joinWait is how long a daemon that may skip registration waits to join the fleet
+	// before it decides. A daemon that has found too few others by then waits again, for a
+	// random time of up to maxSettleWait. When 295 daemons start together, half of them know
+	// 280 others after 1.1 s, one in five knows too few after 1 s, and all know enough after
+	// 3.6 s. A registration takes two calls and can conflict with others.
+	joinWait      = 2 * time.Second
+	maxSettleWait = 3 * time.Second
+	// callTimeout limits one store call.
 	callTimeout = 3 * time.Second
 )
 
@@ -53,26 +53,27 @@
 	Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error)
 }
 
-// Options configure a Registrar. All fields but Spared and Joined are required.
+// Options configures a Registrar. All fields but SkipRegistration and HasJoined are required.
 type Options struct {
 	Store Store
 	// Self is this daemon.
 	Self *bronzeturnv1.Seed
-	// OnAddresses is called with the addresses of other daemons after each read.
+	// OnAddresses is called after each read with the listed addresses of other daemons.
 	OnAddresses func(addresses []string)
-	// IsLive tells whether a daemon is known to be live.
+	// IsLive reports whether a daemon is known to be live.
 	IsLive func(name string) bool
-	// SkipRegistration tells whether this daemon has found the fleet already and need not be
-	// listed, since enough others are. Nil means never.
+	// SkipRegistration reports whether this daemon has found the fleet and need not be
+	// listed, since enough others are. Nil means that it always registers.
 	SkipRegistration func() bool
-	// HasJoined tells whether this daemon knows any other. Nil means never.
+	// HasJoined reports whether this daemon knows any other daemon. Nil means that it
+	// registers without the second wait of maxSettleWait.
 	HasJoined func() bool
-	// Random is used for jitter by one goroutine.
+	// Random is used for jitter, only by Run.
 	Random *rand.Rand
 	Log    zerolog.Logger
 }
 
-// Registrar registers this daemon and finds others.
+// Registrar registers this daemon and finds other daemons.
 type Registrar struct {
 	Options
 }
@@ -80,22 +81,22 @@
 // New returns a Registrar.
 func New(o Options) *Registrar { return &Registrar{Options: o} }
 
-// Run registers this daemon and reviews the object from time to time, until
-// ctx ends. Failures are tried again with full jitter.
+// Run registers this daemon and reviews the object periodically until ctx ends. It retries
+// failed reviews with full jitter.
 func (r *Registrar) Run(ctx context.Context) error {
-	registered := r.isSpared(ctx)
-	if registered && backoff.Sleep(ctx, r.longPause()) != nil {
+	registered := r.waitToSkip(ctx)
+	if registered && backoff.Sleep(ctx, r.reviewPause()) != nil {
 		return nil
 	}
 	pauses := &backoff.Backoff{Base: retryBase, Max: retryMax, Random: r.Random}
 	for {
 		err := r.review(ctx, !registered)
-		pause := r.longPause()
+		pause := r.reviewPause()
 		if err == nil {
 			registered = true
 			pauses.Reset()
 		} else {
-			r.Log.Debug().Err(err).Msg("seeds not reviewed")
+			r.Log.Debug().Err(err).Msg("review of seeds failed")
 			pause = pauses.Next()
 		}
 		if backoff.Sleep(ctx, pause) != nil {
@@ -104,51 +105,52 @@
 	}
 }
 
-// longPause returns the time between two reads after the start.
-func (r *Registrar) longPause() time.Duration {
+// reviewPause returns a random pause between reads after startup.
+func (r *Registrar) reviewPause() time.Duration {
 	return reviewInterval/2 + time.Duration(r.Random.Int64N(int64(reviewInterval)))
 }
 
-// isSpared waits a little for the daemon to join the fleet, and tells whether it
-// neither has to be listed nor needs the list.
-func (r *Registrar) isSpared(ctx context.Context) bool {
+// waitToSkip waits for the daemon to join the fleet, and reports whether it can skip the
+// registration or ctx has ended.
+func (r *Registrar) waitToSkip(ctx context.Context) bool {
 	if r.SkipRegistration == nil {
 		return false
 	}
-	if backoff.Sleep(ctx, joinTime) != nil || r.SkipRegistration() {
+	if backoff.Sleep(ctx, joinWait) != nil || r.SkipRegistration() {
 		return true
 	}
 	if r.HasJoined == nil {
 		return false
 	}
 	if !r.HasJoined() {
-		r.look(ctx)
+		r.readOnly(ctx)
 	}
-	pause := time.Duration(r.Random.Int64N(int64(settleTime)))
+	pause := time.Duration(r.Random.Int64N(int64(maxSettleWait)))
 	return backoff.Sleep(ctx, pause) != nil || r.SkipRegistration()
 }
 
-// look reads the object for a daemon that has found nobody yet. It need not be listed
-// itself if it then finds the fleet: in a start of all, every daemon may be in this place
-// for a moment, and 288 of 295 that wrote met each other's conflicts for ten seconds.
-func (r *Registrar) look(ctx context.Context) {
+// readOnly reads the object without registering, for a daemon that has found no other daemon yet.
+// If it then finds the fleet, it need not be listed. When all daemons start together, every
+// daemon can be in this state for a moment: with 288 of 295 daemons writing, they conflicted
+// with each other for ten seconds.
+func (r *Registrar) readOnly(ctx context.Context) {
 	seeds, _, err := r.read(ctx)
 	if err != nil {
-		r.Log.Debug().Err(err).Msg("seeds not read")
+		r.Log.Debug().Err(err).Msg("read of seeds failed")
 		return
 	}
 	r.OnAddresses(r.others(seeds))
 }
 
-// review reads the object, passes on what it lists, and writes this daemon to
-// its front when asked to or when too few of the listed daemons are live.
+// review reads the object and passes the listed addresses to OnAddresses. It adds this daemon
+// to the front of the list if register is set or too few of the listed daemons are live.
 func (r *Registrar) review(ctx context.Context, register bool) error {
 	seeds, revision, err := r.read(ctx)
 	if err != nil {
 		return err
 	}
 	r.OnAddresses(r.others(seeds))
-	if !register && r.liveAmong(seeds) >= enoughLive {
+	if !register && r.countLive(seeds) >= minLive {
 		return nil
 	}
 	if !register && seeds.GetSeeds()[0].GetName() == r.Self.GetName() {
@@ -157,8 +159,8 @@
 	return r.write(ctx, r.withSelf(seeds), revision)
 }
 
-// read returns the object, or an empty one with revision zero. What can't be
-// decoded counts as empty: the object holds nothing that cannot be made anew.
+// read returns the list and its revision, which is zero if the object does not exist. An object
+// that cannot be decoded counts as an empty list, since registrations restore its content.
 func (r *Registrar) read(ctx context.Context) (*bronzeturnv1.Seeds, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -171,13 +173,13 @@
 		return nil, 0, fmt.Errorf("read seeds: %w", err)
 	}
 	if err := proto.Unmarshal(obj.Value, seeds); err != nil {
-		r.Log.Warn().Err(err).Msg("seeds are damaged and written anew")
+		r.Log.Warn().Err(err).Msg("seeds cannot be decoded and will be replaced")
 		seeds = &bronzeturnv1.Seeds{}
 	}
 	return seeds, obj.Revision, nil
 }
 
-// write stores the object if it did not change meanwhile. A lost answer is
+// write stores the list unless the object has changed since it was read. A lost response is
 // harmless: the next attempt moves this daemon to the front again.
 func (r *Registrar) write(ctx context.Context, seeds *bronzeturnv1.Seeds, revision uint64) error {
 	value, err := proto.Marshal(seeds)
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// others returns the addresses of all but this daemon.
+// others returns the addresses of all listed daemons but this one.
 func (r *Registrar) others(seeds *bronzeturnv1.Seeds) []string {
 	var addresses []string
 	for _, seed := range seeds.GetSeeds() {
@@ -209,8 +211,8 @@
 	return addresses
 }
 
-// liveAmong counts the listed daemons that are live, this one included.
-func (r *Registrar) liveAmong(seeds *bronzeturnv1.Seeds) int {
+// countLive returns the number of listed daemons that are live, including this one.
+func (r *Registrar) countLive(seeds *bronzeturnv1.Seeds) int {
 	count := 0
 	for _, seed := range seeds.GetSeeds() {
 		if seed.GetName() == r.Self.GetName() || r.IsLive(seed.GetName()) {
@@ -220,7 +222,7 @@
 	return count
 }
 
-// withSelf puts this daemon to the front, once, and keeps the bound.
+// withSelf returns the list with this daemon at the front and at most maxSeeds entries.
 func (r *Registrar) withSelf(seeds *bronzeturnv1.Seeds) *bronzeturnv1.Seeds {
 	next := &bronzeturnv1.Seeds{Seeds: []*bronzeturnv1.Seed{r.Self}}
 	for _, seed := range seeds.GetSeeds() {
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// daemon records what its registrar found.
+// daemon records the addresses that its registrar found.
 type daemon struct {
 	name  string
 	mu    sync.Mutex
@@ -25,7 +25,7 @@
 	stop  context.CancelFunc
 }
 
-// start runs a registrar for a daemon to which the named ones are live.
+// start runs a registrar whose IsLive function is live.
 func start(store *memstore.Store, number int, live func(string) bool) *daemon {
 	d := &daemon{name: fmt.Sprintf("entry-%d", number), found: make(map[string]bool)}
 	r := New(Options{
@@ -54,8 +54,8 @@
 	return d.found[address]
 }
 
-// flaky refuses and loses some of the first calls.
-func flaky(calls int64) memstore.Fault {
+// failFirstCalls refuses or loses some of the first calls.
+func failFirstCalls(calls int64) memstore.Fault {
 	var count atomic.Int64
 	return func(context.Context, memstore.Op, string) memstore.Verdict {
 		n := count.Add(1)
@@ -77,7 +77,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			store := memstore.New()
-			store.SetFault(flaky(calls))
+			store.SetFault(failFirstCalls(calls))
 			var all []*daemon
 			for i := range 6 {
 				all = append(all, start(store, i, func(string) bool { return true }))
@@ -89,7 +89,7 @@
 				c.Check(late.has(d.name+":1"), qt.IsTrue, qt.Commentf("%d faulty calls, %s", calls, d.name))
 				d.stop()
 			}
-			// Of any two, at least the later one knows the other.
+			// Of any two daemons, at least one knows the other.
 			for i, one := range all {
 				for _, other := range all[i+1:] {
 					c.Check(one.has(other.name+":1") || other.has(one.name+":1"), qt.IsTrue)
@@ -100,13 +100,13 @@
 	}
 }
 
-func TestReplacedDaemonsLeaveTheListToLiveOnes(t *testing.T) {
+func TestDeadDaemonsAreReplacedInTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		store := memstore.New()
 		survivor := start(store, 1000, func(string) bool { return false })
 		time.Sleep(time.Minute)
-		// More daemons than the list holds start and die at once.
+		// More daemons than fit into the list start and stop soon after.
 		for i := range maxSeeds + 4 {
 			d := start(store, i, func(string) bool { return true })
 			time.Sleep(time.Second)
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestSparedDaemonMakesNoCall(t *testing.T) {
+func TestDaemonThatSkipsRegistrationMakesNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		store := memstore.New()
@@ -139,12 +139,12 @@
 		}
 		done := make(chan error, 2)
 		go func() { done <- registrar(1).Run(ctx) }()
-		time.Sleep(2 * joinTime)
-		c.Check(store.Counts().Writes, qt.Equals, uint64(1), qt.Commentf("one that has not joined registers"))
+		time.Sleep(2 * joinWait)
+		c.Check(store.Counts().Writes, qt.Equals, uint64(1), qt.Commentf("a daemon that has not joined registers"))
 		joined.Store(true)
 		go func() { done <- registrar(2).Run(ctx) }()
 		reads := store.Counts().Reads
-		time.Sleep(2 * joinTime)
+		time.Sleep(2 * joinWait)
 		c.Check(store.Counts().Writes, qt.Equals, uint64(1))
 		c.Check(store.Counts().Reads, qt.Equals, reads)
 		cancel()
@@ -153,10 +153,10 @@
 	})
 }
 
-// TestLargeFleetThatStartsTogetherMakesFewCalls starts daemons together that come to know
-// the others in one to three seconds. Those that know too few after a second look again,
-// so that few beyond those whose place it is register; one that has found nobody reads at
-// once.
+// TestLargeFleetThatStartsTogetherMakesFewCalls guards against registrations by most daemons of a
+// fleet that starts together. The daemons learn of each other within one to three seconds;
+// those that know too few after joinWait must wait again. A daemon that has found no other
+// must read the object immediately after joinWait.
 func TestLargeFleetThatStartsTogetherMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet, listed = 295, 8
@@ -179,12 +179,12 @@
 			go func() { done <- registrar(n, knows, true).Run(ctx) }()
 		}
 		go func() { done <- registrar(fleet, time.Hour, false).Run(ctx) }()
-		time.Sleep(joinTime + time.Millisecond)
-		c.Check(store.Counts().Reads, qt.Equals, uint64(1), qt.Commentf("the one that knows nobody"))
+		time.Sleep(joinWait + time.Millisecond)
+		c.Check(store.Counts().Reads, qt.Equals, uint64(1), qt.Commentf("the daemon that knows no other"))
 		c.Check(store.Counts().Writes, qt.Equals, uint64(0))
-		time.Sleep(settleTime + time.Second)
+		time.Sleep(maxSettleWait + time.Second)
 		counts := store.Counts()
-		// Without the second look, all 147 that know the others late register.
+		// Without the second wait, all 147 daemons that learn of the others late register.
 		c.Check(counts.Reads+counts.Writes < 2*fleet/2, qt.IsTrue, qt.Commentf("%d reads, %d writes", counts.Reads, counts.Writes))
 		cancel()
 		for range fleet + 1 {
@@ -193,17 +193,17 @@
 	})
 }
 
-// TestFleetThatFindsNobodyForAMomentMakesFewCalls starts daemons together whose first
-// connections take a little longer than the wait for them: each reads once, and none but
-// those whose place it is writes.
-func TestFleetThatFindsNobodyForAMomentMakesFewCalls(t *testing.T) {
+// TestFleetThatConnectsLateMakesFewCalls guards against registrations by most daemons of a fleet
+// that starts together and whose first connections take slightly longer than joinWait. Each
+// daemon must read once, and few must write besides those that are to be listed.
+func TestFleetThatConnectsLateMakesFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleet, listed = 295, 8
 		c := qt.New(t)
 		store := memstore.New()
 		ctx, cancel := context.WithCancel(t.Context())
 		began := time.Now()
-		found := func() bool { return time.Since(began) >= joinTime+200*time.Millisecond }
+		found := func() bool { return time.Since(began) >= joinWait+200*time.Millisecond }
 		done := make(chan error, fleet)
 		for n := range fleet {
 			r := New(Options{
@@ -214,9 +214,10 @@
 			})
 			go func() { done <- r.Run(ctx) }()
 		}
-		time.Sleep(joinTime + settleTime + time.Second)
+		time.Sleep(joinWait + maxSettleWait + time.Second)
 		counts := store.Counts()
-		// One read each, and for those that write, or draw a pause of under 0.2 s, some.
+		// One read per daemon, and further calls of those that are to be listed or whose
+		// second wait is shorter than 0.2 s.
 		c.Check(counts.Reads+counts.Writes < 2*fleet, qt.IsTrue, qt.Commentf("%d reads, %d writes", counts.Reads, counts.Writes))
 		c.Check(counts.Writes < 60, qt.IsTrue, qt.Commentf("%d writes", counts.Writes))
 		cancel()
--- a/provider/freshness_test.go
+++ b/provider/freshness_test.go
@@ -13,7 +13,7 @@
 	const old = time.Minute
 	for _, tt := range []struct {
 		name   string
-		news   FreshnessInput
+		input  FreshnessInput
 		ok     bool
 		reason Reason
 	}{
@@ -37,7 +37,7 @@
 		{"newer head unavailable for too long", FreshnessInput{HasConfiguration: true, Behind: bound + 1, PeersHeard: 5, PeersKnown: 5}, false, ReasonBehind},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			ok, reason := DecideFreshness(tt.news, bound)
+			ok, reason := DecideFreshness(tt.input, bound)
 			qt.Assert(t, ok, qt.Equals, tt.ok)
 			qt.Assert(t, reason, qt.Equals, tt.reason)
 		})
--- a/provider/status.go
+++ b/provider/status.go
@@ -64,7 +64,7 @@
 func (p *Provider) CheckFreshness(now time.Time, peersHeard, peersKnown, peersLive int) (bool, Reason) {
 	resumed := p.pauses.check()
 	s := p.Status()
-	news := FreshnessInput{
+	input := FreshnessInput{
 		HasConfiguration: s.Generation > 0,
 		Age:              s.NewsAge(now),
 		PeersHeard:       peersHeard,
@@ -72,13 +72,13 @@
 		PeersLive:        peersLive,
 	}
 	if !s.BehindSince.IsZero() {
-		news.Behind = max(now.Sub(s.BehindSince), 1)
+		input.Behind = max(now.Sub(s.BehindSince), 1)
 	}
 	if p.unconfirmedSinceResume(resumed) {
-		news.UnconfirmedSinceResume = max(time.Since(resumed), 1)
-		news.PeersAnswered = p.peersAnsweredSince(resumed)
+		input.UnconfirmedSinceResume = max(time.Since(resumed), 1)
+		input.PeersAnswered = p.peersAnsweredSince(resumed)
 	}
-	return DecideFreshness(news, p.staleAfter)
+	return DecideFreshness(input, p.staleAfter)
 }
 
 // reportMissingHead records that the store has lost the head. The head in force remains.
