--- a/follow/follow.go
+++ b/follow/follow.go
@@ -58,7 +58,7 @@
 	NextPart int
 	// FetchNext requests the next part. It is nil when there is none.
 	FetchNext func(ctx context.Context) (*PullResponse, error)
-	// Names are those of all objects of the other daemon, if its history does not tell which
+	// Names are those of all objects of the other daemon, if its history does not show which
 	// objects were removed after the requested revision. Otherwise Names is nil.
 	Names []string
 	// Failing reports whether the store currently does not answer the other daemon.
@@ -154,7 +154,8 @@
 	// pullTimeout because the other daemon is known to answer, possibly serves several daemons
 	// at once, and a failure discards all parts received so far.
 	partTimeout = 4 * pullTimeout
-	// pullRetryPause is the pause after a pull that brought nothing.
+	// pullRetryPause is the pause after a failed pull, or after one that did not return an
+	// overdue revision.
 	pullRetryPause = 100 * time.Millisecond
 	// pullWait is how long a pull from the parent waits for changes. It is also the longest
 	// interval between two confirmations of a copy, and together with pullTimeout determines
