--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -132,12 +132,12 @@
 	f.members.Table().Subscribe(quarantine.TablePrefix, d.quarantine.ReceiveEntry)
 	registrar := bootstrap.New(bootstrap.Options{
 		Store: d.Store, Self: &bronzeturnv1.Seed{Name: d.Settings.Name, PeerAddress: d.Settings.PeerListen},
-		Found: f.addFoundSeeds,
-		Live: func(name string) bool {
+		OnAddresses: f.addFoundSeeds,
+		IsLive: func(name string) bool {
 			member, ok := f.members.View().Member(name)
 			return ok && member.State == membership.Live
 		},
-		Spared: f.registrationSpared, Joined: func() bool { return f.members.View().Live() > 1 },
+		SkipRegistration: f.registrationSpared, HasJoined: func() bool { return f.members.View().Live() > 1 },
 		Random: d.rand(randBootstrap), Log: logging.Part(d.log, "bootstrap"),
 	})
 	d.goLoop("bootstrap", registrar.Run)
@@ -205,7 +205,7 @@
 // receiveRevision passes the latest revision that any daemon has to the follower of its kind.
 func (f *fleet) receiveRevision(key string, revision uint64, _ []byte) {
 	if follower, ok := f.daemon.copies.of(strings.TrimPrefix(key, revisionPrefix)); ok {
-		follower.Heard(revision)
+		follower.NotifyRevision(revision)
 	}
 }
 
--- a/entry/passing_test.go
+++ b/entry/passing_test.go
@@ -166,7 +166,7 @@
 }
 
 // Pull implements follow.Peers.
-func (h *host) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*follow.Pulled, error) {
+func (h *host) Pull(ctx context.Context, _ string, after uint64, wait time.Duration) (*follow.PullResponse, error) {
 	from := h.place.parents[0]
 	if wait == 0 {
 		h.fleet.mu.Lock()
@@ -177,7 +177,7 @@
 	if err := h.send(ctx, requestBytes); err != nil {
 		return nil, err
 	}
-	p := other.follower.Await(ctx, after, wait)
+	p := other.follower.AwaitChanges(ctx, after, wait)
 	if p == nil {
 		return nil, errNotAnswered
 	}
@@ -186,11 +186,11 @@
 }
 
 // setFetchNext sets p.FetchNext to request the next part of the copy from another daemon.
-func (h *host) setFetchNext(p *follow.Pulled, other *host) {
+func (h *host) setFetchNext(p *follow.PullResponse, other *host) {
 	if p.NextPart == 0 {
 		return
 	}
-	p.FetchNext = func(ctx context.Context) (*follow.Pulled, error) {
+	p.FetchNext = func(ctx context.Context) (*follow.PullResponse, error) {
 		if err := h.send(ctx, requestBytes); err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 const compressionRatio = 4
 
 // responseSize returns the size of a pull response in bytes.
-func responseSize(p *follow.Pulled) int {
+func responseSize(p *follow.PullResponse) int {
 	size := entryBytes * len(p.Changes.Changed)
 	if p.Full {
 		size /= compressionRatio
@@ -239,7 +239,7 @@
 	for i, h := range f.hosts {
 		h.follower = follow.New(follow.Options{
 			Kind: "engines", Source: s, Peers: h, Apply: func(follow.Update) {}, Announce: f.announce,
-			Disturbed: func() {}, Random: rand.New(rand.NewPCG(1, uint64(len(i)))), Log: zerolog.Nop(),
+			OnWatchFailure: func() {}, Random: rand.New(rand.NewPCG(1, uint64(len(i)))), Log: zerolog.Nop(),
 		})
 	}
 	for _, h := range f.hosts {
@@ -253,7 +253,7 @@
 func (f *testFleet) announce(revision uint64) {
 	time.AfterFunc(50*time.Millisecond, func() {
 		for _, h := range f.hosts {
-			h.follower.Heard(revision)
+			h.follower.NotifyRevision(revision)
 		}
 	})
 }
