--- a/fleet.go
+++ b/fleet.go
@@ -105,8 +105,8 @@
 // owners are the preferred writers of the ledger's shards.
 type owners struct{ *membership.Membership }
 
-// Second implements ledger.Seconds.
-func (o owners) Second(key string) (name string, self bool) {
+// SecondOwner implements ledger.SecondOwners.
+func (o owners) SecondOwner(key string) (name string, self bool) {
 	view := o.View()
 	top := view.Top(key, 2)
 	if len(top) < 2 {
--- a/ledger/append.go
+++ b/ledger/append.go
@@ -156,11 +156,11 @@
 	key := shardKey(shard)
 	name, self := l.cfg.Owners.Owner(key)
 	writers, more := l.addWriter(writers, name, self)
-	seconds, ok := l.cfg.Owners.(Seconds)
+	seconds, ok := l.cfg.Owners.(SecondOwners)
 	if !ok || !more {
 		return writers
 	}
-	name, self = seconds.Second(key)
+	name, self = seconds.SecondOwner(key)
 	writers, _ = l.addWriter(writers, name, self)
 	return writers
 }
--- a/ledger/cluster_test.go
+++ b/ledger/cluster_test.go
@@ -74,8 +74,8 @@
 	return name, name == n.name
 }
 
-// Second implements Seconds: the next name in the alphabet.
-func (n *node) Second(key string) (string, bool) {
+// SecondOwner implements SecondOwners: the next name in the alphabet.
+func (n *node) SecondOwner(key string) (string, bool) {
 	owner, _ := n.Owner(key)
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -23,12 +23,12 @@
 	Owner(key string) (name string, self bool)
 }
 
-// Seconds is an optional extension of Owners: the daemon to ask when the
+// SecondOwners is an optional extension of Owners: the daemon to ask when the
 // preferred writer does not answer. Without it every asker then reads the
 // shard and writes itself.
-type Seconds interface {
-	// Second returns the daemon that comes next for the key.
-	Second(key string) (name string, self bool)
+type SecondOwners interface {
+	// SecondOwner returns the daemon that comes next for the key.
+	SecondOwner(key string) (name string, self bool)
 }
 
 // Dialer gives access to other daemons.
@@ -92,23 +92,23 @@
 
 // Defaults of Config.
 const (
-	DefaultFleetWrites    = 250
-	DefaultFallbackWrites = 100
-	DefaultBillPatience   = 150 * time.Millisecond
-	DefaultBufferRecords  = 200000
-	DefaultBufferBytes    = 64 << 20
-	DefaultBatchDelay     = 2 * time.Millisecond
-	DefaultOwnerTimeout   = 400 * time.Millisecond
-	DefaultStoreTimeout   = 2 * time.Second
-	DefaultDecideTimeout  = 1500 * time.Millisecond
-	DefaultIdleTimeout    = time.Minute
-	DefaultClaimRetention = 24 * time.Hour
-	DefaultAnswers        = time.Hour
-	DefaultPinIdle        = 2 * time.Hour
-	DefaultPinLimit       = 24 * time.Hour
-	DefaultBillRetention  = 6 * time.Hour
-	DefaultBillArchive    = 35 * 24 * time.Hour
-	DefaultAnswerBytes    = 4 << 10
+	DefaultFleetWrites     = 250
+	DefaultFallbackWrites  = 100
+	DefaultBillPatience    = 150 * time.Millisecond
+	DefaultBufferRecords   = 200000
+	DefaultBufferBytes     = 64 << 20
+	DefaultBatchDelay      = 2 * time.Millisecond
+	DefaultOwnerTimeout    = 400 * time.Millisecond
+	DefaultStoreTimeout    = 2 * time.Second
+	DefaultDecideTimeout   = 1500 * time.Millisecond
+	DefaultIdleTimeout     = time.Minute
+	DefaultClaimRetention  = 24 * time.Hour
+	DefaultAnswerRetention = time.Hour
+	DefaultPinIdle         = 2 * time.Hour
+	DefaultPinLimit        = 24 * time.Hour
+	DefaultBillRetention   = 6 * time.Hour
+	DefaultBillArchive     = 35 * 24 * time.Hour
+	DefaultAnswerBytes     = 4 << 10
 )
 
 // ErrConfig reports a Config that can't work.
@@ -175,7 +175,7 @@
 	setDefault(&c.DecideTimeout, DefaultDecideTimeout)
 	setDefault(&c.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&c.Retention.Claims, DefaultClaimRetention)
-	setDefault(&c.Retention.Answers, DefaultAnswers)
+	setDefault(&c.Retention.AnswerBodies, DefaultAnswerRetention)
 	setDefault(&c.Retention.PinIdle, DefaultPinIdle)
 	setDefault(&c.Retention.PinLimit, DefaultPinLimit)
 	setDefault(&c.Retention.Bills, DefaultBillRetention)
--- a/ledger/outage_test.go
+++ b/ledger/outage_test.go
@@ -162,11 +162,11 @@
 			r.Release()
 			billed++
 		}
-		qt.Assert(t, a.Headroom(), qt.IsFalse)
+		qt.Assert(t, a.BufferHasRoom(), qt.IsFalse)
 		qt.Assert(t, billed, qt.Equals, 9)
 		c.store.SetFault(nil)
 		time.Sleep(time.Minute)
-		qt.Assert(t, a.Headroom(), qt.IsTrue)
+		qt.Assert(t, a.BufferHasRoom(), qt.IsTrue)
 		checkBilledOnce(t, c, billed)
 	})
 }
--- a/ledger/reserve.go
+++ b/ledger/reserve.go
@@ -43,8 +43,8 @@
 	return &Reservation{box: o}, nil
 }
 
-// Headroom tells whether Reserve would succeed now.
-func (l *Ledger) Headroom() bool {
+// BufferHasRoom tells whether Reserve would succeed now.
+func (l *Ledger) BufferHasRoom() bool {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
 	return !l.outbox.fullWith(recordsPerRequest, reservedBytes)
--- a/ledger/shardlog_test.go
+++ b/ledger/shardlog_test.go
@@ -14,11 +14,11 @@
 )
 
 var testRetention = Retention{
-	Claims:   DefaultClaimRetention,
-	Answers:  DefaultAnswers,
-	PinIdle:  DefaultPinIdle,
-	PinLimit: DefaultPinLimit,
-	Bills:    DefaultBillRetention,
+	Claims:       DefaultClaimRetention,
+	AnswerBodies: DefaultAnswerRetention,
+	PinIdle:      DefaultPinIdle,
+	PinLimit:     DefaultPinLimit,
+	Bills:        DefaultBillRetention,
 }
 
 func loadedLog(t testing.TB, store Store, slots uint32) *shardLog {
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -12,9 +12,9 @@
 type Retention struct {
 	// Claims and their outcomes.
 	Claims time.Duration
-	// Answers is how long after the claim the body of the answer is kept.
+	// AnswerBodies is how long after the claim the body of the answer is kept.
 	// Later, status and digest remain.
-	Answers time.Duration
+	AnswerBodies time.Duration
 	// PinIdle after the last use of a conversation, PinLimit after its start.
 	PinIdle  time.Duration
 	PinLimit time.Duration
@@ -259,7 +259,7 @@
 
 // bodyLess is the time to expiry below which an answer's body is dropped.
 func (s *state) bodyLess() int64 {
-	return (s.retention.Claims - s.retention.Answers).Microseconds()
+	return (s.retention.Claims - s.retention.AnswerBodies).Microseconds()
 }
 
 // withoutBody returns the outcome without the answer's body. The original may
@@ -279,7 +279,7 @@
 
 // sweep removes expired entries when the last sweep is long enough ago.
 func (s *state) sweep() {
-	shortest := min(s.retention.Claims, s.retention.Answers, s.retention.PinIdle, s.retention.Bills)
+	shortest := min(s.retention.Claims, s.retention.AnswerBodies, s.retention.PinIdle, s.retention.Bills)
 	if s.clock-s.swept < (shortest / sweepFraction).Microseconds() {
 		return
 	}
--- a/ledger/state_test.go
+++ b/ledger/state_test.go
@@ -105,8 +105,8 @@
 		s.sweep()
 		return s.lookup(ClassClaim, fingerprint(claim.Fingerprint)).GetClaim().GetOutcome()
 	}
-	qt.Assert(t, string(pass(DefaultAnswers/2).Body), qt.Equals, "answer")
-	out := pass(DefaultAnswers)
+	qt.Assert(t, string(pass(DefaultAnswerRetention/2).Body), qt.Equals, "answer")
+	out := pass(DefaultAnswerRetention)
 	qt.Assert(t, out.BodyKept, qt.IsFalse)
 	qt.Assert(t, out.Body, qt.IsNil)
 	qt.Assert(t, out.State, qt.Equals, wireStates[StateDone])
