--- a/ledger/bill.go
+++ b/ledger/bill.go
@@ -22,7 +22,7 @@
 	At time.Time
 }
 
-// Durability tells where a record is when Bill or Complete returns.
+// Durability tells where a record is when Bill or CompleteClaim returns.
 type Durability int
 
 // The degrees of durability, best first. A record in DurabilityCopied is lost
@@ -51,7 +51,7 @@
 // Bill records the bill of a request once, however often it is called with the
 // same organisation and request id. It returns when the bill is in the store
 // or, if that takes longer than Config.BillPatience, copied to a second daemon.
-// The bill is written in any case for as long as a holder lives. Call Reserve
+// The bill is written in any case for as long as a holder lives. Call ReserveBuffer
 // before dispatch, so that there is room for it.
 func (l *Ledger) Bill(ctx context.Context, b Bill) (Durability, error) {
 	fp := fingerprintOf(ClassBill, b.Organisation, b.RequestID)
--- a/ledger/bounds_test.go
+++ b/ledger/bounds_test.go
@@ -129,7 +129,7 @@
 	_, err := n.Bill(ctx, Bill{Organisation: "org", RequestID: id, Version: "v"})
 	qt.Check(t, err, qt.IsNil)
 	if claimed {
-		_, err := n.Complete(ctx, CompleteRequest{Organisation: "org", Key: id, Ticket: r.Ticket, State: StateDone})
+		_, err := n.CompleteClaim(ctx, CompleteRequest{Organisation: "org", Key: id, Ticket: r.Ticket, State: StateDone})
 		qt.Check(t, err, qt.IsNil)
 	}
 	return claim
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -247,9 +247,9 @@
 	Outcome *Outcome
 }
 
-// Complete records the outcome of a claim. Like Bill it returns when the record
+// CompleteClaim records the outcome of a claim. Like Bill it returns when the record
 // is in the store or, after a short wait, copied to a second daemon.
-func (l *Ledger) Complete(ctx context.Context, req CompleteRequest) (Durability, error) {
+func (l *Ledger) CompleteClaim(ctx context.Context, req CompleteRequest) (Durability, error) {
 	fp := fingerprintOf(ClassClaim, req.Organisation, req.Key)
 	out := &bronzeturnv1.LedgerOutcome{State: wireStates[req.State]}
 	if o := req.Outcome; o != nil {
@@ -264,15 +264,15 @@
 	return l.record(ctx, outcomeRecord(fp, req.Ticket.Nonce, out))
 }
 
-// waitPoll bounds how often Wait asks for the state of a claim.
+// waitPoll bounds how often WaitForClaim asks for the state of a claim.
 const (
 	waitPollMin = 50 * time.Millisecond
 	waitPollMax = time.Second
 )
 
-// Wait returns the state of a claim when it is no longer running, or as it
+// WaitForClaim returns the state of a claim when it is no longer running, or as it
 // stands when ctx ends. ok is false when there is no such claim.
-func (l *Ledger) Wait(ctx context.Context, organisation, key string) (result ClaimResult, ok bool, err error) {
+func (l *Ledger) WaitForClaim(ctx context.Context, organisation, key string) (result ClaimResult, ok bool, err error) {
 	fp := fingerprintOf(ClassClaim, organisation, key)
 	poll := waitPollMin
 	for {
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -153,7 +153,7 @@
 		req.State = StateDone
 		req.Outcome = NewOutcome(200, "", "v", []byte("ok"))
 	}
-	n.Complete(context.Background(), req)
+	n.CompleteClaim(context.Background(), req)
 }
 
 func (r *run) sawVersion(key int, version string) {
@@ -166,14 +166,14 @@
 }
 
 func (r *run) pin(n *node, key int) {
-	res, err := n.Pin(context.Background(), PinRequest{"org", fmt.Sprint("c", key), "v-" + n.name})
+	res, err := n.PinVersion(context.Background(), PinRequest{"org", fmt.Sprint("c", key), "v-" + n.name})
 	if err == nil {
 		r.sawVersion(key, res.Version)
 	}
 }
 
 func (r *run) pinned(n *node, key int) {
-	version, ok, err := n.Pinned(context.Background(), "org", fmt.Sprint("c", key))
+	version, ok, err := n.PinnedVersion(context.Background(), "org", fmt.Sprint("c", key))
 	if err == nil && ok {
 		r.sawVersion(key, version)
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -72,14 +72,14 @@
 	OwnerTimeout time.Duration
 	// StoreTimeout bounds one store call.
 	StoreTimeout time.Duration
-	// DecideTimeout bounds Claim and Pin.
+	// DecideTimeout bounds Claim and PinVersion.
 	DecideTimeout time.Duration
 	// IdleTimeout is when an unused shard's memory is given back.
 	IdleTimeout time.Duration
 	Retention   Retention
 	// BillArchive is how long itemised bills are kept.
 	BillArchive time.Duration
-	// BillPatience is how long Bill and Complete wait for the store before they
+	// BillPatience is how long Bill and CompleteClaim wait for the store before they
 	// settle for a second copy.
 	BillPatience time.Duration
 	// BufferRecords and BufferBytes bound the records that wait for the store,
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -64,10 +64,10 @@
 
 		done := make(chan ClaimResult, 1)
 		go func() {
-			got, _, _ := a.Wait(ctx, "org", "k")
+			got, _, _ := a.WaitForClaim(ctx, "org", "k")
 			done <- got
 		}()
-		d, err := b.Complete(ctx, CompleteRequest{
+		d, err := b.CompleteClaim(ctx, CompleteRequest{
 			Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateDone,
 			Outcome: NewOutcome(200, "text/plain", "v1", []byte("tagged")),
 		})
@@ -88,7 +88,7 @@
 		_, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
 		c.crash(a)
-		got, ok, err := b.Wait(t.Context(), "org", "k")
+		got, ok, err := b.WaitForClaim(t.Context(), "org", "k")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, got.State, qt.Equals, StateUnknown)
@@ -105,7 +105,7 @@
 		a := c.start(t, "a")
 		r, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
-		_, err = a.Complete(t.Context(), CompleteRequest{Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateNotRun})
+		_, err = a.CompleteClaim(t.Context(), CompleteRequest{Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateNotRun})
 		qt.Assert(t, err, qt.IsNil)
 		again, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
@@ -185,7 +185,7 @@
 		results := make([]PinResult, 2)
 		for i, n := range []*node{a, b} {
 			wg.Go(func() {
-				r, err := n.Pin(t.Context(), PinRequest{"org", "conv", "v-" + n.name})
+				r, err := n.PinVersion(t.Context(), PinRequest{"org", "conv", "v-" + n.name})
 				qt.Check(t, err, qt.IsNil)
 				results[i] = r
 			})
@@ -193,11 +193,11 @@
 		wg.Wait()
 		qt.Assert(t, results[0].Version, qt.Equals, results[1].Version)
 		qt.Assert(t, results[0].Created != results[1].Created, qt.IsTrue)
-		version, ok, err := b.Pinned(t.Context(), "org", "conv")
+		version, ok, err := b.PinnedVersion(t.Context(), "org", "conv")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, version, qt.Equals, results[0].Version)
-		_, ok, err = b.Pinned(t.Context(), "other org", "conv")
+		_, ok, err = b.PinnedVersion(t.Context(), "other org", "conv")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
--- a/ledger/outage_test.go
+++ b/ledger/outage_test.go
@@ -150,7 +150,7 @@
 		c.store.SetFault(refuseAll)
 		billed := 0
 		for {
-			r, err := a.Reserve()
+			r, err := a.ReserveBuffer()
 			if err != nil {
 				f := failure.From(err)
 				qt.Assert(t, f.Ran, qt.Equals, failure.RanNo)
@@ -177,15 +177,15 @@
 		c := newCluster()
 		defer c.stop()
 		a := c.start(t, "a")
-		_, err := a.Pin(t.Context(), PinRequest{"org", "known", "v1"})
+		_, err := a.PinVersion(t.Context(), PinRequest{"org", "known", "v1"})
 		qt.Assert(t, err, qt.IsNil)
 		c.store.SetFault(refuseAll)
 		time.Sleep(DefaultPinIdle * 3 / 4)
-		version, ok, err := a.Pinned(t.Context(), "org", "known")
+		version, ok, err := a.PinnedVersion(t.Context(), "org", "known")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, version, qt.Equals, "v1")
-		_, err = a.Pin(t.Context(), PinRequest{"org", "new", "v1"})
+		_, err = a.PinVersion(t.Context(), PinRequest{"org", "new", "v1"})
 		qt.Assert(t, failure.From(err).Code, qt.Equals, failure.CodeLedgerUnavailable)
 		qt.Assert(t, failure.From(err).Ran, qt.Equals, failure.RanNo)
 	})
@@ -225,7 +225,7 @@
 		defer c.stop()
 		for i, n := range nodes {
 			c.holders[n.name] = []string{nodes[(i+1)%3].name}
-			_, err := n.Pin(t.Context(), PinRequest{"org", "known-" + n.name, "v"})
+			_, err := n.PinVersion(t.Context(), PinRequest{"org", "known-" + n.name, "v"})
 			qt.Assert(t, err, qt.IsNil)
 		}
 		c.store.SetFault(refuseAll)
@@ -246,9 +246,9 @@
 			_, err := n.Claim(t.Context(), claimRequest(fmt.Sprint("k", i), "body"))
 			refusedSoon(err, start)
 			start = time.Now()
-			_, err = n.Pin(t.Context(), PinRequest{"org", fmt.Sprint("new-", i), "v"})
+			_, err = n.PinVersion(t.Context(), PinRequest{"org", fmt.Sprint("new-", i), "v"})
 			refusedSoon(err, start)
-			_, ok, err := n.Pinned(t.Context(), "org", "known-"+n.name)
+			_, ok, err := n.PinnedVersion(t.Context(), "org", "known-"+n.name)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, ok, qt.IsTrue)
 			d, err := n.Bill(t.Context(), billNumber(billed))
--- a/ledger/outbox.go
+++ b/ledger/outbox.go
@@ -104,7 +104,7 @@
 }
 
 // add puts a record at the end of its lane and calls onDone, if not nil, when
-// it is settled. Reserve has made room for it.
+// it is settled. ReserveBuffer has made room for it.
 func (o *outbox) add(rec *bronzeturnv1.LedgerRecord, onDone func()) *outItem {
 	item := &outItem{
 		record: rec,
--- a/ledger/pin.go
+++ b/ledger/pin.go
@@ -22,9 +22,9 @@
 	Created bool
 }
 
-// Pin settles the version of a conversation: the first one stands. An error
+// PinVersion settles the version of a conversation: the first one stands. An error
 // means that the version is not settled and nothing may be dispatched.
-func (l *Ledger) Pin(ctx context.Context, req PinRequest) (PinResult, error) {
+func (l *Ledger) PinVersion(ctx context.Context, req PinRequest) (PinResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.DecideTimeout)
 	defer cancel()
 	fp := fingerprintOf(ClassPin, req.Organisation, req.Conversation)
@@ -67,10 +67,10 @@
 	return version
 }
 
-// Pinned returns the version of a conversation. ok is false when none is
-// known; only Pin decides whether the conversation is new. Using a conversation
+// PinnedVersion returns the version of a conversation. ok is false when none is
+// known; only PinVersion decides whether the conversation is new. Using a conversation
 // prolongs its pin in the background.
-func (l *Ledger) Pinned(ctx context.Context, organisation, conversation string) (version string, ok bool, err error) {
+func (l *Ledger) PinnedVersion(ctx context.Context, organisation, conversation string) (version string, ok bool, err error) {
 	fp := fingerprintOf(ClassPin, organisation, conversation)
 	version, fresh := l.pins.get(fp)
 	if fresh {
--- a/ledger/reserve.go
+++ b/ledger/reserve.go
@@ -28,10 +28,10 @@
 	})
 }
 
-// Reserve makes room for the outcome and the bill of one request before it is
-// dispatched. Release the reservation after Bill and Complete. When the buffer
+// ReserveBuffer makes room for the outcome and the bill of one request before it is
+// dispatched. Release the reservation after Bill and CompleteClaim. When the buffer
 // is full, the request is refused before it runs.
-func (l *Ledger) Reserve() (*Reservation, error) {
+func (l *Ledger) ReserveBuffer() (*Reservation, error) {
 	o := l.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,7 +43,7 @@
 	return &Reservation{box: o}, nil
 }
 
-// BufferHasRoom tells whether Reserve would succeed now.
+// BufferHasRoom tells whether ReserveBuffer would succeed now.
 func (l *Ledger) BufferHasRoom() bool {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
--- a/router/admit.go
+++ b/router/admit.go
@@ -31,7 +31,7 @@
 
 // admit reserves room for the bill first, then waits for a place.
 func (r *Router) admit(ctx context.Context, c *call, d selection.Decision) (*grant, *failure.Error) {
-	reservation, err := r.Ledger.Reserve()
+	reservation, err := r.Ledger.ReserveBuffer()
 	if err != nil {
 		return nil, failure.From(err)
 	}
--- a/router/chat.go
+++ b/router/chat.go
@@ -90,7 +90,7 @@
 		return r.choose(c, c.chat.model)
 	}
 	org := c.organisation.GetName()
-	version, ok, err := r.Ledger.Pinned(ctx, org, c.conversation)
+	version, ok, err := r.Ledger.PinnedVersion(ctx, org, c.conversation)
 	if err != nil {
 		return selection.Decision{}, failure.From(err)
 	}
@@ -107,7 +107,7 @@
 	if f != nil {
 		return decision, f
 	}
-	pinned, err := r.Ledger.Pin(ctx, pinRequest(c, decision.Version))
+	pinned, err := r.Ledger.PinVersion(ctx, pinRequest(c, decision.Version))
 	if err != nil {
 		return decision, failure.From(err)
 	}
--- a/router/claim.go
+++ b/router/claim.go
@@ -10,12 +10,12 @@
 
 // Ledger settles, for all daemons, who was first.
 type Ledger interface {
-	Reserve() (*ledger.Reservation, error)
+	ReserveBuffer() (*ledger.Reservation, error)
 	Claim(ctx context.Context, req ledger.ClaimRequest) (ledger.ClaimResult, error)
-	Complete(ctx context.Context, req ledger.CompleteRequest) (ledger.Durability, error)
-	Wait(ctx context.Context, organisation, key string) (ledger.ClaimResult, bool, error)
-	Pin(ctx context.Context, req ledger.PinRequest) (ledger.PinResult, error)
-	Pinned(ctx context.Context, organisation, conversation string) (string, bool, error)
+	CompleteClaim(ctx context.Context, req ledger.CompleteRequest) (ledger.Durability, error)
+	WaitForClaim(ctx context.Context, organisation, key string) (ledger.ClaimResult, bool, error)
+	PinVersion(ctx context.Context, req ledger.PinRequest) (ledger.PinResult, error)
+	PinnedVersion(ctx context.Context, organisation, conversation string) (string, bool, error)
 	Bill(ctx context.Context, b ledger.Bill) (ledger.Durability, error)
 }
 
@@ -66,7 +66,7 @@
 // replay answers a repeated request from the claim that was first.
 func (r *Router) replay(ctx context.Context, a *answer, c *call, result ledger.ClaimResult) *failure.Error {
 	if result.State == ledger.StateRunning {
-		settled, ok, err := r.Ledger.Wait(ctx, c.organisation.GetName(), c.ledgerKey())
+		settled, ok, err := r.Ledger.WaitForClaim(ctx, c.organisation.GetName(), c.ledgerKey())
 		if err != nil {
 			return failure.From(err)
 		}
@@ -105,7 +105,7 @@
 	if !held.held {
 		return
 	}
-	_, err := r.Ledger.Complete(ctx, ledger.CompleteRequest{
+	_, err := r.Ledger.CompleteClaim(ctx, ledger.CompleteRequest{
 		Organisation: c.organisation.GetName(),
 		Key:          c.ledgerKey(),
 		Ticket:       held.ticket,
--- a/router/service.go
+++ b/router/service.go
@@ -59,7 +59,7 @@
 	if f := c.requireKey(); f != nil {
 		return f
 	}
-	reservation, err := r.Ledger.Reserve()
+	reservation, err := r.Ledger.ReserveBuffer()
 	if err != nil {
 		return failure.From(err)
 	}
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -417,12 +417,12 @@
 	return d, err
 }
 
-// Complete implements Ledger.
-func (l *spyLedger) Complete(ctx context.Context, r ledger.CompleteRequest) (ledger.Durability, error) {
+// CompleteClaim implements Ledger.
+func (l *spyLedger) CompleteClaim(ctx context.Context, r ledger.CompleteRequest) (ledger.Durability, error) {
 	l.mu.Lock()
 	l.completed = append(l.completed, r)
 	l.mu.Unlock()
-	return l.Ledger.Complete(ctx, r)
+	return l.Ledger.CompleteClaim(ctx, r)
 }
 
 // billsOf returns the bills of a request.
