--- a/ledger/append.go
+++ b/ledger/append.go
@@ -13,28 +13,30 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// ownerRetry is how long a preferred writer that did not answer is left alone.
-const ownerRetry = 2 * time.Second
+// ownerRetryDelay is how long a preferred writer that did not answer is not
+// asked again.
+const ownerRetryDelay = 2 * time.Second
 
-// errVerdicts reports an answer that doesn't fit its question.
-var errVerdicts = errors.New("preferred writer sent a wrong number of verdicts")
+// errVerdictMismatch reports an answer that does not fit the records it was
+// asked about.
+var errVerdictMismatch = errors.New("verdicts do not match the records")
 
-// ownerHealth remembers which daemons did not answer lately.
+// ownerHealth tracks the daemons that recently did not answer.
 type ownerHealth struct {
-	mu    sync.Mutex
-	until map[string]time.Time
+	mu      sync.Mutex
+	retryAt map[string]time.Time
 }
 
 func newOwnerHealth() *ownerHealth {
-	return &ownerHealth{until: make(map[string]time.Time)}
+	return &ownerHealth{retryAt: make(map[string]time.Time)}
 }
 
 func (o *ownerHealth) usable(name string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	until, ok := o.until[name]
+	until, ok := o.retryAt[name]
 	if ok && time.Now().After(until) {
-		delete(o.until, name)
+		delete(o.retryAt, name)
 		return true
 	}
 	return !ok
@@ -43,21 +45,22 @@
 func (o *ownerHealth) failed(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.until[name] = time.Now().Add(ownerRetry)
+	o.retryAt[name] = time.Now().Add(ownerRetryDelay)
 }
 
-// urgency tells what to do when the preferred writer lives but its store
-// fails.
-type urgency int
+// storeFailurePolicy selects what appendAll does when a preferred writer
+// answers that it could not write.
+type storeFailurePolicy int
 
 const (
-	// urgent records are then written by this daemon, which may reach the store.
-	urgent urgency = iota
-	// patient records are then left for later.
-	patient
+	// writeLocally tries the next writer and at last this daemon, which may
+	// still reach the store.
+	writeLocally storeFailurePolicy = iota
+	// retryLater returns an error, and the caller tries again later.
+	retryLater
 )
 
-// append settles one record, see appendAll.
+// append settles one record; see appendAll.
 func (l *Ledger) append(ctx context.Context, rec *bronzeturnv1.LedgerRecord) (*bronzeturnv1.LedgerVerdict, error) {
 	if err := l.waitOpen(ctx); err != nil {
 		return nil, &NotWrittenError{Cause: err}
@@ -66,74 +69,77 @@
 	if err != nil {
 		return nil, &NotWrittenError{Cause: err}
 	}
-	verdicts, err := l.appendAll(ctx, s.id, []*bronzeturnv1.LedgerRecord{rec}, urgent)
+	verdicts, err := l.appendAll(ctx, s.id, []*bronzeturnv1.LedgerRecord{rec}, writeLocally)
 	if err != nil {
 		return nil, err
 	}
 	return verdicts[0], nil
 }
 
-// appendAll settles records of one shard: by the preferred writer, else the
-// second, else by this daemon itself. After a NotWrittenError none of them
-// will be in the log; after another one each may be, now or later.
-func (l *Ledger) appendAll(ctx context.Context, id uint32, records []*bronzeturnv1.LedgerRecord, u urgency) ([]*bronzeturnv1.LedgerVerdict, error) {
+// appendAll settles records of one shard: through the preferred writer, else
+// through the second owner, else by writing from this daemon. After a
+// NotWrittenError none of the records will be in the log. After any other error
+// each of them may be in the log, now or later.
+func (l *Ledger) appendAll(ctx context.Context, id uint32, records []*bronzeturnv1.LedgerRecord, policy storeFailurePolicy) ([]*bronzeturnv1.LedgerVerdict, error) {
 	s, err := l.shardByID(id)
 	if err != nil {
 		return nil, &NotWrittenError{Cause: err}
 	}
-	unsure := false // a writer that did not answer may have written
+	mayBeWritten := false // set once a writer did not answer, as it may have written
 	for _, w := range l.writersOf(id) {
 		verdicts, err := l.askOwner(ctx, w.client, id, records)
 		if err == nil {
 			l.metrics.forwarded.Add(float64(len(records)))
 			return verdicts, nil
 		}
-		lives := ownerLives(err)
-		unsure = unsure || !lives
-		if ctx.Err() != nil || (lives && u == patient) {
-			return nil, ownerError(w.name, err, unsure)
+		responded := ownerResponded(err)
+		mayBeWritten = mayBeWritten || !responded
+		if ctx.Err() != nil || (responded && policy == retryLater) {
+			return nil, ownerError(w.name, err, mayBeWritten)
 		}
-		if !lives {
+		if !responded {
 			l.owners.failed(w.name)
 		}
 		l.logger.Warn().Err(err).Uint32("shard", id).Str("writer", w.name).Msg("preferred writer did not settle")
 	}
 	verdicts, err := s.submit(ctx, records)
-	var not *NotWrittenError
-	if errors.As(err, &not) && unsure {
-		return nil, not.Cause
+	var notWritten *NotWrittenError
+	if errors.As(err, &notWritten) && mayBeWritten {
+		return nil, notWritten.Cause
 	}
 	return verdicts, err
 }
 
-// ownerLives tells that the preferred writer answered and did not write.
-func ownerLives(err error) bool {
+// ownerResponded reports whether the error shows that the preferred writer
+// answered and did not write.
+func ownerResponded(err error) bool {
 	code := connect.CodeOf(err)
 	return connect.IsWireError(err) && (code == connect.CodeResourceExhausted || code == connect.CodeAborted)
 }
 
-func ownerError(name string, err error, unsure bool) error {
+func ownerError(name string, err error, mayBeWritten bool) error {
 	err = fmt.Errorf("preferred writer %s: %w", name, err)
-	if unsure {
+	if mayBeWritten {
 		return err
 	}
 	return &NotWrittenError{Cause: err}
 }
 
-// loadingPause is how long to wait before a preferred writer that is reading
+// loadingRetryDelay is the mean delay before a preferred writer that is loading
 // its shard is asked again.
-const loadingPause = 200 * time.Millisecond
+const loadingRetryDelay = 200 * time.Millisecond
 
-// askOwner asks the preferred writer, again while it is reading the shard. Were
-// the askers to read the shard themselves, its every change of hands would
-// cost the store as many readings as there are daemons.
+// askOwner sends records to a preferred writer, and repeats the call while that
+// daemon is loading the shard. If callers loaded the shard themselves instead,
+// each change of preferred writer would cost as many loads from the store as
+// there are daemons.
 func (l *Ledger) askOwner(ctx context.Context, client bronzeturnv1connect.LedgerServiceClient, shard uint32, records []*bronzeturnv1.LedgerRecord) ([]*bronzeturnv1.LedgerVerdict, error) {
 	for {
 		verdicts, err := l.forwardTo(ctx, client, shard, records)
 		if connect.CodeOf(err) != connect.CodeAborted || !connect.IsWireError(err) {
 			return verdicts, err
 		}
-		timer := time.NewTimer(loadingPause/2 + l.jitter(loadingPause))
+		timer := time.NewTimer(loadingRetryDelay/2 + l.jitter(loadingRetryDelay))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -143,14 +149,14 @@
 	}
 }
 
-// writer is another daemon that may be asked to write.
+// writer is another daemon that can be asked to write.
 type writer struct {
 	name   string
 	client bronzeturnv1connect.LedgerServiceClient
 }
 
-// writersOf returns the daemons to ask before this one writes itself, best
-// first: none when this daemon is the preferred writer.
+// writersOf returns the daemons to ask before this one writes itself, in order
+// of preference. The list is empty if this daemon is the preferred writer.
 func (l *Ledger) writersOf(shard uint32) []writer {
 	var writers []writer
 	key := shardKey(shard)
@@ -165,8 +171,8 @@
 	return writers
 }
 
-// addWriter adds a daemon if it can be asked now. more is false when the name
-// is this daemon's own, which need not ask anyone further.
+// addWriter adds the named daemon if it can be asked now. more is false if the
+// name is this daemon's own; no further writer is then needed.
 func (l *Ledger) addWriter(writers []writer, name string, self bool) (_ []writer, more bool) {
 	if self || name == "" {
 		return writers, !self
@@ -198,13 +204,13 @@
 		return nil, err
 	}
 	if len(resp.Msg.Verdicts) != len(records) {
-		return nil, errVerdicts
+		return nil, errVerdictMismatch
 	}
 	return resp.Msg.Verdicts, nil
 }
 
-// lookup returns the entry of a fingerprint, or nil. What it finds is true; an
-// entry that was created a moment ago may be missing unless refresh is set.
+// lookup returns the entry of a fingerprint, or nil. An entry that it returns
+// is correct, but a recently created one may be missing unless refresh is set.
 func (l *Ledger) lookup(ctx context.Context, class Class, fp fingerprint, refresh bool) (*bronzeturnv1.LedgerEntry, error) {
 	if err := l.waitOpen(ctx); err != nil {
 		return nil, err
@@ -218,7 +224,7 @@
 		if err == nil || ctx.Err() != nil {
 			return entry, err
 		}
-		if !ownerLives(err) {
+		if !ownerResponded(err) {
 			l.owners.failed(w.name)
 		}
 		refresh = true
@@ -241,7 +247,8 @@
 	return resp.Msg.Entry, nil
 }
 
-// lookup reads the shard's state, from the store if it isn't in memory.
+// lookup returns an entry from the shard's state in memory, and reads the store
+// first if the state is not loaded, may be stale, or refresh is set.
 func (s *shard) lookup(ctx context.Context, class Class, fp fingerprint, refresh bool) (*bronzeturnv1.LedgerEntry, error) {
 	if entry := s.log.lookup(class, fp); entry != nil && !refresh {
 		return entry, nil
--- a/ledger/archive.go
+++ b/ledger/archive.go
@@ -13,7 +13,8 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// Total is the sum of the bills of one organisation and version or service.
+// Total is the sum of the bills of one organisation and one version or plain
+// service.
 type Total struct {
 	Organisation     string
 	Version          string
@@ -23,21 +24,21 @@
 	CostMicros       uint64
 }
 
-// totalKey groups totals.
+// totalKey identifies a Total.
 type totalKey struct {
 	organisation string
 	version      string
 }
 
-// totals are the sums of a shard's bills up to the filed sequence number,
-// without those in the volumes before.
+// totals are the sums of a shard's bills up to the archived sequence number,
+// except those in earlier, sealed volumes.
 type totals struct {
 	revision uint64
 	volume   uint64
 	sums     map[totalKey]Total
 }
 
-// add puts a bill into its sum.
+// addBill adds a bill to its sum.
 func addBill(sums map[totalKey]Total, b *bronzeturnv1.LedgerBill) {
 	key := totalKey{b.Organisation, b.Version}
 	t := sums[key]
@@ -49,13 +50,14 @@
 	sums[key] = t
 }
 
-// loadTotals reads the sums and the sequence number that they cover.
+// loadTotals reads the totals and the sequence number up to which they count
+// bills.
 func (g *shardLog) loadTotals(ctx context.Context) error {
 	through, read, err := readTotals(ctx, g.store, g.shard)
 	if err != nil {
 		return err
 	}
-	g.filed, g.totals = through, read
+	g.archived, g.totals = through, read
 	return nil
 }
 
@@ -77,7 +79,7 @@
 	return msg.Through, t, nil
 }
 
-// addTotals adds the sums in a message.
+// addTotals merges the sums of a message.
 func addTotals(sums map[totalKey]Total, msg *bronzeturnv1.LedgerTotals) {
 	for _, m := range msg.Totals {
 		mergeTotal(sums, totalKey{m.Organisation, m.Version}, totalOf(m))
@@ -95,14 +97,15 @@
 	}
 }
 
-// file puts the bills of the tail into an itemised object and adds them to the
-// totals. The first create at a start decides the range of the object; the
-// conditional update of the totals counts each range once.
-func (g *shardLog) file(ctx context.Context) error {
-	if g.filed >= g.state.sequence {
+// archiveBills writes the bills of the tail to an itemised object and adds them
+// to the totals. The first writer to create the object for a start sequence
+// decides the object's range. The update of the totals is conditional, so that
+// each range is counted once.
+func (g *shardLog) archiveBills(ctx context.Context) error {
+	if g.archived >= g.state.sequence {
 		return nil
 	}
-	bills, err := g.fileItems(ctx)
+	bills, err := g.createBillsObject(ctx)
 	if err != nil {
 		return err
 	}
@@ -119,29 +122,31 @@
 	}
 	obj, err := conditionalWrite(ctx, g.store, totalsKey(g.shard), value, g.totals.revision)
 	if err != nil {
-		g.loaded = false // whether it was written shows when the log is read anew
+		g.loaded = false // reloading the log shows whether it was written
 		return fmt.Errorf("write totals of shard %d: %w", g.shard, err)
 	}
-	g.filed = bills.Through
+	g.archived = bills.Through
 	next.revision = obj.Revision
 	g.totals = next
 	g.trimTail()
 	return nil
 }
 
-// volumePairs is the number of pairs of organisation and version above which
-// the totals are sealed in a volume, so that they fit an object.
+// volumePairs is the number of pairs of organisation and version at which the
+// totals are sealed in a volume, so that each object stays below the store's
+// size limit.
 const volumePairs = 4000
 
-// nextTotals returns a copy of the totals to add to: empty ones, when the
-// present ones have grown large and are sealed. A volume counts only when the
-// totals have moved on to the next, by a conditional update that fails if they
-// changed since; so a volume written in vain does no harm.
+// nextTotals returns a copy of the totals for adding bills. If the current
+// totals have reached volumePairs, it seals them in a volume and returns empty
+// ones. A volume counts only once the totals refer to the next volume, which
+// takes a conditional update that fails if the totals have changed. A volume
+// left behind by a failed attempt is therefore ignored.
 func (g *shardLog) nextTotals(ctx context.Context) (totals, error) {
 	if len(g.totals.sums) < volumePairs {
 		return totals{volume: g.totals.volume, sums: maps.Clone(g.totals.sums)}, nil
 	}
-	value, err := proto.Marshal(totalsMessage(g.filed, g.totals))
+	value, err := proto.Marshal(totalsMessage(g.archived, g.totals))
 	if err != nil {
 		return totals{}, fmt.Errorf("encode volume: %w", err)
 	}
@@ -161,9 +166,10 @@
 	return totals{volume: g.totals.volume + 1, sums: make(map[totalKey]Total)}, nil
 }
 
-// checkTotals fails if the totals in the store are not the known ones. Called
-// between the reading of a volume's revision and its replacement, it keeps a
-// writer with old totals from replacing a volume that counts already.
+// checkTotals fails if the totals in the store have changed since they were
+// read. It is called between reading a volume's revision and replacing the
+// volume, so that a writer with stale totals cannot replace a volume that
+// already counts.
 func (g *shardLog) checkTotals(ctx context.Context) error {
 	obj, err := g.store.Get(ctx, totalsKey(g.shard))
 	if err != nil {
@@ -176,15 +182,15 @@
 	return nil
 }
 
-// fileItems returns the itemised bills that follow the filed ones, as the
-// store has them.
-func (g *shardLog) fileItems(ctx context.Context) (*bronzeturnv1.LedgerBills, error) {
+// createBillsObject writes the bills that follow the archived ones to an
+// itemised object. If the object exists, it returns the stored bills instead.
+func (g *shardLog) createBillsObject(ctx context.Context) (*bronzeturnv1.LedgerBills, error) {
 	bills := &bronzeturnv1.LedgerBills{
-		From:        g.filed + 1,
+		From:        g.archived + 1,
 		Through:     g.state.sequence,
 		ClockMicros: g.state.clock,
 	}
-	for _, batch := range g.tailAfter(g.filed) {
+	for _, batch := range g.tailAfter(g.archived) {
 		for _, rec := range batch.Records {
 			if b := rec.GetBill(); b != nil {
 				bills.Bills = append(bills.Bills, b)
@@ -218,7 +224,7 @@
 	return &bills, nil
 }
 
-// totalsMessage returns the wire form, sorted.
+// totalsMessage encodes the totals, sorted by organisation and version.
 func totalsMessage(through uint64, sums totals) *bronzeturnv1.LedgerTotals {
 	msg := &bronzeturnv1.LedgerTotals{Through: through, Volume: sums.volume}
 	for _, t := range sortedTotals(sums.sums) {
@@ -234,7 +240,7 @@
 	return msg
 }
 
-// sortedTotals returns the sums by organisation, then version.
+// sortedTotals returns the sums sorted by organisation, then version.
 func sortedTotals(sums map[totalKey]Total) []Total {
 	list := make([]Total, 0, len(sums))
 	for _, t := range sums {
@@ -249,15 +255,16 @@
 	return list
 }
 
-// dropBatch bounds the objects deleted in one pass.
-const dropBatch = 4
+// dropPageSize is the maximum number of itemised objects that one call of
+// dropBills deletes.
+const dropPageSize = 4
 
-// dropBills deletes itemised bills that are older than keep.
+// dropBills deletes itemised bills older than keepMicros.
 func (g *shardLog) dropBills(ctx context.Context, keepMicros int64) error {
-	if g.state.clock < g.nextBillDrop {
+	if g.state.clock < g.oldestBillsExpire {
 		return nil
 	}
-	objects, err := g.store.List(ctx, billsPrefix(g.shard), "", dropBatch)
+	objects, err := g.store.List(ctx, billsPrefix(g.shard), "", dropPageSize)
 	if err != nil {
 		return fmt.Errorf("list bills of shard %d: %w", g.shard, err)
 	}
@@ -267,10 +274,10 @@
 			return err
 		}
 		if expires := bills.ClockMicros + keepMicros; expires > g.state.clock {
-			g.nextBillDrop = expires
+			g.oldestBillsExpire = expires
 			return nil
 		}
-		if bills.Through > g.filed {
+		if bills.Through > g.archived {
 			return nil
 		}
 		if err := g.store.Delete(ctx, obj.Key, obj.Revision); err != nil && !objectstore.IsConflict(err) {
--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -16,9 +16,9 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// fastLedger returns a node without pacing, so that a benchmark measures the
-// ledger's own time.
-func fastLedger(b *testing.B) *node {
+// unpacedLedger starts a node without write pacing, so that benchmarks measure
+// the ledger's own time.
+func unpacedLedger(b *testing.B) *node {
 	c := newCluster()
 	b.Cleanup(c.stop)
 	n := c.start(b, "a", func(cfg *Config) {
@@ -31,9 +31,10 @@
 	return n
 }
 
-// BenchmarkClaim is the latency of one claim with a store that answers at once.
+// BenchmarkClaim measures the latency of one claim with a store that answers
+// immediately.
 func BenchmarkClaim(b *testing.B) {
-	n := fastLedger(b)
+	n := unpacedLedger(b)
 	i := 0
 	for b.Loop() {
 		i++
@@ -43,9 +44,10 @@
 	}
 }
 
-// BenchmarkClaimParallel is the time per claim with many at once.
+// BenchmarkClaimParallel measures the time per claim with many concurrent
+// claims.
 func BenchmarkClaimParallel(b *testing.B) {
-	n := fastLedger(b)
+	n := unpacedLedger(b)
 	var i atomic.Int64
 	b.SetParallelism(64)
 	b.RunParallel(func(pb *testing.PB) {
@@ -57,9 +59,10 @@
 	})
 }
 
-// BenchmarkBill is the latency of one bill with a store that answers at once.
+// BenchmarkBill measures the latency of one bill with a store that answers
+// immediately.
 func BenchmarkBill(b *testing.B) {
-	n := fastLedger(b)
+	n := unpacedLedger(b)
 	i := 0
 	for b.Loop() {
 		i++
@@ -69,9 +72,8 @@
 	}
 }
 
-// BenchmarkWriter is the processor time of a preferred writer per batch, by
-// records in the batch; the slope is the time per record. It compacts as it
-// goes.
+// BenchmarkWriter measures the preferred writer's time per batch for several
+// batch sizes; the slope is the time per record. Compactions are included.
 func BenchmarkWriter(b *testing.B) {
 	for _, size := range []int{1, 10, 100} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -105,7 +107,8 @@
 	qt.Assert(b, g.write(b.Context(), records), qt.IsNil)
 }
 
-// BenchmarkLoad is the time to read a shard when it changes hands, per entry.
+// BenchmarkLoad measures the time per entry to load a shard, as after a change
+// of preferred writer.
 func BenchmarkLoad(b *testing.B) {
 	for _, claims := range []int{10000, 100000} {
 		b.Run(fmt.Sprint(claims), func(b *testing.B) {
@@ -128,7 +131,7 @@
 	}
 }
 
-// serverDialer leads to one daemon over loopback.
+// serverDialer connects to one daemon over loopback.
 type serverDialer struct {
 	client *http.Client
 	url    string
@@ -137,9 +140,9 @@
 // Dial implements Dialer.
 func (d serverDialer) Dial(string) (connect.HTTPClient, string, bool) { return d.client, d.url, true }
 
-// BenchmarkForwardedBill is the processor time of a bill that one daemon sends
-// to the preferred writer over loopback, both sides together, as it comes at
-// the target: one at a time per daemon.
+// BenchmarkForwardedBill measures the processor time of a bill that one daemon
+// sends to the preferred writer over loopback, on both sides together. Bills
+// are sent one at a time, which is the expected pattern of a single daemon.
 func BenchmarkForwardedBill(b *testing.B) {
 	c := newCluster()
 	b.Cleanup(c.stop)
@@ -164,7 +167,7 @@
 	b.ReportMetric(float64(cpuTime()-before)/float64(i), "cpu-ns/op")
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the processor time used by this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/ledger/bill.go
+++ b/ledger/bill.go
@@ -7,27 +7,28 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Bill is what one request costs its organisation.
+// Bill is the charge for one request.
 type Bill struct {
 	Organisation string
 	RequestID    string
-	// Version is the version, or the plain service, that answered.
+	// Version is the model version or plain service that answered.
 	Version          string
 	Kind             string
 	PromptTokens     uint64
 	CompletionTokens uint64
 	// CostMicros is the price in millionths of the currency of the register.
 	CostMicros uint64
-	// At is the wall clock of the serving daemon. Nothing depends on it.
+	// At is the wall-clock time on the serving daemon. It is informational
+	// only.
 	At time.Time
 }
 
-// Durability tells where a record is when Bill or CompleteClaim returns.
+// Durability says where a record is stored when Bill or CompleteClaim returns.
 type Durability int
 
-// The degrees of durability, best first. A record in DurabilityCopied is lost
-// only if this daemon and the holder of the copy both die before it is in the
-// store; one in DurabilityLocal if this daemon dies.
+// Levels of durability, strongest first. A DurabilityCopied record is lost only
+// if both this daemon and the holder of the copy fail before it is in the
+// store; a DurabilityLocal record is lost if this daemon fails.
 const (
 	DurabilityStore Durability = iota + 1
 	DurabilityCopied
@@ -48,15 +49,16 @@
 	}
 }
 
-// Bill records the bill of a request once, however often it is called with the
-// same organisation and request id. It returns when the bill is in the store
-// or, if that takes longer than Config.BillPatience, copied to a second daemon.
-// The bill is written in any case for as long as a holder lives. Call ReserveBuffer
-// before dispatch, so that there is room for it.
+// Bill records the bill of a request exactly once, however often it is called
+// with the same organisation and request id. It returns when the bill is in the
+// store or, after Config.BillPatience, when a second daemon has a copy. The
+// bill is written eventually as long as one daemon that holds it lives. Call
+// ReserveBuffer before dispatching the request, so that there is room for its
+// bill.
 func (l *Ledger) Bill(ctx context.Context, b Bill) (Durability, error) {
 	fp := fingerprintOf(ClassBill, b.Organisation, b.RequestID)
 	nonce := newNonce()
-	return l.record(ctx, &bronzeturnv1.LedgerRecord{
+	return l.storeOrCopy(ctx, &bronzeturnv1.LedgerRecord{
 		Fingerprint: fp[:],
 		Nonce:       nonce[:],
 		Body: &bronzeturnv1.LedgerRecord_Bill{Bill: &bronzeturnv1.LedgerBill{
--- a/ledger/bounds_test.go
+++ b/ledger/bounds_test.go
@@ -18,7 +18,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// storeLatency is the time of a store call in the tests of bounds.
+// storeLatency is the simulated duration of a store call.
 const storeLatency = 3 * time.Millisecond
 
 func delayed(context.Context, memstore.Op, string) memstore.Verdict {
@@ -26,14 +26,14 @@
 	return memstore.Pass
 }
 
-// The store calls must stay within the fleet's bound however many requests
-// come: they grow with the shards, not with the requests.
+// The rate of store calls must stay within the fleet's limit at any request
+// rate: it grows with the number of shards, not with the number of requests.
 func TestStoreCallsStayBounded(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		rate          int // requests a second, each with a bill, one in ten claimed
+		rate          int // requests per second, each with a bill, every tenth with a claim
 		maxPerRequest float64
-		maxP50        time.Duration // of a claim, in virtual time, with 3 ms a store call
+		maxP50        time.Duration // of a claim, in virtual time, with storeLatency per store call
 	}{
 		{10, 1.3, 6 * time.Millisecond},
 		{100, 1.3, 6 * time.Millisecond},
@@ -62,13 +62,13 @@
 	}
 }
 
-// Compaction must cost little beside the batches themselves.
+// Compaction must add few store calls to those that write the batches.
 func TestCompactionAddsFewStoreCalls(t *testing.T) {
 	store := memstore.New()
 	g := loadedLog(t, store, DefaultSlots)
 	const batches = 2000
 	before := store.Counts()
-	writeLap(t, g, "k", batches)
+	writeBatches(t, g, "k", batches)
 	after := store.Counts()
 	writes, reads := after.Writes-before.Writes, after.Reads-before.Reads
 	t.Logf("%d writes and %d reads for %d batches", writes, reads, batches)
@@ -76,7 +76,8 @@
 	qt.Assert(t, reads <= batches/100, qt.IsTrue, qt.Commentf("%d reads", reads))
 }
 
-// ownersByShard starts n daemons that share out 32 shards.
+// ownersByShard starts n daemons that are the preferred writers of 32 shards in
+// turn.
 func ownersByShard(t *testing.T, n int) (*cluster, []*node) {
 	c := newCluster()
 	c.store.SetFault(delayed)
@@ -89,12 +90,12 @@
 			cfg.Shards, cfg.Slots = DefaultShards, DefaultSlots
 		}))
 	}
-	time.Sleep(5 * time.Second) // owners read their shards
+	time.Sleep(5 * time.Second) // preferred writers load their shards
 	return c, nodes
 }
 
-// sendLoad sends n requests at even intervals, waits for all of them, and
-// returns the sorted times of the claims.
+// sendLoad sends n requests at regular intervals, waits for all of them, and
+// returns the sorted durations of the claims.
 func sendLoad(t *testing.T, nodes []*node, name string, n int, every time.Duration) []time.Duration {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -115,7 +116,7 @@
 	return claims
 }
 
-// sendOne sends a request and returns how long its claim took, if it has one.
+// sendOne sends a request and returns the duration of its claim, if it has one.
 func sendOne(t *testing.T, n *node, id string, claimed bool) (claim time.Duration) {
 	ctx := t.Context()
 	var r ClaimResult
@@ -135,7 +136,7 @@
 	return claim
 }
 
-// fullBill is a bill with every field of usual length.
+// fullBill returns a bill with every field set to a typical length.
 func fullBill(i int) *bronzeturnv1.LedgerRecord {
 	rec := testBill(fmt.Sprintf("01890a5d-ac96-774b-bcce-%012d", i))
 	b := rec.GetBill()
@@ -180,7 +181,7 @@
 			qt.Assert(t, proto.Unmarshal(wire, &read), qt.IsNil)
 			g.state.apply(&read)
 			if test.done {
-				finish(g.state, &read)
+				addOutcomes(g.state, &read)
 			}
 			read.Reset()
 			memory := int(heapBytes()-before) / n
@@ -198,8 +199,8 @@
 	}
 }
 
-// finish adds the outcome of every claim of a batch, without its body.
-func finish(s *state, b *bronzeturnv1.LedgerBatch) {
+// addOutcomes adds an outcome without a body to every claim of a batch.
+func addOutcomes(s *state, b *bronzeturnv1.LedgerBatch) {
 	for i, rec := range b.Records {
 		out := &bronzeturnv1.LedgerOutcome{
 			State:       wireStates[StateDone],
@@ -212,7 +213,7 @@
 	}
 }
 
-// heapBytes returns the live heap.
+// heapBytes returns the size of the live heap.
 func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -10,10 +10,10 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// ClaimState tells how far a claimed request is.
+// ClaimState is the progress of a claimed request.
 type ClaimState int
 
-// The states of a claim. StateUnknown means that the request may have run.
+// States of a claim. StateUnknown means that the request may have run.
 // StateNotRun ends a claim whose request was certainly not dispatched.
 const (
 	StateRunning ClaimState = iota + 1
@@ -38,7 +38,7 @@
 	}
 }
 
-// wireStates maps the states to the schema.
+// wireStates maps states to their protobuf values.
 var wireStates = map[ClaimState]bronzeturnv1.LedgerClaimState{
 	StateRunning: bronzeturnv1.LedgerClaimState_LEDGER_CLAIM_STATE_RUNNING,
 	StateDone:    bronzeturnv1.LedgerClaimState_LEDGER_CLAIM_STATE_DONE,
@@ -55,34 +55,34 @@
 	return StateUnknown
 }
 
-// retryAfter is the advice with refusals while the store does not answer.
+// retryAfter is the retry delay suggested to callers when the ledger could not
+// decide.
 const retryAfter = time.Second
 
-// ClaimRequest names a non-idempotent request.
+// ClaimRequest identifies a non-idempotent request.
 type ClaimRequest struct {
 	Organisation string
 	// Key is the caller's idempotency key.
 	Key        string
 	BodySHA256 [32]byte
 	RequestID  string
-	// Deadline of the request. A claim without outcome reads as unknown after
-	// it.
+	// Deadline is the deadline of the request. After it, a claim without an
+	// outcome reads as unknown.
 	Deadline time.Time
 }
 
-// Ticket is the right to dispatch one claimed request. It is given out once.
+// Ticket grants the right to dispatch one claimed request. It is issued once.
 type Ticket struct {
 	Nonce Nonce
-	// Fence rises with every claim of the same key; engines that check fencing
-	// numbers may be sent it.
+	// Fence increases with every claim of the same key. It can be sent as a
+	// fencing token to engines that check one.
 	Fence uint64
 }
 
-// ClaimResult tells whether the caller of Claim may dispatch.
+// ClaimResult reports whether the caller of Claim may dispatch the request.
 type ClaimResult struct {
-	// First is true for exactly one call of Claim per key, fleet-wide, for as
-	// long as claims are retained or until that call's ticket is completed with
-	// StateNotRun.
+	// First is true for exactly one call of Claim per key in the whole fleet,
+	// until claims expire or that call's ticket is completed with StateNotRun.
 	First  bool
 	Ticket Ticket
 	// State, Outcome, Holder and RequestID describe the earlier claim when
@@ -93,20 +93,21 @@
 	RequestID string
 }
 
-// Outcome is the recorded answer of a claimed request.
+// Outcome is the recorded response to a claimed request.
 type Outcome struct {
 	// Status is the HTTP status.
 	Status      int
 	ContentType string
 	BodySHA256  [32]byte
-	// Body is kept when BodyKept is true, up to Config.AnswerBytes.
+	// Body is the response body. It is stored only if BodyKept is true, its
+	// size is at most Config.AnswerBytes and the buffer has room.
 	Body     []byte
 	BodyKept bool
-	// Version or plain service that answered.
+	// Version is the model version or plain service that answered.
 	Version string
 }
 
-// NewOutcome returns the outcome for an answer body.
+// NewOutcome returns the outcome for a response body.
 func NewOutcome(status int, contentType, version string, body []byte) *Outcome {
 	return &Outcome{
 		Status:      status,
@@ -118,11 +119,11 @@
 	}
 }
 
-// Claim creates the claim of a non-idempotent request, or returns the state of
-// the one that was there first. Only a result with First grants the right to
-// dispatch. An error means that nothing was dispatched and that this call will
-// never grant it: the attempt is given up and, if its record turns up in the
-// log later, released.
+// Claim records the claim of a non-idempotent request, or returns the state of
+// an earlier claim of the same key. Only a result with First set grants the
+// right to dispatch. An error means that nothing was dispatched and that this
+// call will never grant the right: the attempt is abandoned and, should its
+// record still reach the log, released.
 func (l *Ledger) Claim(ctx context.Context, req ClaimRequest) (ClaimResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.DecideTimeout)
 	defer cancel()
@@ -132,12 +133,13 @@
 		if err != nil || result.First {
 			return result, err
 		}
-		release := l.outbox.release(fp, result.Ticket.Nonce)
+		release := l.outbox.findRelease(fp, result.Ticket.Nonce)
 		if release == nil {
 			return result, nil
 		}
-		// The claim found is an earlier attempt of this daemon, given up before
-		// it could dispatch. Once it is released the key is free.
+		// The claim found is an earlier attempt of this daemon that was
+		// abandoned before dispatch. The key is free again once that attempt is
+		// released.
 		select {
 		case <-release.done:
 		case <-ctx.Done():
@@ -161,8 +163,8 @@
 	}
 	verdict, err := l.append(ctx, rec)
 	if err != nil {
-		var not *NotWrittenError
-		if !errors.As(err, &not) {
+		var notWritten *NotWrittenError
+		if !errors.As(err, &notWritten) {
 			l.abandon(fp, nonce)
 		}
 		return ClaimResult{}, l.claimRefused(err)
@@ -178,9 +180,9 @@
 	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the claim could not be recorded").After(retryAfter)
 }
 
-// abandon gives up an attempt whose record may still turn up in the log. No
-// one will dispatch under its nonce, so it can be released. When there is no
-// room for the release, the key reads as unknown after the deadline.
+// abandon releases an attempt whose record may still reach the log. Nothing
+// will be dispatched under its nonce, so releasing it is safe. If the outbox
+// has no room for the release, the key reads as unknown after the deadline.
 func (l *Ledger) abandon(fp fingerprint, nonce Nonce) {
 	out := &bronzeturnv1.LedgerOutcome{State: wireStates[StateNotRun]}
 	l.outbox.offer(outcomeRecord(fp, nonce, out))
@@ -194,11 +196,11 @@
 	}
 }
 
-// earlierClaim describes the claim that stands in the way.
+// earlierClaim returns the result for a key that is already claimed.
 func (l *Ledger) earlierClaim(entry *bronzeturnv1.LedgerEntry, req ClaimRequest) (ClaimResult, error) {
 	c := entry.GetClaim()
 	if c == nil {
-		return ClaimResult{}, l.claimRefused(errVerdicts)
+		return ClaimResult{}, l.claimRefused(errVerdictMismatch)
 	}
 	if string(c.GetClaim().GetBodySha256()) != string(req.BodySHA256[:]) {
 		return ClaimResult{}, failure.New(failure.CodeKeyReused, failure.RanNo, "the idempotency key was used with another body")
@@ -233,22 +235,24 @@
 	return o
 }
 
-// maxContentType bounds the content type that is kept, in bytes.
+// maxContentType is the maximum length of a stored content type, in bytes.
 const maxContentType = 128
 
-// CompleteRequest ends a claim.
+// CompleteRequest is the outcome of a claim.
 type CompleteRequest struct {
 	Organisation string
 	Key          string
 	Ticket       Ticket
-	// State is StateDone, StateUnknown or StateNotRun. With StateNotRun the
-	// caller guarantees that nothing was or will be dispatched under the ticket.
+	// State is StateDone, StateUnknown or StateNotRun. With StateNotRun, the
+	// caller guarantees that nothing was or will be dispatched under the
+	// ticket.
 	State   ClaimState
 	Outcome *Outcome
 }
 
-// CompleteClaim records the outcome of a claim. Like Bill it returns when the record
-// is in the store or, after a short wait, copied to a second daemon.
+// CompleteClaim records the outcome of a claim. Like Bill, it returns when the
+// record is in the store or, after Config.BillPatience, when a second daemon
+// has a copy.
 func (l *Ledger) CompleteClaim(ctx context.Context, req CompleteRequest) (Durability, error) {
 	fp := fingerprintOf(ClassClaim, req.Organisation, req.Key)
 	out := &bronzeturnv1.LedgerOutcome{State: wireStates[req.State]}
@@ -257,21 +261,23 @@
 		out.ContentType = o.ContentType[:min(len(o.ContentType), maxContentType)]
 		out.BodySha256 = o.BodySHA256[:]
 		out.Version = o.Version
-		if o.BodyKept && len(o.Body) <= l.cfg.AnswerBytes && l.outbox.roomForBodies() {
+		if o.BodyKept && len(o.Body) <= l.cfg.AnswerBytes && l.outbox.hasRoomForBodies() {
 			out.Body, out.BodyKept = o.Body, true
 		}
 	}
-	return l.record(ctx, outcomeRecord(fp, req.Ticket.Nonce, out))
+	return l.storeOrCopy(ctx, outcomeRecord(fp, req.Ticket.Nonce, out))
 }
 
-// waitPoll bounds how often WaitForClaim asks for the state of a claim.
+// Interval between WaitForClaim's lookups, doubled from the minimum to the
+// maximum.
 const (
 	waitPollMin = 50 * time.Millisecond
 	waitPollMax = time.Second
 )
 
-// WaitForClaim returns the state of a claim when it is no longer running, or as it
-// stands when ctx ends. ok is false when there is no such claim.
+// WaitForClaim waits until a claim is no longer running and returns its state,
+// or returns the last state seen when ctx ends. ok is false if there is no such
+// claim.
 func (l *Ledger) WaitForClaim(ctx context.Context, organisation, key string) (result ClaimResult, ok bool, err error) {
 	fp := fingerprintOf(ClassClaim, organisation, key)
 	poll := waitPollMin
--- a/ledger/cluster_test.go
+++ b/ledger/cluster_test.go
@@ -24,33 +24,34 @@
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", "40")
-	flag.Parse() // the command line wins
+	flag.Parse() // the command line overrides these values
 	os.Exit(m.Run())
 }
 
-// errCut is what a call over a cut connection ends with.
+// errCut is the error of a call over a cut connection.
 var errCut = errors.New("connection cut")
 
-// cluster runs several ledgers over one store. Calls between them go straight
-// to the handlers; cuts, delays and lost answers are set per pair.
+// cluster runs several ledgers on one store. Calls between them go directly to
+// the handlers. Cuts, delays and lost responses are set per pair of nodes.
 type cluster struct {
 	store *memstore.Store
 
 	mu      sync.Mutex
 	nodes   map[string]*node
 	owner   func(asking, key string) string
-	call    func(from, to string) linkFate
+	call    func(from, to string) linkFault
 	holders map[string][]string
 }
 
-// linkFate is what happens to a call between two daemons.
-type linkFate struct {
+// linkFault is the fault of a call between two daemons: no connection, a lost
+// response, or a delay before the request arrives.
+type linkFault struct {
 	cut   bool
 	lose  bool
 	delay time.Duration
 }
 
-// node is one daemon's ledger with the store as it sees it.
+// node is the ledger of one daemon.
 type node struct {
 	*Ledger
 	name    string
@@ -74,7 +75,8 @@
 	return name, name == n.name
 }
 
-// SecondOwner implements SecondOwners: the next name in the alphabet.
+// SecondOwner implements SecondOwners. It returns the next name in alphabetical
+// order.
 func (n *node) SecondOwner(key string) (string, bool) {
 	owner, _ := n.Owner(key)
 	n.cluster.mu.Lock()
@@ -97,7 +99,7 @@
 	return &http.Client{Transport: link{n.cluster, n.name, name}}, "http://" + name, true
 }
 
-// link carries calls from one node to another.
+// link is the transport for calls from one node to another.
 type link struct {
 	cluster  *cluster
 	from, to string
@@ -107,25 +109,25 @@
 func (k link) RoundTrip(req *http.Request) (*http.Response, error) {
 	k.cluster.mu.Lock()
 	target := k.cluster.nodes[k.to]
-	var fate linkFate
+	var fault linkFault
 	if k.cluster.call != nil {
-		fate = k.cluster.call(k.from, k.to)
+		fault = k.cluster.call(k.from, k.to)
 	}
 	if target == nil || target.dead {
-		fate.cut = true
+		fault.cut = true
 	}
 	k.cluster.mu.Unlock()
-	if fate.cut {
+	if fault.cut {
 		return nil, errCut
 	}
-	if err := wait(req.Context(), fate.delay); err != nil {
+	if err := wait(req.Context(), fault.delay); err != nil {
 		return nil, err
 	}
 	rec := httptest.NewRecorder()
 	inner := req.Clone(req.Context())
 	inner.RequestURI = req.URL.Path
 	target.handler.ServeHTTP(rec, inner)
-	if fate.lose {
+	if fault.lose {
 		return nil, errCut
 	}
 	if err := req.Context().Err(); err != nil {
@@ -148,7 +150,7 @@
 	}
 }
 
-// start adds a node. change may alter its configuration.
+// start starts a node; each change may alter its configuration.
 func (c *cluster) start(t testing.TB, name string, change ...func(*Config)) *node {
 	n := &node{name: name, cluster: c}
 	cfg := Config{
@@ -175,7 +177,8 @@
 	return n
 }
 
-// crash cuts a node off at once. Its goroutines end, its memory counts no more.
+// crash disconnects a node at once and ends its goroutines. What it had in
+// memory is lost.
 func (c *cluster) crash(n *node) {
 	c.mu.Lock()
 	n.dead = true
@@ -183,7 +186,7 @@
 	n.Stop()
 }
 
-// stop ends all nodes.
+// stop stops all nodes.
 func (c *cluster) stop() {
 	for _, n := range c.nodes {
 		n.Stop()
@@ -196,8 +199,9 @@
 	c.owner = f
 }
 
-// setCall decides the fate of calls between daemons.
-func (c *cluster) setCall(f func(from, to string) linkFate) {
+// setCall sets the function that selects the fault of each call between
+// daemons.
+func (c *cluster) setCall(f func(from, to string) linkFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.call = f
--- a/ledger/entry.go
+++ b/ledger/entry.go
@@ -4,7 +4,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// entry returns the claim in its wire form.
+// entry returns the claim in wire format.
 func (c claim) entry(fp fingerprint) *bronzeturnv1.LedgerEntry {
 	body := &bronzeturnv1.LedgerClaimEntry{
 		State:          c.state,
@@ -27,7 +27,7 @@
 	}
 }
 
-// entry returns the pin in its wire form.
+// entry returns the pin in wire format.
 func (p pin) entry(fp fingerprint) *bronzeturnv1.LedgerEntry {
 	return &bronzeturnv1.LedgerEntry{
 		Fingerprint:   fp[:],
@@ -42,7 +42,7 @@
 	}
 }
 
-// billEntry returns the mark of a billed request in its wire form.
+// billEntry returns the entry of a billed request in wire format.
 func billEntry(fp fingerprint, expires uint32) *bronzeturnv1.LedgerEntry {
 	return &bronzeturnv1.LedgerEntry{
 		Fingerprint:   fp[:],
@@ -51,7 +51,7 @@
 	}
 }
 
-// lookup returns the entry in force, or nil.
+// lookup returns the unexpired entry, or nil.
 func (s *state) lookup(class Class, fp fingerprint) *bronzeturnv1.LedgerEntry {
 	switch class {
 	case ClassClaim:
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// restore puts an entry of a snapshot into the state.
+// restore adds an entry of a segment to the state.
 func (s *state) restore(e *bronzeturnv1.LedgerEntry) {
 	fp, ok := toFingerprint(e.Fingerprint)
 	if !ok {
@@ -79,7 +79,7 @@
 	switch body := e.Body.(type) {
 	case *bronzeturnv1.LedgerEntry_Claim:
 		c := claimOf(e, body.Claim)
-		c.holder = s.holderName(c.holder)
+		c.holder = s.internHolder(c.holder)
 		s.claims[fp] = c
 	case *bronzeturnv1.LedgerEntry_Pin:
 		s.pins[fp] = pinOf(e, body.Pin)
--- a/ledger/fingerprint.go
+++ b/ledger/fingerprint.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Class separates the key spaces of the ledger.
+// Class is the kind of a record. Each class has its own key space.
 type Class uint8
 
-// The classes of records.
+// Classes of records.
 const (
 	ClassClaim Class = 1
 	ClassPin   Class = 2
@@ -21,12 +21,12 @@
 // idBytes is the length of fingerprints and nonces.
 const idBytes = 16
 
-// fingerprint stands for (class, organisation, key). It is a truncated
-// cryptographic hash, so that no organisation can construct a key that
-// collides with another's.
+// fingerprint identifies a (class, organisation, key). It is a truncated
+// cryptographic hash, so that no organisation can construct a key that collides
+// with another organisation's.
 type fingerprint [idBytes]byte
 
-// Nonce names one attempt to create a record. It is unique per attempt.
+// Nonce identifies one attempt to create a record. It is unique per attempt.
 type Nonce [idBytes]byte
 
 // newNonce returns a fresh random nonce.
@@ -36,8 +36,9 @@
 	return n
 }
 
-// fingerprintOf hashes the parts of a key. Lengths are hashed too, so that
-// moving bytes between organisation and key gives another fingerprint.
+// fingerprintOf hashes a class, organisation and key. The organisation's length
+// is hashed too, so that moving bytes between organisation and key gives
+// another fingerprint.
 func fingerprintOf(class Class, organisation, key string) fingerprint {
 	buf := make([]byte, 0, 128)
 	buf = append(buf, byte(class))
@@ -53,7 +54,8 @@
 	return uint32(xxhash.Sum64(fp[:]) % uint64(n))
 }
 
-// toFingerprint converts wire bytes. ok is false when the length is wrong.
+// toFingerprint converts bytes received over the wire. ok is false if the
+// length is wrong.
 func toFingerprint(b []byte) (fp fingerprint, ok bool) {
 	if len(b) != idBytes {
 		return fp, false
--- a/ledger/flush.go
+++ b/ledger/flush.go
@@ -9,28 +9,30 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// flushPoll is how often Flush looks whether everything is settled.
+// flushPoll is how often Flush checks whether all records are settled.
 const flushPoll = 20 * time.Millisecond
 
-// handOverTime is the part of Flush's time kept for copying to others.
-const handOverTime = 2 * time.Second
+// handOverReserve is the part of Flush's time, at most half of it, that is
+// reserved for copying records to other daemons.
+const handOverReserve = 2 * time.Second
 
-// leavingCopies is how many other daemons get what a leaving daemon could not
-// settle.
-const leavingCopies = 2
+// handOverCopies is the number of daemons that receive the records that a
+// stopping daemon could not settle.
+const handOverCopies = 2
 
-// ErrUnsettled reports that records were neither settled nor copied to two
-// other daemons when Flush ended.
+// ErrUnsettled reports that, when Flush ended, records were neither settled nor
+// copied to two other daemons.
 var ErrUnsettled = errors.New("records are not settled")
 
-// Flush settles everything that waits, also the copies held for others. Call
-// it on leaving, when no more requests run. If the store does not answer until
-// shortly before ctx ends, it copies the rest to two other daemons.
+// Flush settles all waiting records, including the copies held for other
+// daemons. Call it before shutdown, when no requests are running. If the store
+// does not answer until shortly before ctx ends, Flush copies the remaining
+// records to two other daemons.
 func (l *Ledger) Flush(ctx context.Context) error {
-	l.drainHeld(l.copies.due(0))
+	l.queueHeldCopies(l.copies.takeDue(0))
 	waitCtx, cancel := ctx, context.CancelFunc(func() {})
 	if deadline, ok := ctx.Deadline(); ok {
-		waitCtx, cancel = context.WithDeadline(ctx, deadline.Add(-min(handOverTime, time.Until(deadline)/2)))
+		waitCtx, cancel = context.WithDeadline(ctx, deadline.Add(-min(handOverReserve, time.Until(deadline)/2)))
 	}
 	defer cancel()
 	if l.waitSettled(waitCtx) {
@@ -55,8 +57,8 @@
 	return true
 }
 
-// handOver copies all unsettled records to two other daemons, which settle
-// them when the store answers again.
+// handOver copies all unsettled records to two other daemons, which settle them
+// when the store answers again.
 func (l *Ledger) handOver(ctx context.Context) error {
 	var records []*bronzeturnv1.LedgerRecord
 	for _, item := range l.outbox.unsettled() {
@@ -67,25 +69,25 @@
 	if len(records) == 0 {
 		return nil
 	}
-	taken := 0
+	copied := 0
 	if l.cfg.Holders != nil {
 		for _, name := range l.cfg.Holders.Holders() {
-			if taken < leavingCopies && l.copyAll(ctx, name, records) {
-				taken++
+			if copied < handOverCopies && l.copyAllTo(ctx, name, records) {
+				copied++
 			}
 		}
 	}
-	l.logger.Warn().Int("records", len(records)).Int("holders", taken).Msg("left unsettled records to others")
-	if taken < leavingCopies {
-		return fmt.Errorf("%w: %d records copied to %d daemons", ErrUnsettled, len(records), taken)
+	l.logger.Warn().Int("records", len(records)).Int("holders", copied).Msg("handed over unsettled records to other daemons")
+	if copied < handOverCopies {
+		return fmt.Errorf("%w: %d records copied to %d daemons", ErrUnsettled, len(records), copied)
 	}
 	return nil
 }
 
-// copyAll copies the records to one daemon, in order.
-func (l *Ledger) copyAll(ctx context.Context, name string, records []*bronzeturnv1.LedgerRecord) bool {
+// copyAllTo copies the records to one daemon, in order.
+func (l *Ledger) copyAllTo(ctx context.Context, name string, records []*bronzeturnv1.LedgerRecord) bool {
 	for len(records) > 0 {
-		n := min(len(records), holdRecords)
+		n := min(len(records), copyRequestRecords)
 		if _, err := l.sendCopies(ctx, name, records[:n]); err != nil {
 			return false
 		}
--- a/ledger/freeze.go
+++ b/ledger/freeze.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// pulseEvery is how often a running daemon notes that it runs.
-const pulseEvery = 5 * time.Second
+// freezeCheckInterval is how often a running daemon updates its freezeDetector.
+const freezeCheckInterval = 5 * time.Second
 
-// freezeGuard notices that the process was stopped for long, by either clock.
-// A record that is held across a freeze longer than its class is remembered
-// must not be written again: others have settled it, and it may be forgotten.
-type freezeGuard struct {
+// freezeDetector detects that the process was suspended for longer than limit,
+// by either the monotonic or the wall clock. A record held across such a
+// freeze must not be written again: other daemons have settled it, and the
+// ledger may have dropped the entry by which it would recognise the repetition.
+type freezeDetector struct {
 	limit time.Duration
 
-	mu   sync.Mutex
-	last time.Time
+	mu        sync.Mutex
+	lastCheck time.Time
 }
 
-// pulse notes that the process runs. It reports whether it was frozen for
-// longer than the limit since the last pulse; it does so once.
-func (f *freezeGuard) pulse(now time.Time) bool {
+// check reports whether the process was frozen for longer than the limit since
+// the previous check. It reports each freeze once.
+func (f *freezeDetector) check(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	last := f.last
-	f.last = now
+	last := f.lastCheck
+	f.lastCheck = now
 	if last.IsZero() {
 		return false
 	}
@@ -33,11 +34,12 @@
 	return max(monotonic, wall) > f.limit
 }
 
-// thaw drops, after a long freeze, the copies held for others and the own
-// records that a second daemon has: these were written by others meanwhile, and
-// too long ago for the ledger to recognise a repetition.
-func (l *Ledger) thaw() {
-	if !l.freeze.pulse(time.Now()) {
+// dropAfterFreeze drops records after a long freeze: the copies held for other
+// daemons, and own records of which a second daemon has a copy. Others have
+// written them meanwhile, and the ledger may no longer recognise them as
+// repetitions.
+func (l *Ledger) dropAfterFreeze() {
+	if !l.freeze.check(time.Now()) {
 		return
 	}
 	copies := l.copies.clear()
@@ -45,10 +47,10 @@
 	l.logger.Error().Int("copies", copies).Int("records", own).Msg("was frozen for long, dropped what others have settled")
 }
 
-// keepPulse notes that the process runs.
-func (l *Ledger) keepPulse() error {
-	for l.sleep(pulseEvery) {
-		l.thaw()
+// detectFreezes checks for freezes at regular intervals.
+func (l *Ledger) detectFreezes() error {
+	for l.sleep(freezeCheckInterval) {
+		l.dropAfterFreeze()
 	}
 	return nil
 }
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -22,16 +22,16 @@
 	Choice int
 }
 
-// Kinds of steps. The first four are calls, the rest faults.
+// Kinds of steps: the first four are calls, the others faults.
 const (
 	stepClaim = iota
 	stepPin
 	stepPinned
 	stepBill
 	stepCrash
-	stepLinks
-	stepOwners
-	stepStore
+	stepLinkFaults
+	stepOwnerChange
+	stepStoreFaults
 	stepKinds
 )
 
@@ -40,8 +40,9 @@
 	historyKeys    = 4
 )
 
-// lossy runs a call whose result must not be touched after the caller left.
-func lossy[T any](ctx context.Context, f *faultyStore, call func() (T, error)) (T, error) {
+// callWithFaults runs a call under f's faults. The result goes through a
+// channel, since a delayed call may finish after the caller has returned.
+func callWithFaults[T any](ctx context.Context, f *faultyStore, call func() (T, error)) (T, error) {
 	type answer struct {
 		v   T
 		err error
@@ -55,25 +56,24 @@
 	return a.v, a.err
 }
 
-// history is what the callers of the ledger saw.
+// history records what the callers of the ledger observed.
 type history struct {
 	mu         sync.Mutex
 	ran        map[int]int
 	versions   map[int]map[string]bool
-	billed     map[int]bool // bill called, it may be in the store
-	stored     map[int]bool // bill acknowledged as in the store
-	copied     map[int]bool // bill acknowledged as copied
+	billed     map[int]bool // Bill was called; the bill may be in the store
+	stored     map[int]bool // acknowledged as DurabilityStore
+	copied     map[int]bool // acknowledged as DurabilityCopied
 	crashes    int
 	violations []string
 }
 
-func (h *history) note(format string, args ...any) {
+func (h *history) addViolation(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// run carries a schedule out in virtual time and returns what is wrong with
-// the history.
-type run struct {
+// scheduleRun runs a schedule in virtual time and checks the history.
+type scheduleRun struct {
 	c       *cluster
 	h       *history
 	nodes   [historyDaemons]*node
@@ -83,9 +83,9 @@
 	t       *testing.T
 }
 
-func (r *run) name(i int) string { return fmt.Sprintf("d%d", i) }
+func (r *scheduleRun) name(i int) string { return fmt.Sprintf("d%d", i) }
 
-func (r *run) startNode(i int) {
+func (r *scheduleRun) startNode(i int) {
 	r.started++
 	seed := uint64(r.started)
 	r.stores[i] = &faultyStore{Store: r.c.store, rand: rand.New(rand.NewPCG(seed, 7))}
@@ -96,7 +96,7 @@
 	})
 }
 
-func (r *run) do(s step, request int) {
+func (r *scheduleRun) do(s step, request int) {
 	n := r.nodes[s.Daemon]
 	switch s.Kind {
 	case stepClaim:
@@ -112,34 +112,34 @@
 		r.h.crashes++
 		r.h.mu.Unlock()
 		r.stores[s.Daemon].mu.Lock()
-		r.stores[s.Daemon].gone = true
+		r.stores[s.Daemon].crashed = true
 		r.stores[s.Daemon].mu.Unlock()
 		r.c.crash(n)
 		r.startNode(s.Daemon)
-	case stepLinks:
-		fates := []linkFate{{}, {cut: true}, {lose: true}, {delay: 300 * time.Millisecond}, {delay: 10 * time.Second}}
-		fate := fates[s.Choice%len(fates)]
-		r.c.setCall(func(from, to string) linkFate {
+	case stepLinkFaults:
+		faults := []linkFault{{}, {cut: true}, {lose: true}, {delay: 300 * time.Millisecond}, {delay: 10 * time.Second}}
+		fault := faults[s.Choice%len(faults)]
+		r.c.setCall(func(from, to string) linkFault {
 			if from == r.name(s.Daemon) || s.Choice%2 == 0 {
-				return fate
+				return fault
 			}
-			return linkFate{}
+			return linkFault{}
 		})
-	case stepOwners:
+	case stepOwnerChange:
 		r.c.setOwner(func(asking, key string) string {
 			if s.Choice%3 == 0 {
-				return asking // all own everything
+				return asking // every daemon believes that it owns all shards
 			}
 			return r.name((int(key[len(key)-1]) + s.Choice) % historyDaemons)
 		})
-	case stepStore:
+	case stepStoreFaults:
 		r.stores[s.Daemon].mu.Lock()
-		r.stores[s.Daemon].fault = []int{0, 10, 40, 100}[s.Choice%4]
+		r.stores[s.Daemon].faultPercent = []int{0, 10, 40, 100}[s.Choice%4]
 		r.stores[s.Daemon].mu.Unlock()
 	}
 }
 
-func (r *run) claim(n *node, key, choice int) {
+func (r *scheduleRun) claim(n *node, key, choice int) {
 	name := fmt.Sprint("k", key)
 	res, err := n.Claim(context.Background(), claimRequest(name, "body"))
 	if err != nil || !res.First {
@@ -156,7 +156,7 @@
 	n.CompleteClaim(context.Background(), req)
 }
 
-func (r *run) sawVersion(key int, version string) {
+func (r *scheduleRun) sawVersion(key int, version string) {
 	r.h.mu.Lock()
 	defer r.h.mu.Unlock()
 	if r.h.versions[key] == nil {
@@ -165,21 +165,21 @@
 	r.h.versions[key][version] = true
 }
 
-func (r *run) pin(n *node, key int) {
+func (r *scheduleRun) pin(n *node, key int) {
 	res, err := n.PinVersion(context.Background(), PinRequest{"org", fmt.Sprint("c", key), "v-" + n.name})
 	if err == nil {
 		r.sawVersion(key, res.Version)
 	}
 }
 
-func (r *run) pinned(n *node, key int) {
+func (r *scheduleRun) pinned(n *node, key int) {
 	version, ok, err := n.PinnedVersion(context.Background(), "org", fmt.Sprint("c", key))
 	if err == nil && ok {
 		r.sawVersion(key, version)
 	}
 }
 
-func (r *run) bill(n *node, id int) {
+func (r *scheduleRun) bill(n *node, id int) {
 	r.h.mu.Lock()
 	r.h.billed[id] = true
 	r.h.mu.Unlock()
@@ -197,50 +197,51 @@
 	}
 }
 
-// heal ends all faults and lets the daemons finish.
-func (r *run) heal() {
+// endFaults ends all faults and waits until the daemons have recovered.
+func (r *scheduleRun) endFaults() {
 	r.c.setCall(nil)
 	r.c.setOwner(func(string, string) string { return r.name(0) })
 	for _, s := range r.stores {
 		s.mu.Lock()
-		s.fault = 0
+		s.faultPercent = 0
 		s.mu.Unlock()
 	}
 	time.Sleep(5 * time.Minute)
 }
 
-// check compares the history with the store.
-func (r *run) check() {
+// check adds the violations that show when the history is compared with the
+// store.
+func (r *scheduleRun) check() {
 	h := r.h
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, n := range h.ran {
 		if n > 1 {
-			h.note("claim k%d ran %d times", key, n)
+			h.addViolation("claim k%d ran %d times", key, n)
 		}
 	}
 	for key, versions := range h.versions {
 		if len(versions) > 1 {
-			h.note("conversation c%d had versions %v", key, versions)
+			h.addViolation("conversation c%d had versions %v", key, versions)
 		}
 	}
 	seen := billsInStore(r.t, r.c)
 	for id := range h.billed {
 		n := seen[fmt.Sprintf("r%d", id)]
 		if n > 1 {
-			h.note("bill r%d is in the store %d times", id, n)
+			h.addViolation("bill r%d is in the store %d times", id, n)
 		}
 		if n == 0 && (h.stored[id] || h.copied[id] && h.crashes < 2) {
-			h.note("bill r%d was acknowledged and is lost", id)
+			h.addViolation("bill r%d was acknowledged and is lost", id)
 		}
 	}
 	totals, err := Totals(context.Background(), r.c.store)
 	if err != nil {
-		h.note("totals: %v", err)
+		h.addViolation("totals: %v", err)
 	}
 	for _, t := range totals {
 		if int(t.Bills) != len(seen) {
-			h.note("totals count %d bills, %d are in the store", t.Bills, len(seen))
+			h.addViolation("totals count %d bills, %d are in the store", t.Bills, len(seen))
 		}
 	}
 }
@@ -254,7 +255,7 @@
 		copied:   make(map[int]bool),
 	}
 	synctest.Test(t, func(t *testing.T) {
-		r := &run{c: newCluster(), h: h, t: t, rand: rand.New(rand.NewPCG(seed, 9))}
+		r := &scheduleRun{c: newCluster(), h: h, t: t, rand: rand.New(rand.NewPCG(seed, 9))}
 		for i := range r.nodes {
 			for j := range r.nodes {
 				if i != j {
@@ -267,17 +268,16 @@
 			time.Sleep(s.After)
 			r.do(s, i)
 		}
-		r.heal()
+		r.endFaults()
 		r.check()
 		r.c.stop()
 	})
 	return h.violations
 }
 
-// Whatever crashes, pauses, cuts, delays, reordered and lost answers and
-// disagreement about the preferred writer do, a claimed request runs at most
-// once, a conversation has one version, a bill is recorded once, and nothing
-// that was acknowledged is lost.
+// Under crashes, link faults, store faults and disagreement about the preferred
+// writer, a claimed request runs at most once, a conversation has one version,
+// each bill is recorded once, and no acknowledged record is lost.
 func TestHistoriesUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
--- a/ledger/holder.go
+++ b/ledger/holder.go
@@ -12,32 +12,33 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Holders names the daemons that may hold copies of unsettled records.
+// Holders provides the daemons that may hold copies of unsettled records.
 type Holders interface {
-	// Holders returns names of other live daemons, those in other data centres
-	// first.
+	// Holders returns the names of other live daemons, those in other data
+	// centres first.
 	Holders() []string
 }
 
-// Bounds of the second copies.
+// Limits and intervals for copies on other daemons.
 const (
-	holdTimeout    = 300 * time.Millisecond
-	holdAttempts   = 3
-	holdRecords    = 200
-	holdTick       = 5 * time.Second
-	copyPatience   = 30 * time.Second
-	maxReleaseSize = 5000
+	copyTimeout             = 300 * time.Millisecond
+	copyAttempts            = 3
+	copyRequestRecords      = 200
+	copyMaintenanceInterval = 5 * time.Second
+	overdueCopyAge          = 30 * time.Second
+	maxPendingReleases      = 5000
 )
 
-// ErrCopiesFull reports that a daemon has no room for further copies.
+// ErrCopiesFull reports that a daemon has no room for more copies.
 var ErrCopiesFull = errors.New("no room for copies")
 
-// copies are the unsettled records of other daemons that this one holds, and
-// the releases that it owes to the holders of its own.
+// copies are the unsettled records that this daemon holds for others, and the
+// releases that it has yet to send to the holders of its own records.
 type copies struct {
 	maxRecords int
 	maxBytes   int
-	// incarnation tells this start of the daemon from others.
+	// incarnation identifies one run of the daemon. Copies held by an earlier
+	// run are lost.
 	incarnation string
 
 	mu       sync.Mutex
@@ -47,13 +48,13 @@
 	releases map[string][][]byte
 }
 
-// heldCopy is one copy.
+// heldCopy is a record held for another daemon.
 type heldCopy struct {
 	record *bronzeturnv1.LedgerRecord
 	size   int
 	since  time.Time
-	// draining tells that this daemon has begun to write it.
-	draining bool
+	// queued is set once this daemon has queued the record to write it.
+	queued   bool
 	released bool
 }
 
@@ -68,7 +69,7 @@
 	}
 }
 
-// add takes copies, all or none.
+// add adds copies of all the records, or none of them.
 func (c *copies) add(records []*bronzeturnv1.LedgerRecord) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// remove drops the copies with the nonces.
+// remove drops the copies with the given nonces.
 func (c *copies) remove(nonces [][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// trim takes the released copies out of the order. The caller holds mu.
+// trim removes released copies from order. The caller holds mu.
 func (c *copies) trim() {
 	kept := c.order[:0]
 	for _, held := range c.order {
@@ -122,22 +123,22 @@
 	c.order = kept
 }
 
-// due returns the copies, in order, that are older than age and not yet being
-// written, and marks them.
-func (c *copies) due(age time.Duration) []*heldCopy {
+// takeDue returns the copies older than age that are not yet queued, oldest
+// first, and marks them as queued.
+func (c *copies) takeDue(age time.Duration) []*heldCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var due []*heldCopy
 	for _, held := range c.order {
-		if !held.draining && !held.released && time.Since(held.since) >= age {
-			held.draining = true
+		if !held.queued && !held.released && time.Since(held.since) >= age {
+			held.queued = true
 			due = append(due, held)
 		}
 	}
 	return due
 }
 
-// clear drops all copies and returns how many there were.
+// clear drops all copies and returns their number.
 func (c *copies) clear() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,12 +156,13 @@
 	return len(c.held)
 }
 
-// queueRelease notes that the holders of settled items may drop their copies.
+// queueRelease schedules messages to the holders of settled items that they may
+// drop their copies.
 func (c *copies) queueRelease(items []*outItem) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, item := range items {
-		if name, _ := item.copyHolder(); name != "" && len(c.releases[name]) < maxReleaseSize {
+		if name, _ := item.copyHolder(); name != "" && len(c.releases[name]) < maxPendingReleases {
 			c.releases[name] = append(c.releases[name], item.record.Nonce)
 		}
 	}
@@ -174,23 +176,22 @@
 	return taken
 }
 
-// hold copies the items to the first daemon that takes them.
-func (l *Ledger) hold(ctx context.Context, items []*outItem) bool {
+// copyToHolder copies the items to the first daemon that accepts them.
+func (l *Ledger) copyToHolder(ctx context.Context, items []*outItem) bool {
 	if l.cfg.Holders == nil {
 		return false
 	}
 	names := l.cfg.Holders.Holders()
-	for _, name := range names[:min(len(names), holdAttempts)] {
-		if l.holdAt(ctx, name, items) == nil {
+	for _, name := range names[:min(len(names), copyAttempts)] {
+		if l.copyItemsTo(ctx, name, items) == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// holdAt copies the items to one daemon, or asks for its incarnation when
-// there are none.
-func (l *Ledger) holdAt(ctx context.Context, name string, items []*outItem) error {
+// copyItemsTo copies the items to one daemon and records its incarnation.
+func (l *Ledger) copyItemsTo(ctx context.Context, name string, items []*outItem) error {
 	records := make([]*bronzeturnv1.LedgerRecord, len(items))
 	for i, item := range items {
 		records[i] = item.record
@@ -210,7 +211,7 @@
 	if !ok {
 		return "", errUnknownDaemon
 	}
-	ctx, cancel := context.WithTimeout(ctx, holdTimeout)
+	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	req := &bronzeturnv1.HoldRequest{Owner: l.cfg.Self, Records: records}
 	resp, err := client.Hold(ctx, connect.NewRequest(req))
@@ -220,17 +221,18 @@
 	return string(resp.Msg.Incarnation), nil
 }
 
-// errUnknownDaemon reports that the dialer doesn't know a daemon.
+// errUnknownDaemon reports that the dialer does not know a daemon.
 var errUnknownDaemon = errors.New("daemon is not known")
 
-// keepCopies renews copies whose holder is gone, releases those that are
-// settled, and writes the copies whose owner does not.
-func (l *Ledger) keepCopies() error {
-	for l.sleep(holdTick/2 + l.jitter(holdTick)) {
+// maintainCopies periodically releases copies of settled records, replaces
+// copies whose holder has failed, and writes copies whose owner has not written
+// them.
+func (l *Ledger) maintainCopies() error {
+	for l.sleep(copyMaintenanceInterval/2 + l.jitter(copyMaintenanceInterval)) {
 		ctx := l.tomb.Context(context.Background())
 		l.sendReleases(ctx)
 		l.renewCopies(ctx)
-		l.drainCopies()
+		l.writeOverdueCopies()
 	}
 	return nil
 }
@@ -241,9 +243,10 @@
 		if !ok {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, holdTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, copyTimeout)
 		req := &bronzeturnv1.ReleaseRequest{Owner: l.cfg.Self, Nonces: nonces}
-		// A lost release is harmless: the holder finds the records settled.
+		// A lost release is harmless: the holder later finds the records
+		// settled.
 		_, err := client.Release(callCtx, connect.NewRequest(req))
 		cancel()
 		if err != nil {
@@ -252,52 +255,52 @@
 	}
 }
 
-// renewCopies finds a new holder for the items that have none, or whose holder
-// does not answer or has restarted.
+// renewCopies finds a new holder for items that have none, or whose holder does
+// not answer or has restarted.
 func (l *Ledger) renewCopies(ctx context.Context) {
 	alive := make(map[string]string)
-	var without []*outItem
+	var uncopied []*outItem
 	for _, item := range l.outbox.unsettled() {
 		if time.Since(item.since) < l.cfg.BillPatience || droppable(item.record) {
 			continue
 		}
-		if !l.holderLives(ctx, item, alive) {
-			without = append(without, item)
+		if !l.holderHasCopy(ctx, item, alive) {
+			uncopied = append(uncopied, item)
 		}
 	}
-	for len(without) > 0 {
-		n := min(len(without), holdRecords)
-		if !l.hold(ctx, without[:n]) {
+	for len(uncopied) > 0 {
+		n := min(len(uncopied), copyRequestRecords)
+		if !l.copyToHolder(ctx, uncopied[:n]) {
 			return
 		}
-		without = without[n:]
+		uncopied = uncopied[n:]
 	}
 }
 
-func (l *Ledger) holderLives(ctx context.Context, item *outItem, alive map[string]string) bool {
+func (l *Ledger) holderHasCopy(ctx context.Context, item *outItem, alive map[string]string) bool {
 	name, known := item.copyHolder()
 	if name == "" {
 		return false
 	}
 	incarnation, asked := alive[name]
 	if !asked {
-		incarnation, _ = l.sendCopies(ctx, name, nil) // "" on failure
+		incarnation, _ = l.sendCopies(ctx, name, nil) // empty on failure
 		alive[name] = incarnation
 	}
 	return incarnation != "" && incarnation == known
 }
 
-// drainCopies writes the copies that their owner should have settled by now:
-// the store has answered for a while and they are still here. Writing them is
-// harmless when the owner lives, since each key is recorded once.
-func (l *Ledger) drainCopies() {
-	if l.store.failingWithin(copyPatience) {
+// writeOverdueCopies writes the copies that their owner should have settled by
+// now: the store has answered for a while, but they have not been released. If
+// the owner is alive, this is harmless, since each key is recorded once.
+func (l *Ledger) writeOverdueCopies() {
+	if l.store.failedWithin(overdueCopyAge) {
 		return
 	}
-	l.drainHeld(l.copies.due(copyPatience))
+	l.queueHeldCopies(l.copies.takeDue(overdueCopyAge))
 }
 
-func (l *Ledger) drainHeld(due []*heldCopy) {
+func (l *Ledger) queueHeldCopies(due []*heldCopy) {
 	for _, held := range due {
 		nonces := [][]byte{held.record.Nonce}
 		l.outbox.add(held.record, func() { l.copies.remove(nonces) })
--- a/ledger/layout.go
+++ b/ledger/layout.go
@@ -11,13 +11,13 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// Keys of the ledger in the object store.
+// Object keys of the ledger.
 const (
 	keyPrefix = "ledger/"
 	layoutKey = keyPrefix + "layout"
 )
 
-// Layout defaults and bounds.
+// Defaults and limits of the layout.
 const (
 	DefaultShards = 32
 	DefaultSlots  = 256
@@ -26,7 +26,7 @@
 	maxSlots      = 4096
 )
 
-// Store is the part of the object API that the ledger uses.
+// Store is the part of the object store's API that the ledger uses.
 type Store interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error)
@@ -35,8 +35,8 @@
 	Delete(ctx context.Context, key string, revision uint64) error
 }
 
-// CorruptError reports an object of the ledger that can't be read. Nothing is
-// written to its shard until an operator has mended it.
+// CorruptError reports a ledger object that cannot be read. Nothing is written
+// to its shard until an operator has repaired it.
 type CorruptError struct {
 	Key   string
 	Cause error
@@ -50,17 +50,18 @@
 
 var (
 	errLayoutBounds = errors.New("shards or slots out of bounds")
-	errSequence     = errors.New("sequence does not belong to this slot")
+	errWrongSlot    = errors.New("sequence does not belong to this slot")
 )
 
-// layout is how the ledger is laid out in the store. It never changes.
+// layout is the number of shards and of slots per shard. It is fixed when the
+// ledger is created in the store.
 type layout struct {
 	shards uint32
 	slots  uint32
 }
 
-// loadLayout reads the layout, or creates it with the wanted one. Whichever
-// daemon comes first decides for all.
+// loadLayout reads the layout, or creates it as wanted if there is none. The
+// first daemon to create it decides for all.
 func loadLayout(ctx context.Context, store Store, want layout) (layout, error) {
 	obj, err := store.Get(ctx, layoutKey)
 	if err == nil {
@@ -100,34 +101,37 @@
 	return l.shards >= 1 && l.shards <= maxShards && l.slots >= minSlots && l.slots <= maxSlots
 }
 
-// shardKey is the name of a shard towards Owners and the prefix of its objects.
+// shardKey returns the name of a shard for Owners, which is also the key prefix
+// of its objects.
 func shardKey(shard uint32) string { return fmt.Sprintf("%s%04d", keyPrefix, shard) }
 
 func slotPrefix(shard uint32) string { return shardKey(shard) + "/slot/" }
 
-// slotKey is the object that holds the batch with the sequence number.
+// slotKey returns the key of the object that holds the batch with the sequence
+// number.
 func (l layout) slotKey(shard uint32, sequence uint64) string {
 	return fmt.Sprintf("%s%04d", slotPrefix(shard), sequence%uint64(l.slots))
 }
 
 func segmentPrefix(shard uint32) string { return shardKey(shard) + "/segment/" }
 
-// segmentKey is the snapshot segment that begins with the sequence number.
+// segmentKey returns the key of the segment that starts at the sequence number.
 func segmentKey(shard uint32, from uint64) string {
 	return fmt.Sprintf("%s%020d", segmentPrefix(shard), from)
 }
 
 func billsPrefix(shard uint32) string { return shardKey(shard) + "/bills/" }
 
-// billsKey holds the itemised bills of the segment with the same start.
+// billsKey returns the key of the itemised bills that start at the sequence
+// number.
 func billsKey(shard uint32, from uint64) string {
 	return fmt.Sprintf("%s%020d", billsPrefix(shard), from)
 }
 
 func totalsKey(shard uint32) string { return shardKey(shard) + "/totals" }
 
-// volumeKey holds the sums that were taken out of the totals when they had
-// grown large.
+// volumeKey returns the key of a sealed volume: sums that were moved out of the
+// totals when these had grown too large.
 func volumeKey(shard uint32, volume uint64) string {
 	return fmt.Sprintf("%s/volume/%020d", shardKey(shard), volume)
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -15,78 +15,83 @@
 	tomb "gopkg.in/tomb.v2"
 )
 
-// Owners names the preferred writer of a shard. A wrong answer costs time,
-// never safety.
+// Owners provides the preferred writer of each shard. A wrong answer causes
+// delay but no incorrect result.
 type Owners interface {
-	// Owner returns the daemon that is preferred for the key, and whether it is
-	// this one.
+	// Owner returns the preferred daemon for the key, and whether it is this
+	// one.
 	Owner(key string) (name string, self bool)
 }
 
-// SecondOwners is an optional extension of Owners: the daemon to ask when the
-// preferred writer does not answer. Without it every asker then reads the
+// SecondOwners is an optional extension of Owners: the daemon to ask if the
+// preferred writer does not answer. Without it, every daemon then loads the
 // shard and writes itself.
 type SecondOwners interface {
-	// SecondOwner returns the daemon that comes next for the key.
+	// SecondOwner returns the next preferred daemon for the key after its
+	// owner.
 	SecondOwner(key string) (name string, self bool)
 }
 
-// Dialer gives access to other daemons.
+// Dialer connects to other daemons.
 type Dialer interface {
 	// Dial returns a client and the base URL of the named daemon. ok is false
-	// when the daemon is not known.
+	// if the daemon is not known.
 	Dial(name string) (client connect.HTTPClient, baseURL string, ok bool)
 }
 
-// Config holds what a Ledger needs. Self, Store, Owners and Dialer are
-// required; zero values of the rest mean the defaults.
+// Config configures a Ledger. Self, Store, Owners and Dialer are required; zero
+// values of the other fields select the defaults.
 type Config struct {
 	// Self is the name of this daemon.
 	Self   string
 	Store  Store
 	Owners Owners
 	Dialer Dialer
-	// Holders may be nil; then no second copies are made.
+	// Holders may be nil; then no records are copied to other daemons.
 	Holders Holders
 	Log     zerolog.Logger
-	// Registerer takes the metrics.
+	// Registerer registers the metrics.
 	Registerer prometheus.Registerer
-	// Rand is the source of backoff jitter. The ledger alone uses it from New on.
+	// Rand is the source of backoff jitter. After New only the ledger may use
+	// it.
 	Rand *rand.Rand
 
-	// Shards and Slots take effect only in a store without a ledger.
+	// Shards and Slots are used only to create a ledger in an empty store;
+	// after that the stored layout applies.
 	Shards uint32
 	Slots  uint32
-	// FleetWrites bounds the batches a second that all preferred writers
-	// together write.
+	// FleetWrites is the maximum rate of batches per second that all preferred
+	// writers together write.
 	FleetWrites float64
-	// FallbackWrites bounds the batches a second that all daemons together write
-	// into shards of other preferred writers.
+	// FallbackWrites is the maximum rate of batches per second that all daemons
+	// together write to shards of which they are not the preferred writer.
 	FallbackWrites float64
-	// Daemons returns the number of live daemons. FallbackWrites is divided by
-	// it. Nil means one.
+	// Daemons returns the number of live daemons, by which FallbackWrites is
+	// divided. Nil means one daemon.
 	Daemons func() int
-	// BatchDelay is how long a record waits for others at least.
+	// BatchDelay is the minimum time that a record waits for others to join its
+	// batch.
 	BatchDelay time.Duration
-	// OwnerTimeout is how long a preferred writer may take.
+	// OwnerTimeout is the timeout of one call to a preferred writer.
 	OwnerTimeout time.Duration
-	// StoreTimeout bounds one store call.
+	// StoreTimeout is the timeout of one store call.
 	StoreTimeout time.Duration
-	// DecideTimeout bounds Claim and PinVersion.
+	// DecideTimeout is the timeout of Claim, PinVersion and PinnedVersion.
 	DecideTimeout time.Duration
-	// IdleTimeout is when an unused shard's memory is given back.
+	// IdleTimeout is how long the state of an unused shard stays in memory on a
+	// daemon that is not its preferred writer.
 	IdleTimeout time.Duration
 	Retention   Retention
 	// BillArchive is how long itemised bills are kept.
 	BillArchive time.Duration
-	// BillPatience is how long Bill and CompleteClaim wait for the store before they
-	// settle for a second copy.
+	// BillPatience is how long Bill and CompleteClaim wait for the store before
+	// they copy the record to a second daemon instead.
 	BillPatience time.Duration
-	// BufferRecords and BufferBytes bound the records that wait for the store,
-	// and once more the copies held for others.
+	// BufferRecords and BufferBytes limit the records that wait for the store
+	// and, separately, the copies held for other daemons.
 	BufferRecords int
 	BufferBytes   int
-	// AnswerBytes is the largest answer body kept with an outcome.
+	// AnswerBytes is the largest response body that is stored with an outcome.
 	AnswerBytes int
 }
 
@@ -111,11 +116,11 @@
 	DefaultAnswerBytes     = 4 << 10
 )
 
-// ErrConfig reports a Config that can't work.
+// ErrConfig reports an invalid Config.
 var ErrConfig = errors.New("invalid ledger configuration")
 
-// Ledger is one daemon's access to the ledger. All methods may be called
-// concurrently.
+// Ledger is one daemon's access to the ledger. Its methods are safe for
+// concurrent use.
 type Ledger struct {
 	cfg     Config
 	logger  zerolog.Logger
@@ -134,13 +139,14 @@
 	store  *guardedStore
 	outbox *outbox
 	copies *copies
-	freeze *freezeGuard
+	freeze *freezeDetector
 	pins   *pinCache
 
 	randMu sync.Mutex
 }
 
-// New returns a Ledger. It makes no call; Start does.
+// New returns a Ledger. It makes no calls to the store or to other daemons
+// before Start.
 func New(cfg Config) (*Ledger, error) {
 	if cfg.Self == "" || cfg.Store == nil || cfg.Owners == nil || cfg.Dialer == nil {
 		return nil, fmt.Errorf("%w: name, store, owners and dialer are required", ErrConfig)
@@ -155,7 +161,7 @@
 		metrics: newMetrics(cfg.Registerer),
 		owners:  newOwnerHealth(),
 		copies:  newCopies(cfg.BufferRecords, cfg.BufferBytes),
-		freeze:  &freezeGuard{limit: cfg.Retention.Bills / 2},
+		freeze:  &freezeDetector{limit: cfg.Retention.Bills / 2},
 		pins:    newPinCache(),
 		opened:  make(chan struct{}),
 	}
@@ -202,16 +208,17 @@
 	}
 }
 
-// Start begins to serve. The layout is read in the background until the store
-// answers; before that every call that needs the store fails as unavailable.
+// Start starts the ledger. It reads the layout in the background until the
+// store answers; until then every call that needs the store fails as
+// unavailable.
 func (l *Ledger) Start() {
 	l.tomb.Go(l.open)
-	l.tomb.Go(l.keepCopies)
-	l.tomb.Go(l.keepPulse)
+	l.tomb.Go(l.maintainCopies)
+	l.tomb.Go(l.detectFreezes)
 }
 
-// Stop ends all writing and waits for it. Records that are not settled by then
-// are answered with ErrStopped. Call Flush before.
+// Stop ends all writing and waits for it. Records that are still unsettled are
+// answered with ErrStopped. Call Flush first.
 func (l *Ledger) Stop() error {
 	l.tomb.Kill(nil)
 	return l.tomb.Wait()
@@ -228,7 +235,7 @@
 			l.startShards(lay)
 			return nil
 		}
-		l.logger.Warn().Err(err).Msg("layout not read yet")
+		l.logger.Warn().Err(err).Msg("cannot read ledger layout, retrying")
 		if !l.sleep(wait/2 + l.jitter(wait/2)) {
 			return nil
 		}
@@ -250,8 +257,8 @@
 	for _, s := range shards {
 		l.tomb.Go(func() error { return s.run(l.tomb.Context(context.Background())) })
 	}
-	for _, ln := range l.outbox.open(lay.shards) {
-		l.tomb.Go(func() error { return l.drain(ln) })
+	for _, q := range l.outbox.openQueues(lay.shards) {
+		l.tomb.Go(func() error { return l.drain(q) })
 	}
 	l.logger.Info().Uint32("shards", lay.shards).Uint32("slots", lay.slots).Msg("ledger opened")
 }
@@ -265,16 +272,16 @@
 			_, self := l.cfg.Owners.Owner(key)
 			return self
 		},
-		writes:   rate.NewLimiter(writes, shardBurst),
-		delay:    l.cfg.BatchDelay,
-		keep:     l.cfg.BillArchive,
-		idle:     l.cfg.IdleTimeout,
-		fallback: fallback,
-		pace:     func() rate.Limit { return rate.Limit(l.cfg.FallbackWrites / float64(max(1, l.cfg.Daemons()))) },
-		rand:     rand.New(rand.NewPCG(l.seed(), uint64(id))),
-		logger:   l.logger,
-		metrics:  l.metrics,
-		wake:     make(chan struct{}, 1),
+		writeLimiter:    rate.NewLimiter(writes, shardBurst),
+		batchDelay:      l.cfg.BatchDelay,
+		billArchive:     l.cfg.BillArchive,
+		idleTimeout:     l.cfg.IdleTimeout,
+		fallbackLimiter: fallback,
+		fallbackRate:    func() rate.Limit { return rate.Limit(l.cfg.FallbackWrites / float64(max(1, l.cfg.Daemons()))) },
+		rand:            rand.New(rand.NewPCG(l.seed(), uint64(id))),
+		logger:          l.logger,
+		metrics:         l.metrics,
+		wake:            make(chan struct{}, 1),
 	}
 }
 
@@ -290,8 +297,8 @@
 	}
 }
 
-// shardFor returns the shard of a fingerprint, or an error before the layout
-// is known.
+// shardFor returns the shard of a fingerprint, or an error if the layout is not
+// known yet.
 func (l *Ledger) shardFor(fp fingerprint) (*shard, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -301,15 +308,15 @@
 	return l.shards[shardOf(fp, l.layout.shards)], nil
 }
 
-// shardBurst is how many batches a preferred writer may write at once into one
-// shard, before it is held to its share of FleetWrites.
+// shardBurst is how many batches a preferred writer may write to one shard in a
+// burst above the shard's part of FleetWrites.
 const shardBurst = 4
 
-// fallbackBurst is how many batches a daemon may write at once into shards of
-// other preferred writers.
+// fallbackBurst is how many batches a daemon may write in a burst to shards of
+// which it is not the preferred writer.
 const fallbackBurst = 8
 
-// errNotOpen reports that the store has not answered since the start.
+// errNotOpen reports that the layout has not been read since the start.
 var errNotOpen = errors.New("ledger layout is not known yet")
 
 // seed returns a random number.
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -18,9 +18,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
-		c.store.SetFault(delayed) // so that both write before they know of each other
+		c.store.SetFault(delayed) // both write before they see each other's records
 		a, b := c.start(t, "a"), c.start(t, "b")
-		c.setOwner(func(asking, _ string) string { return asking }) // both believe they own all
+		c.setOwner(func(asking, _ string) string { return asking }) // both believe that they own all shards
 		first := 0
 		var mu sync.Mutex
 		var wg sync.WaitGroup
@@ -114,15 +114,15 @@
 	})
 }
 
-// The write takes effect and its answer is lost: a blind retry would find its
-// own record and take itself for the second.
+// A write takes effect but its response is lost. A retry that does not read the
+// log first would take its own record for an earlier claim.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
 		a := c.start(t, "a")
 		synctest.Wait()
-		lost := 0 // answers
+		lost := 0 // responses
 		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.Verdict {
 			if op == memstore.OpCreate && strings.Contains(key, "/slot/") && lost < 1 {
 				lost++
@@ -140,8 +140,8 @@
 	})
 }
 
-// A claim whose outcome can't be settled in time is refused as not run. Its
-// record takes effect all the same; the retry must still run, once.
+// A claim that cannot be decided in time is refused as not run, although its
+// record still takes effect. The retry must run, exactly once.
 func TestAbandonedClaimIsReleasedAndRunsOnRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
--- a/ledger/metrics.go
+++ b/ledger/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the ledger's counters. None has labels.
+// metrics are the ledger's metrics. None has labels.
 type metrics struct {
 	writes    prometheus.Counter
 	records   prometheus.Counter
--- a/ledger/outage_test.go
+++ b/ledger/outage_test.go
@@ -21,7 +21,7 @@
 	return Bill{Organisation: "org", RequestID: fmt.Sprintf("r%d", i), Version: "v", CostMicros: 1}
 }
 
-// billsInStore counts the itemised bills by request id.
+// billsInStore counts the itemised bills in the store by request id.
 func billsInStore(t testing.TB, c *cluster) map[string]int {
 	seen := make(map[string]int)
 	err := EachBill(t.Context(), c.store, func(b Bill) error {
@@ -44,7 +44,7 @@
 	qt.Assert(t, totals, qt.DeepEquals, []Total{{Organisation: "org", Version: "v", Bills: uint64(n), CostMicros: uint64(n)}})
 }
 
-func TestBillsOfAnOutageAreDrainedOnceAfterwards(t *testing.T) {
+func TestOutageBillsAreWrittenOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestBillsOfADaemonThatDiesInAnOutageAreDrainedByTheHolder(t *testing.T) {
+func TestHolderWritesBillsOfCrashedDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
@@ -116,7 +116,7 @@
 	})
 }
 
-func TestLeavingDaemonLeavesItsRecordsToTwoOthers(t *testing.T) {
+func TestFlushCopiesUnsettledRecordsToTwoDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestKnownConversationsGoOnInAnOutage(t *testing.T) {
+func TestPinnedConversationsContinueInOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -191,16 +191,16 @@
 	})
 }
 
-// The preferred writer is cut off from this daemon, which then writes itself.
-// Cuts and lost answers between daemons cost time, nothing else.
-func TestPreferredWriterThatDoesNotAnswerIsNotNeeded(t *testing.T) {
-	for _, fate := range []linkFate{{cut: true}, {lose: true}, {delay: time.Minute}} {
+// A daemon that cannot reach the preferred writer writes records itself. Cuts
+// and lost responses between daemons cost time but change no result.
+func TestRequestsSucceedWithoutPreferredWriter(t *testing.T) {
+	for _, fault := range []linkFault{{cut: true}, {lose: true}, {delay: time.Minute}} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster()
 			defer c.stop()
 			a, b := c.start(t, "a"), c.start(t, "b")
 			c.setOwner(func(string, string) string { return "b" })
-			c.setCall(func(string, string) linkFate { return fate })
+			c.setCall(func(string, string) linkFault { return fault })
 			r, err := a.Claim(t.Context(), claimRequest("k", "body"))
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, r.First, qt.IsTrue)
@@ -215,10 +215,10 @@
 	}
 }
 
-// What an outage costs: claims and new conversations are refused, soon and as
-// not run; known conversations and idempotent requests go on; the store is
-// probed rarely; afterwards everything is billed once.
-func TestWhatAnOutageRefuses(t *testing.T) {
+// During a store outage, claims and new conversations are refused quickly and
+// as not run; known conversations and bills continue, and the store is probed
+// rarely. After the outage everything is billed once.
+func TestOutageRefusesClaimsAndNewConversations(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c, nodes := ownersByShard(t, 3)
@@ -277,8 +277,9 @@
 	})
 }
 
-// A daemon that was frozen with copies wakes up when the ledger has forgotten
-// the bills, which their owner settled long ago. It must not write them again.
+// A daemon that holds copies is frozen until the ledger has dropped the entries
+// of the bills, which their owner has settled meanwhile. It must not write the
+// bills again when it resumes.
 func TestFrozenHolderDoesNotBillAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -290,10 +291,10 @@
 		qt.Assert(t, b.copies.add([]*bronzeturnv1.LedgerRecord{bill}), qt.IsNil)
 		_, err := a.append(t.Context(), bill)
 		qt.Assert(t, err, qt.IsNil)
-		b.freeze.mu.Lock() // the time without a pulse, as after SIGSTOP
-		b.freeze.last = time.Now().Add(-2 * DefaultBillRetention)
+		b.freeze.mu.Lock() // the last check is long ago, as after SIGSTOP
+		b.freeze.lastCheck = time.Now().Add(-2 * DefaultBillRetention)
 		b.freeze.mu.Unlock()
-		forget(a)
+		clearBills(a)
 		time.Sleep(5 * time.Minute)
 		seen := billsInStore(t, c)
 		qt.Assert(t, seen["r0"], qt.Equals, 1)
@@ -301,8 +302,9 @@
 	})
 }
 
-// forget makes the preferred writer forget its bills, as retention does.
-func forget(n *node) {
+// clearBills removes the bills from the preferred writer's state, as expiry
+// does.
+func clearBills(n *node) {
 	for _, s := range n.shards {
 		s.log.mu.Lock()
 		clear(s.log.state.bills)
@@ -310,9 +312,9 @@
 	}
 }
 
-// When the preferred writer is gone, the second writes for all; the askers
-// don't read the shard themselves.
-func TestSecondWriterSparesTheAskersFromReadingTheShard(t *testing.T) {
+// If the preferred writer is down, the second owner writes for all daemons, and
+// these do not load the shard themselves.
+func TestSecondOwnerWritesWhenPreferredWriterIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
--- a/ledger/outbox.go
+++ b/ledger/outbox.go
@@ -9,24 +9,25 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Bounds of one request to a preferred writer.
+// Limits of one request to a preferred writer.
 const (
-	laneRecords = 500
-	laneBytes   = 128 << 10
+	forwardRecords = 500
+	forwardBytes   = 128 << 10
 )
 
-// outItem is a record on its way to the store.
+// outItem is a record that waits to be settled.
 type outItem struct {
 	record *bronzeturnv1.LedgerRecord
 	size   int
 	since  time.Time
 	// done is closed when the record is settled.
 	done chan struct{}
-	// onDone, if any, is called when the record is settled.
+	// onDone, if not nil, is called when the record is settled.
 	onDone func()
 
 	mu sync.Mutex
-	// holder has a copy, if not empty.
+	// holder is the daemon that has a copy, or empty; incarnation identifies
+	// the run of that daemon.
 	holder      string
 	incarnation string
 }
@@ -44,26 +45,26 @@
 	return i.holder, i.incarnation
 }
 
-// outbox keeps records until they are settled. Records of one shard leave in
-// the order in which they came.
+// outbox keeps records until they are settled. Records of one shard are sent in
+// order of arrival.
 type outbox struct {
 	maxRecords int
 	maxBytes   int
 	metrics    *metrics
 
-	mu       sync.Mutex
-	lanes    []*lane
-	early    []*outItem // before the layout is known
-	records  int
-	bytes    int
-	reserved int
-	// givenUp are the attempts of this daemon to claim a key under which
-	// nothing will be dispatched, by fingerprint.
-	givenUp map[fingerprint][]*outItem
+	mu           sync.Mutex
+	queues       []*recordQueue
+	beforeLayout []*outItem // items added before the layout is known
+	records      int
+	bytes        int
+	reserved     int
+	// abandonedClaims are the unsettled releases of claims that this daemon has
+	// abandoned, by fingerprint. Nothing will be dispatched under these claims.
+	abandonedClaims map[fingerprint][]*outItem
 }
 
-// lane holds the waiting records of one shard.
-type lane struct {
+// recordQueue holds the waiting records of one shard.
+type recordQueue struct {
 	shard uint32
 	items []*outItem
 	wake  chan struct{}
@@ -71,40 +72,42 @@
 
 func newOutbox(maxRecords, maxBytes int, m *metrics) *outbox {
 	return &outbox{
-		maxRecords: maxRecords,
-		maxBytes:   maxBytes,
-		metrics:    m,
-		givenUp:    make(map[fingerprint][]*outItem),
+		maxRecords:      maxRecords,
+		maxBytes:        maxBytes,
+		metrics:         m,
+		abandonedClaims: make(map[fingerprint][]*outItem),
 	}
 }
 
-// open spreads what came early over the lanes.
-func (o *outbox) open(shards uint32) []*lane {
+// openQueues creates one queue per shard and distributes the items that were
+// added before the layout was known.
+func (o *outbox) openQueues(shards uint32) []*recordQueue {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lanes = make([]*lane, shards)
-	for i := range o.lanes {
-		o.lanes[i] = &lane{shard: uint32(i), wake: make(chan struct{}, 1)}
+	o.queues = make([]*recordQueue, shards)
+	for i := range o.queues {
+		o.queues[i] = &recordQueue{shard: uint32(i), wake: make(chan struct{}, 1)}
 	}
-	for _, item := range o.early {
+	for _, item := range o.beforeLayout {
 		o.push(item)
 	}
-	o.early = nil
-	return o.lanes
+	o.beforeLayout = nil
+	return o.queues
 }
 
-// offer adds a record that may be dropped, if there is room.
+// offer adds a droppable record if there is room for it.
 func (o *outbox) offer(rec *bronzeturnv1.LedgerRecord) {
 	o.mu.Lock()
-	full := o.fullWith(1, proto.Size(rec))
+	full := o.exceedsLimits(1, proto.Size(rec))
 	o.mu.Unlock()
 	if !full {
 		o.add(rec, nil)
 	}
 }
 
-// add puts a record at the end of its lane and calls onDone, if not nil, when
-// it is settled. ReserveBuffer has made room for it.
+// add puts a record at the end of its queue and calls onDone, if not nil, when
+// it is settled. It does not check the limits: ReserveBuffer has reserved the
+// room.
 func (o *outbox) add(rec *bronzeturnv1.LedgerRecord, onDone func()) *outItem {
 	item := &outItem{
 		record: rec,
@@ -117,13 +120,13 @@
 	defer o.mu.Unlock()
 	if isRelease(rec) {
 		fp := fingerprint(rec.Fingerprint)
-		o.givenUp[fp] = append(o.givenUp[fp], item)
+		o.abandonedClaims[fp] = append(o.abandonedClaims[fp], item)
 	}
 	o.records++
 	o.bytes += item.size
-	o.gauge()
-	if o.lanes == nil {
-		o.early = append(o.early, item)
+	o.updateGauges()
+	if o.queues == nil {
+		o.beforeLayout = append(o.beforeLayout, item)
 		return item
 	}
 	o.push(item)
@@ -131,94 +134,95 @@
 }
 
 func (o *outbox) push(item *outItem) {
-	ln := o.lanes[shardOf(fingerprint(item.record.Fingerprint), uint32(len(o.lanes)))]
-	ln.items = append(ln.items, item)
+	q := o.queues[shardOf(fingerprint(item.record.Fingerprint), uint32(len(o.queues)))]
+	q.items = append(q.items, item)
 	select {
-	case ln.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (o *outbox) gauge() {
+func (o *outbox) updateGauges() {
 	o.metrics.buffered.Set(float64(o.records))
 	o.metrics.bytes.Set(float64(o.bytes))
 }
 
-// droppable records only prolong a pin.
+// droppable reports whether the record may be lost: it only extends a pin.
 func droppable(rec *bronzeturnv1.LedgerRecord) bool { return rec.GetPin().GetTouch() }
 
 func isRelease(rec *bronzeturnv1.LedgerRecord) bool {
 	return rec.GetOutcome().GetState() == bronzeturnv1.LedgerClaimState_LEDGER_CLAIM_STATE_RELEASED
 }
 
-func (o *outbox) fullWith(records, bytes int) bool {
+func (o *outbox) exceedsLimits(records, bytes int) bool {
 	return o.records+o.reserved*recordsPerRequest+records > o.maxRecords ||
 		o.bytes+o.reserved*reservedBytes+bytes > o.maxBytes
 }
 
-// roomForBodies tells whether answer bodies may be kept: not when half of the
-// room is used.
-func (o *outbox) roomForBodies() bool {
+// hasRoomForBodies reports whether outcomes may include response bodies: only
+// while less than half of the buffer's bytes are used.
+func (o *outbox) hasRoomForBodies() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return 2*o.bytes < o.maxBytes
 }
 
-// peek returns the first records of a lane without removing them.
-func (o *outbox) peek(ln *lane) []*outItem {
+// peek returns the first records of a queue, as many as fit in one request,
+// without removing them.
+func (o *outbox) peek(q *recordQueue) []*outItem {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	size, n := 0, 0
-	for n < len(ln.items) && n < laneRecords && size < laneBytes {
-		size += ln.items[n].size
+	for n < len(q.items) && n < forwardRecords && size < forwardBytes {
+		size += q.items[n].size
 		n++
 	}
-	return append([]*outItem(nil), ln.items[:n]...)
+	return append([]*outItem(nil), q.items[:n]...)
 }
 
-// settled removes the items, which were the first of the lane.
-func (o *outbox) settled(ln *lane, items []*outItem) {
+// removeSettled removes settled items, which were the first of the queue.
+func (o *outbox) removeSettled(q *recordQueue, items []*outItem) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	gone := make(map[*outItem]bool, len(items))
+	removed := make(map[*outItem]bool, len(items))
 	for _, item := range items {
-		gone[item] = true
+		removed[item] = true
 	}
-	kept := ln.items[:0:0]
-	for _, item := range ln.items {
-		if gone[item] {
+	kept := q.items[:0:0]
+	for _, item := range q.items {
+		if removed[item] {
 			o.remove(item)
 		} else {
 			kept = append(kept, item)
 		}
 	}
-	ln.items = kept
-	o.gauge()
+	q.items = kept
+	o.updateGauges()
 }
 
-// forget removes an attempt that was given up and is now released.
-func (o *outbox) forget(item *outItem) {
+// forgetRelease removes a settled release from abandonedClaims.
+func (o *outbox) forgetRelease(item *outItem) {
 	if !isRelease(item.record) {
 		return
 	}
 	fp := fingerprint(item.record.Fingerprint)
-	kept := o.givenUp[fp][:0]
-	for _, other := range o.givenUp[fp] {
+	kept := o.abandonedClaims[fp][:0]
+	for _, other := range o.abandonedClaims[fp] {
 		if other != item {
 			kept = append(kept, other)
 		}
 	}
-	o.givenUp[fp] = kept
+	o.abandonedClaims[fp] = kept
 	if len(kept) == 0 {
-		delete(o.givenUp, fp)
+		delete(o.abandonedClaims, fp)
 	}
 }
 
-// release returns the item that gives up the attempt, if there is one.
-func (o *outbox) release(fp fingerprint, nonce Nonce) *outItem {
+// findRelease returns the waiting release of an abandoned claim, or nil.
+func (o *outbox) findRelease(fp fingerprint, nonce Nonce) *outItem {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, item := range o.givenUp[fp] {
+	for _, item := range o.abandonedClaims[fp] {
 		if Nonce(item.record.Nonce) == nonce {
 			return item
 		}
@@ -226,14 +230,14 @@
 	return nil
 }
 
-// dropCopied removes the records that a second daemon has.
+// dropCopied removes the records of which a second daemon has a copy.
 func (o *outbox) dropCopied() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	dropped := 0
-	for _, ln := range o.lanes {
-		kept := ln.items[:0:0]
-		for _, item := range ln.items {
+	for _, q := range o.queues {
+		kept := q.items[:0:0]
+		for _, item := range q.items {
 			if name, _ := item.copyHolder(); name == "" {
 				kept = append(kept, item)
 				continue
@@ -241,28 +245,28 @@
 			o.remove(item)
 			dropped++
 		}
-		ln.items = kept
+		q.items = kept
 	}
-	o.gauge()
+	o.updateGauges()
 	return dropped
 }
 
-// remove takes an item out of the accounts. The caller takes it out of its
-// lane.
+// remove updates the counts and closes the item's done channel. The caller
+// removes the item from its queue.
 func (o *outbox) remove(item *outItem) {
 	o.records--
 	o.bytes -= item.size
-	o.forget(item)
+	o.forgetRelease(item)
 	close(item.done)
 }
 
-// unsettled returns all waiting items, oldest first within each lane.
+// unsettled returns all waiting items, oldest first within each queue.
 func (o *outbox) unsettled() []*outItem {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	all := append([]*outItem(nil), o.early...)
-	for _, ln := range o.lanes {
-		all = append(all, ln.items...)
+	all := append([]*outItem(nil), o.beforeLayout...)
+	for _, q := range o.queues {
+		all = append(all, q.items...)
 	}
 	return all
 }
--- a/ledger/pin.go
+++ b/ledger/pin.go
@@ -15,15 +15,16 @@
 	Version      string
 }
 
-// PinResult is the version in force.
+// PinResult is the version that the conversation is pinned to.
 type PinResult struct {
 	Version string
-	// Created tells that this call settled the version.
+	// Created reports whether this call pinned the version.
 	Created bool
 }
 
-// PinVersion settles the version of a conversation: the first one stands. An error
-// means that the version is not settled and nothing may be dispatched.
+// PinVersion pins a conversation to a version, unless it is pinned already: the
+// first version stands. After an error the version is undecided and nothing may
+// be dispatched.
 func (l *Ledger) PinVersion(ctx context.Context, req PinRequest) (PinResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.DecideTimeout)
 	defer cancel()
@@ -38,7 +39,7 @@
 	}
 	version := l.cachePin(fp, verdict.Entry)
 	if version == "" {
-		return PinResult{}, pinRefused(errVerdicts)
+		return PinResult{}, pinRefused(errVerdictMismatch)
 	}
 	return PinResult{Version: version}, nil
 }
@@ -58,7 +59,7 @@
 	}
 }
 
-// cachePin remembers the version in the entry and returns it.
+// cachePin stores the version of an entry in the cache and returns it.
 func (l *Ledger) cachePin(fp fingerprint, entry *bronzeturnv1.LedgerEntry) string {
 	version := entry.GetPin().GetVersion()
 	if version != "" {
@@ -67,9 +68,10 @@
 	return version
 }
 
-// PinnedVersion returns the version of a conversation. ok is false when none is
-// known; only PinVersion decides whether the conversation is new. Using a conversation
-// prolongs its pin in the background.
+// PinnedVersion returns the version that a conversation is pinned to. ok is
+// false if none is found, which does not prove that the conversation is new;
+// only PinVersion decides that. Each call that reads the pin from the ledger
+// also extends it, in the background.
 func (l *Ledger) PinnedVersion(ctx context.Context, organisation, conversation string) (version string, ok bool, err error) {
 	fp := fingerprintOf(ClassPin, organisation, conversation)
 	version, fresh := l.pins.get(fp)
--- a/ledger/pincache.go
+++ b/ledger/pincache.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Bounds of the cache of conversation versions.
+// Limits of the cache of conversation versions.
 const (
 	pinCacheShards   = 16
 	maxPinsPerShard  = 4096
-	pinFreshFraction = 2
-	pinsEvicted      = 64
+	pinFreshDivisor  = 2
+	pinEvictionBatch = 64
 )
 
-// pinCache remembers the versions of conversations that this daemon has used
-// lately, so that they cost no call and go on while the store is down. An entry
-// is dropped before the ledger may have forgotten it.
+// pinCache caches the versions of recently used conversations, so that most
+// requests need no ledger call and known conversations continue while the store
+// is down. An entry is removed before the ledger may have dropped its pin.
 type pinCache struct {
 	shards [pinCacheShards]pinCacheShard
 }
@@ -27,10 +27,10 @@
 
 type cachedPin struct {
 	version string
-	// fresh is until when the entry is used without asking, valid is until when
-	// it is used if nobody answers.
-	fresh time.Time
-	valid time.Time
+	// The entry is used without asking the ledger until freshUntil, and until
+	// validUntil if the ledger does not answer.
+	freshUntil time.Time
+	validUntil time.Time
 }
 
 func newPinCache() *pinCache {
@@ -45,7 +45,7 @@
 	return &c.shards[fp[0]%pinCacheShards]
 }
 
-// put remembers a version that the ledger keeps for at least the given time.
+// put caches a version that the ledger keeps for at least the remaining time.
 func (c *pinCache) put(fp fingerprint, version string, remaining time.Duration) {
 	now := time.Now()
 	s := c.shard(fp)
@@ -55,33 +55,33 @@
 		s.evict()
 	}
 	s.pins[fp] = cachedPin{
-		version: version,
-		fresh:   now.Add(remaining / pinFreshFraction),
-		valid:   now.Add(remaining),
+		version:    version,
+		freshUntil: now.Add(remaining / pinFreshDivisor),
+		validUntil: now.Add(remaining),
 	}
 }
 
-// evict makes room by dropping arbitrary entries. Map order is random enough.
+// evict makes room by removing arbitrary entries, in map order.
 func (s *pinCacheShard) evict() {
 	for fp := range s.pins {
 		delete(s.pins, fp)
-		if len(s.pins) <= maxPinsPerShard-pinsEvicted {
+		if len(s.pins) <= maxPinsPerShard-pinEvictionBatch {
 			return
 		}
 	}
 }
 
-// get returns the version, or "". fresh tells that it may be used without
-// asking the ledger.
+// get returns the cached version, or "". fresh reports whether it may be used
+// without asking the ledger.
 func (c *pinCache) get(fp fingerprint) (version string, fresh bool) {
 	now := time.Now()
 	s := c.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.pins[fp]
-	if !ok || !now.Before(p.valid) {
+	if !ok || !now.Before(p.validUntil) {
 		delete(s.pins, fp)
 		return "", false
 	}
-	return p.version, now.Before(p.fresh)
+	return p.version, now.Before(p.freshUntil)
 }
--- a/ledger/queue.go
+++ b/ledger/queue.go
@@ -10,31 +10,31 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// ErrQueueFull reports that a shard has too many records waiting.
+// ErrQueueFull reports that too many records are waiting for a shard.
 var ErrQueueFull = errors.New("ledger shard queue is full")
 
-// ErrStoreFailing reports that the object store has not answered several times
-// in a row. The record may or may not be written later.
+// ErrStoreFailing reports that several consecutive calls to the object store
+// failed. The record may still be written later.
 var ErrStoreFailing = errors.New("object store is failing")
 
 // ErrStopped reports that the ledger is stopping.
 var ErrStopped = errors.New("ledger is stopped")
 
-// pending is a record that waits for its verdict. A nil record asks for the
-// log to be read to its end.
+// pending is a record that waits for its verdict. A nil record requests that
+// the log be read to its end.
 type pending struct {
 	ctx    context.Context
 	record *bronzeturnv1.LedgerRecord
 	done   chan result
 
-	// Guarded by the shard's lock. attempted tells that the record has been in
-	// a write, cancelled that it must not be in one any more.
+	// Guarded by the shard's mu. attempted is set once the record has been part
+	// of a write; cancelled forbids any further write of it.
 	attempted bool
 	cancelled bool
 }
 
-// NotWrittenError reports that none of the records has been sent to the store
-// or will be.
+// NotWrittenError reports that none of the records has been or will be sent to
+// the store.
 type NotWrittenError struct {
 	Cause error
 }
@@ -45,14 +45,14 @@
 // Unwrap returns the cause.
 func (e *NotWrittenError) Unwrap() error { return e.Cause }
 
-// result is the fate of a pending record.
+// result is the outcome of a pending record.
 type result struct {
 	verdict *bronzeturnv1.LedgerVerdict
 	err     error
 }
 
-// submit queues records and waits for their verdicts. When ctx ends first, the
-// records may still be written.
+// submit queues records and waits for their verdicts. If ctx ends first, the
+// records may still be written, unless the error is a NotWrittenError.
 func (s *shard) submit(ctx context.Context, records []*bronzeturnv1.LedgerRecord) ([]*bronzeturnv1.LedgerVerdict, error) {
 	waiting := make([]*pending, len(records))
 	for i, rec := range records {
@@ -66,19 +66,19 @@
 		select {
 		case r := <-p.done:
 			if r.err != nil {
-				return nil, s.giveUp(waiting, r.err)
+				return nil, s.cancelPending(waiting, r.err)
 			}
 			verdicts[i] = r.verdict
 		case <-ctx.Done():
-			return nil, s.giveUp(waiting, ctx.Err())
+			return nil, s.cancelPending(waiting, ctx.Err())
 		}
 	}
 	return verdicts, nil
 }
 
-// giveUp keeps the records out of further writes and tells whether any has
-// been in one.
-func (s *shard) giveUp(waiting []*pending, cause error) error {
+// cancelPending excludes the records from further writes and returns the cause,
+// as a NotWrittenError if none of them has been part of a write.
+func (s *shard) cancelPending(waiting []*pending, cause error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	attempted := false
@@ -92,8 +92,9 @@
 	return &NotWrittenError{Cause: cause}
 }
 
-// attempt marks the records that go into a write, without the cancelled ones.
-func (s *shard) attempt(batch []*pending) []*pending {
+// markAttempted drops cancelled records from the batch and marks the others as
+// attempted.
+func (s *shard) markAttempted(batch []*pending) []*pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := batch[:0]
@@ -133,13 +134,13 @@
 	return nil
 }
 
-func (s *shard) takeable() bool {
+func (s *shard) hasQueued() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) > 0
 }
 
-// stop answers everything that still waits.
+// stop answers all waiting records with ErrStopped and refuses new ones.
 func (s *shard) stop() {
 	s.mu.Lock()
 	s.stopped = true
@@ -151,7 +152,7 @@
 	}
 }
 
-func (s *shard) refreshWanted() bool {
+func (s *shard) refreshRequested() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.queue {
@@ -162,9 +163,9 @@
 	return false
 }
 
-// take removes the records of at most one batch from the queue and drops those
-// nobody waits for.
-func (s *shard) take() []*pending {
+// dequeue removes up to one batch of records from the queue. It drops records
+// whose caller no longer waits.
+func (s *shard) dequeue() []*pending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var taken []*pending
@@ -181,7 +182,7 @@
 	return taken
 }
 
-func (s *shard) putBack(waiting []*pending) {
+func (s *shard) requeue(waiting []*pending) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.queue = append(append([]*pending(nil), waiting...), s.queue...)
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -8,10 +8,10 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// record puts a record on its way to the store and waits until it is there or,
-// after BillPatience, until a second daemon has a copy. It goes on when ctx
-// ends: the work that the record stands for has been done.
-func (l *Ledger) record(ctx context.Context, rec *bronzeturnv1.LedgerRecord) (Durability, error) {
+// storeOrCopy queues a record and waits until it is in the store or, after
+// BillPatience, until a second daemon has a copy. It does not stop when ctx
+// ends, since the work that the record accounts for has been done.
+func (l *Ledger) storeOrCopy(ctx context.Context, rec *bronzeturnv1.LedgerRecord) (Durability, error) {
 	if !l.tomb.Alive() {
 		return 0, failure.Wrap(ErrStopped, failure.CodeLedgerUnavailable, failure.RanUnknown, "the ledger has stopped")
 	}
@@ -26,9 +26,10 @@
 	return l.copyItem(context.WithoutCancel(ctx), item), nil
 }
 
-// copyItem gives a copy to a second daemon.
+// copyItem copies the item to a second daemon and returns the durability
+// reached.
 func (l *Ledger) copyItem(ctx context.Context, item *outItem) Durability {
-	if l.hold(ctx, []*outItem{item}) {
+	if l.copyToHolder(ctx, []*outItem{item}) {
 		return DurabilityCopied
 	}
 	select {
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -12,15 +12,15 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// reportAttempts bounds how often a shard is read again because its log went
-// on too far between two calls.
+// reportAttempts is how often a shard is read again because its slots were
+// overwritten between two calls.
 const reportAttempts = 5
 
-// ErrBusy reports that a shard's log went on faster than it could be read.
+// ErrBusy reports that a shard's log changed faster than it could be read.
 var ErrBusy = errors.New("ledger shard changes faster than it can be read")
 
 // Totals returns the sums of all bills in the store by organisation and
-// version. It needs no running Ledger.
+// version. It does not need a running Ledger.
 func Totals(ctx context.Context, store Store) ([]Total, error) {
 	lay, err := existingLayout(ctx, store)
 	if err != nil {
@@ -35,7 +35,8 @@
 	return sortedTotals(sums), nil
 }
 
-// existingLayout reads the layout. A store without one has no bills.
+// existingLayout reads the layout. It returns an empty one, with no shards, if
+// the store has none.
 func existingLayout(ctx context.Context, store Store) (layout, error) {
 	obj, err := store.Get(ctx, layoutKey)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -49,21 +50,21 @@
 
 func addShardTotals(ctx context.Context, store Store, lay layout, shard uint32, sums map[totalKey]Total) error {
 	for range reportAttempts {
-		through, filed, err := readTotals(ctx, store, shard)
+		through, archived, err := readTotals(ctx, store, shard)
 		if err != nil {
 			return err
 		}
-		tail, err := unfiledBills(ctx, store, lay, shard, through)
-		if errors.Is(err, errLapped) {
+		tail, err := unarchivedBills(ctx, store, lay, shard, through)
+		if errors.Is(err, errOverwritten) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		if err := addVolumes(ctx, store, shard, filed.volume, sums); err != nil {
+		if err := addVolumes(ctx, store, shard, archived.volume, sums); err != nil {
 			return err
 		}
-		for key, t := range filed.sums {
+		for key, t := range archived.sums {
 			mergeTotal(sums, key, t)
 		}
 		for _, b := range tail {
@@ -101,9 +102,9 @@
 	sums[key] = s
 }
 
-// unfiledBills returns the bills in the batches after the sequence number.
-func unfiledBills(ctx context.Context, store Store, lay layout, shard uint32, through uint64) ([]*bronzeturnv1.LedgerBill, error) {
-	objects, err := listAll(ctx, store, slotPrefix(shard), slotPage)
+// unarchivedBills returns the bills of the batches after the sequence number.
+func unarchivedBills(ctx context.Context, store Store, lay layout, shard uint32, through uint64) ([]*bronzeturnv1.LedgerBill, error) {
+	objects, err := listAll(ctx, store, slotPrefix(shard), slotPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +122,7 @@
 	var bills []*bronzeturnv1.LedgerBill
 	for i, batch := range batches {
 		if batch.Sequence != through+uint64(i)+1 {
-			return nil, errLapped
+			return nil, errOverwritten
 		}
 		bills = appendBills(bills, batch)
 	}
@@ -137,8 +138,8 @@
 	return bills
 }
 
-// EachBill calls fn for every itemised bill that is still kept, shard by
-// shard, and ends with its first error.
+// EachBill calls fn for every itemised bill that is still kept, shard by shard.
+// It stops at the first error and returns it.
 func EachBill(ctx context.Context, store Store, fn func(Bill) error) error {
 	lay, err := existingLayout(ctx, store)
 	if err != nil {
@@ -155,18 +156,18 @@
 func eachBillOfShard(ctx context.Context, store Store, lay layout, shard uint32, fn func(Bill) error) error {
 	through, after := uint64(0), ""
 	for range reportAttempts {
-		filed, _, err := readTotals(ctx, store, shard)
+		archived, _, err := readTotals(ctx, store, shard)
 		if err != nil {
 			return err
 		}
-		through, after, err = eachFiledBill(ctx, store, shard, through, after, fn)
+		through, after, err = eachArchivedBill(ctx, store, shard, through, after, fn)
 		if err != nil {
 			return err
 		}
-		through = max(through, filed) // expired items are in the totals only
-		tail, err := unfiledBills(ctx, store, lay, shard, through)
-		if errors.Is(err, errLapped) {
-			continue // more bills have been filed
+		through = max(through, archived) // expired itemised bills are in the totals only
+		tail, err := unarchivedBills(ctx, store, lay, shard, through)
+		if errors.Is(err, errOverwritten) {
+			continue // more bills have been archived meanwhile
 		}
 		if err != nil {
 			return err
@@ -176,11 +177,11 @@
 	return fmt.Errorf("shard %d: %w", shard, ErrBusy)
 }
 
-// eachFiledBill goes through the itemised objects after the given key and
-// returns the last sequence number and key.
-func eachFiledBill(ctx context.Context, store Store, shard uint32, through uint64, after string, fn func(Bill) error) (uint64, string, error) {
+// eachArchivedBill calls fn for the bills of the itemised objects after the
+// given key. It returns the last sequence number and key read.
+func eachArchivedBill(ctx context.Context, store Store, shard uint32, through uint64, after string, fn func(Bill) error) (uint64, string, error) {
 	for {
-		page, err := store.List(ctx, billsPrefix(shard), after, segmentPage)
+		page, err := store.List(ctx, billsPrefix(shard), after, segmentPageSize)
 		if err != nil {
 			return 0, "", fmt.Errorf("list bills of shard %d: %w", shard, err)
 		}
@@ -194,7 +195,7 @@
 			}
 			through, after = bills.Through, obj.Key
 		}
-		if len(page) < segmentPage {
+		if len(page) < segmentPageSize {
 			return through, after, nil
 		}
 	}
--- a/ledger/reserve.go
+++ b/ledger/reserve.go
@@ -7,48 +7,51 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// reservedBytes is the room kept for the records of one request.
+// reservedBytes is the buffer space reserved for the records of one request.
 const reservedBytes = 1 << 10
 
-// recordsPerRequest is how many records one request leaves: outcome and bill.
+// recordsPerRequest is the number of records of one request: its outcome and
+// its bill.
 const recordsPerRequest = 2
 
-// Reservation is room for the records of one request.
+// Reservation is buffer space for the records of one request.
 type Reservation struct {
-	box  *outbox
-	once sync.Once
+	outbox *outbox
+	once   sync.Once
 }
 
-// Release gives the room back. It may be called more than once.
+// Release frees the reserved space. It may be called more than once.
 func (r *Reservation) Release() {
 	r.once.Do(func() {
-		r.box.mu.Lock()
-		defer r.box.mu.Unlock()
-		r.box.reserved--
+		r.outbox.mu.Lock()
+		defer r.outbox.mu.Unlock()
+		r.outbox.reserved--
 	})
 }
 
-// ReserveBuffer makes room for the outcome and the bill of one request before it is
-// dispatched. Release the reservation after Bill and CompleteClaim. When the buffer
-// is full, the request is refused before it runs.
+// ReserveBuffer reserves buffer space for the outcome and the bill of one
+// request. Call it before dispatch, and release the reservation after Bill and
+// CompleteClaim. If the buffer is full, it returns an error and the request
+// must not run.
 func (l *Ledger) ReserveBuffer() (*Reservation, error) {
 	o := l.outbox
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.fullWith(recordsPerRequest, reservedBytes) {
+	if o.exceedsLimits(recordsPerRequest, reservedBytes) {
 		l.metrics.full.Inc()
 		return nil, failure.New(failure.CodeLedgerUnavailable, failure.RanNo, "too many bills wait for the store").After(fullRetryAfter)
 	}
 	o.reserved++
-	return &Reservation{box: o}, nil
+	return &Reservation{outbox: o}, nil
 }
 
-// BufferHasRoom tells whether ReserveBuffer would succeed now.
+// BufferHasRoom reports whether ReserveBuffer would succeed now.
 func (l *Ledger) BufferHasRoom() bool {
 	l.outbox.mu.Lock()
 	defer l.outbox.mu.Unlock()
-	return !l.outbox.fullWith(recordsPerRequest, reservedBytes)
+	return !l.outbox.exceedsLimits(recordsPerRequest, reservedBytes)
 }
 
-// fullRetryAfter is the advice while the buffer is full.
+// fullRetryAfter is the retry delay suggested to callers while the buffer is
+// full.
 const fullRetryAfter = 5 * time.Second
--- a/ledger/role.go
+++ b/ledger/role.go
@@ -1,8 +1,8 @@
 package ledger
 
-// PreferredShards returns the names of the shards that this daemon is the
-// preferred writer of now, for status pages. It is empty before the layout is
-// known.
+// PreferredShards returns the names of the shards of which this daemon is
+// currently the preferred writer, for status pages. It is empty until the
+// layout is known.
 func (l *Ledger) PreferredShards() []string {
 	l.mu.Lock()
 	count := len(l.shards)
--- a/ledger/segment.go
+++ b/ledger/segment.go
@@ -10,19 +10,19 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// Bounds of the batches that are in no segment yet. A segment has to stay
-// below objectstore.MaxValueBytes, and an entry may take up to twice the bytes
-// of its record.
+// Size limits of the tail, the batches that are in no segment yet. A segment
+// must stay below objectstore.MaxValueBytes, and an entry may need up to twice
+// the bytes of its record.
 const (
-	compactBytes = 320 << 10
-	maxTailBytes = 500 << 10
+	compactionBytes = 320 << 10
+	maxTailBytes    = 500 << 10
 )
 
-// compactSlotQuarters is the part of the ring, in quarters, whose use starts a
-// compaction.
-const compactSlotQuarters = 3
+// compactionSlotQuarters is the number of quarters of the ring at whose use
+// compaction starts.
+const compactionSlotQuarters = 3
 
-// segmentInfo is what is kept in memory of a segment.
+// segmentInfo is the part of a segment that is kept in memory.
 type segmentInfo struct {
 	from     uint64
 	through  uint64
@@ -31,11 +31,11 @@
 	revision uint64
 }
 
-// readSegments returns the segments that lead without a gap to the newest one.
-// What lies before a gap is left over from a writer that was paused while it
-// wrote a segment that others had written and dropped since.
+// readSegments returns the segments that form a gapless sequence up to the
+// newest one. Segments before a gap are leftovers: a writer was paused while it
+// wrote a segment that others had meanwhile written and dropped.
 func (g *shardLog) readSegments(ctx context.Context) ([]*bronzeturnv1.LedgerSegment, error) {
-	objects, err := listAll(ctx, g.store, segmentPrefix(g.shard), segmentPage)
+	objects, err := listAll(ctx, g.store, segmentPrefix(g.shard), segmentPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -78,16 +78,17 @@
 	}
 }
 
-// segmentPage bounds the objects of one List call over large objects.
-const segmentPage = 8
+// segmentPageSize is the number of objects per List call for large objects.
+const segmentPageSize = 8
 
-// compactionDue tells whether the tail should become a segment.
+// compactionDue reports whether the tail should be written as a segment.
 func (g *shardLog) compactionDue() bool {
-	return g.tailBytes >= compactBytes || len(g.tail)*4 >= int(g.layout.slots)*compactSlotQuarters
+	return g.tailBytes >= compactionBytes || len(g.tail)*4 >= int(g.layout.slots)*compactionSlotQuarters
 }
 
-// compact turns the tail into a segment. The first create at the segment's
-// start decides its range; only after that its slots may be used again.
+// compact writes the tail as a segment. The first writer to create the segment
+// for a start sequence decides its range; only after that may its slots be
+// reused.
 func (g *shardLog) compact(ctx context.Context) error {
 	if g.compacted >= g.state.sequence {
 		return nil
@@ -99,7 +100,7 @@
 	}
 	obj, err := g.store.Create(ctx, segmentKey(g.shard, seg.From), value)
 	if err != nil {
-		g.loaded = false // whether it was written shows when the log is read anew
+		g.loaded = false // reloading the log shows whether it was written
 		return fmt.Errorf("write segment %d of shard %d: %w", seg.From, g.shard, err)
 	}
 	g.compacted = seg.Through
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// buildSegment collects what the tail created or changed.
+// buildSegment collects the entries that the tail created or changed.
 func (g *shardLog) buildSegment() *bronzeturnv1.LedgerSegment {
 	seg := &bronzeturnv1.LedgerSegment{
 		From:          g.compacted + 1,
@@ -146,7 +147,8 @@
 	}
 }
 
-// dropSegments deletes the oldest segments all of whose entries have expired.
+// dropSegments deletes the oldest segments, as long as all their entries have
+// expired.
 func (g *shardLog) dropSegments(ctx context.Context) error {
 	for len(g.segments) > 1 && g.segments[0].expires <= g.state.clock {
 		old := g.segments[0]
--- a/ledger/service.go
+++ b/ledger/service.go
@@ -12,17 +12,17 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// maxMessageBytes bounds what a peer may send.
+// maxMessageBytes is the maximum size of a request from another daemon.
 const maxMessageBytes = 1 << 20
 
 // Handler returns the path and the handler of LedgerService, to be mounted on
-// the listener for peers. The listener authenticates them.
+// the listener for other daemons. The listener authenticates them.
 func (l *Ledger) Handler(opts ...connect.HandlerOption) (string, http.Handler) {
 	opts = append([]connect.HandlerOption{connect.WithReadMaxBytes(maxMessageBytes)}, opts...)
 	return bronzeturnv1connect.NewLedgerServiceHandler(&service{l}, opts...)
 }
 
-// service answers the calls of other daemons.
+// service handles calls from other daemons.
 type service struct {
 	ledger *Ledger
 }
@@ -33,8 +33,8 @@
 	errNoBody      = errors.New("record without body")
 )
 
-// Append implements bronzeturnv1connect.LedgerServiceHandler. It never passes
-// records on: whoever is asked writes.
+// Append implements bronzeturnv1connect.LedgerServiceHandler. It writes the
+// records itself and never forwards them.
 func (s *service) Append(ctx context.Context, req *connect.Request[bronzeturnv1.AppendRequest]) (*connect.Response[bronzeturnv1.AppendResponse], error) {
 	target, err := s.ledger.shardByID(req.Msg.Shard)
 	if err != nil {
@@ -44,7 +44,7 @@
 		if err := checkRecord(rec); err != nil {
 			return nil, connect.NewError(connect.CodeInvalidArgument, err)
 		}
-		if !s.ledger.belongs(rec, target.id) {
+		if !s.ledger.inShard(rec, target.id) {
 			return nil, connect.NewError(connect.CodeInvalidArgument, errWrongShard)
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	verdicts, err := target.submit(ctx, req.Msg.Records)
 	if err != nil {
-		return nil, connect.NewError(codeOf(err), err)
+		return nil, connect.NewError(connectCode(err), err)
 	}
 	return connect.NewResponse(&bronzeturnv1.AppendResponse{Verdicts: verdicts}), nil
 }
@@ -70,7 +70,7 @@
 	}
 	entry, err := target.lookup(ctx, Class(req.Msg.Class), fp, req.Msg.Refresh)
 	if err != nil {
-		return nil, connect.NewError(codeOf(err), err)
+		return nil, connect.NewError(connectCode(err), err)
 	}
 	return connect.NewResponse(&bronzeturnv1.LookupResponse{Entry: entry}), nil
 }
@@ -84,33 +84,35 @@
 	return l.shards[id], nil
 }
 
-// loadPatience is how long Append waits for a shard to be read before it asks
-// the caller to come back.
-const loadPatience = 100 * time.Millisecond
+// loadWait is how long Append waits for a shard to load before it tells the
+// caller to retry.
+const loadWait = 100 * time.Millisecond
 
-// errLoading reports that the shard is being read. Nothing was written.
+// errLoading reports that the shard is being loaded. Nothing was written.
 var errLoading = errors.New("shard is being read")
 
-// awaitLoad tells whether the shard is ready, after a short wait.
+// awaitLoad waits up to loadWait for the shard to load, and reports whether it
+// is ready.
 func (s *shard) awaitLoad(ctx context.Context) bool {
 	if s.log.ready() {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadPatience)
+	ctx, cancel := context.WithTimeout(ctx, loadWait)
 	defer cancel()
 	return s.refresh(ctx) == nil || s.log.ready()
 }
 
-// codeOf tells a live daemon that certainly did not write from others.
-func codeOf(err error) connect.Code {
-	var not *NotWrittenError
-	if errors.As(err, &not) && !errors.Is(err, context.Canceled) && !errors.Is(err, ErrStopped) {
+// connectCode returns CodeResourceExhausted if this daemon is running and
+// certainly did not write, and CodeUnavailable otherwise.
+func connectCode(err error) connect.Code {
+	var notWritten *NotWrittenError
+	if errors.As(err, &notWritten) && !errors.Is(err, context.Canceled) && !errors.Is(err, ErrStopped) {
 		return connect.CodeResourceExhausted
 	}
 	return connect.CodeUnavailable
 }
 
-// checkRecord refuses what would damage a log.
+// checkRecord rejects records that would corrupt a log.
 func checkRecord(rec *bronzeturnv1.LedgerRecord) error {
 	if len(rec.GetFingerprint()) != idBytes || len(rec.GetNonce()) != idBytes {
 		return errFingerprint
@@ -121,8 +123,8 @@
 	return nil
 }
 
-// belongs tells whether the record's key hashes to the shard.
-func (l *Ledger) belongs(rec *bronzeturnv1.LedgerRecord, shard uint32) bool {
+// inShard reports whether the record's key hashes to the shard.
+func (l *Ledger) inShard(rec *bronzeturnv1.LedgerRecord, shard uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return shardOf(fingerprint(rec.Fingerprint), l.layout.shards) == shard
--- a/ledger/shard.go
+++ b/ledger/shard.go
@@ -14,47 +14,47 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// Bounds of one shard's queue and batches.
+// Limits of one shard's queue and batches.
 const (
 	maxQueue        = 20000
 	maxBatchRecords = 2000
 	maxBatchBytes   = 128 << 10
 )
 
-// Backoff after failed store calls: full jitter up to a doubling bound.
+// Backoff after failed store calls: full jitter with a bound that doubles.
 const (
 	backoffMin = 25 * time.Millisecond
 	backoffMax = 2 * time.Second
-	// failFastAfter is the number of failures in a row after which waiting
-	// records are answered instead of being kept waiting.
+	// failFastAfter is the number of consecutive failures after which waiting
+	// records are answered with an error instead of being kept.
 	failFastAfter = 3
 )
 
-// shard collects records and writes them in batches. All calls to the object
-// store are made by the goroutine in run.
+// shard queues records and writes them in batches. Only its run goroutine calls
+// the object store.
 type shard struct {
-	id       uint32
-	log      *shardLog
-	owned    func() bool
-	writes   *rate.Limiter
-	delay    time.Duration
-	keep     time.Duration
-	idle     time.Duration
-	fallback *rate.Limiter
-	pace     func() rate.Limit
-	rand     *rand.Rand
-	logger   zerolog.Logger
-	metrics  *metrics
+	id              uint32
+	log             *shardLog
+	owned           func() bool
+	writeLimiter    *rate.Limiter
+	batchDelay      time.Duration
+	billArchive     time.Duration
+	idleTimeout     time.Duration
+	fallbackLimiter *rate.Limiter
+	fallbackRate    func() rate.Limit
+	rand            *rand.Rand
+	logger          zerolog.Logger
+	metrics         *metrics
 
 	wake chan struct{}
 
 	mu      sync.Mutex
 	queue   []*pending
 	stopped bool
-	// refuseUntil is when the store is tried again after several failures.
+	// New records are refused until refuseUntil, after several failures.
 	refuseUntil time.Time
 
-	// The rest belongs to run.
+	// The following fields are used only by the run goroutine.
 	backoffUntil time.Time
 	failures     int
 }
@@ -66,22 +66,24 @@
 		if !s.waitForWork(ctx) {
 			return nil
 		}
-		for s.takeable() {
-			if !s.pause(ctx) {
+		for s.hasQueued() {
+			if !s.waitToWrite(ctx) {
 				return nil
 			}
-			s.round(ctx)
+			s.processBatch(ctx)
 		}
 	}
 }
 
-// ownershipTick is how often an idle shard looks who its preferred writer is.
-const ownershipTick = time.Second
+// ownershipCheckInterval is how often an idle shard checks whether this daemon
+// is its preferred writer.
+const ownershipCheckInterval = time.Second
 
-// waitForWork waits for a record. Meanwhile a shard that this daemon has come
-// to own is read, and one that it doesn't own gives its memory back.
+// waitForWork waits for a record. Meanwhile it loads the shard if this daemon
+// has become its preferred writer, and unloads an idle shard that has another
+// preferred writer.
 func (s *shard) waitForWork(ctx context.Context) bool {
-	ticker := time.NewTicker(ownershipTick)
+	ticker := time.NewTicker(ownershipCheckInterval)
 	defer ticker.Stop()
 	idleSince := time.Now()
 	for {
@@ -95,27 +97,28 @@
 		if s.owned() {
 			idleSince = time.Now()
 			s.preload(ctx)
-		} else if time.Since(idleSince) >= s.idle && s.log.ready() {
+		} else if time.Since(idleSince) >= s.idleTimeout && s.log.ready() {
 			s.log.unload()
 		}
 	}
 }
 
-// preload reads the log, so that the first record needs not wait for it.
+// preload loads the log, so that the first record does not have to wait for it.
 func (s *shard) preload(ctx context.Context) {
 	if s.log.loaded || time.Now().Before(s.backoffUntil) {
 		return
 	}
 	if err := s.log.load(ctx); err != nil {
-		s.failed(err)
+		s.recordFailure(err)
 	}
 }
 
-// pause lets records collect: at least the batch delay, and long enough that
-// the fleet's write rate stays within its bound. A shard with little to do does
-// not wait for the latter.
-func (s *shard) pause(ctx context.Context) bool {
-	until := time.Now().Add(max(s.delay, s.writes.Reserve().Delay()))
+// waitToWrite lets records collect for a batch: for at least the batch delay,
+// and long enough to keep the fleet within its write rate. The rate does not
+// delay a shard with little load. A daemon that is not the preferred writer
+// also waits for its fallback rate.
+func (s *shard) waitToWrite(ctx context.Context) bool {
+	until := time.Now().Add(max(s.batchDelay, s.writeLimiter.Reserve().Delay()))
 	if s.backoffUntil.After(until) {
 		until = s.backoffUntil
 	}
@@ -129,20 +132,20 @@
 	if s.owned() {
 		return true
 	}
-	s.fallback.SetLimit(s.pace())
-	return s.fallback.Wait(ctx) == nil
+	s.fallbackLimiter.SetLimit(s.fallbackRate())
+	return s.fallbackLimiter.Wait(ctx) == nil
 }
 
-// round reads what is missing, decides the waiting records and writes one
+// processBatch updates the log, decides the waiting records and writes one
 // batch of those that may be written.
-func (s *shard) round(ctx context.Context) {
-	if err := s.prepare(ctx); err != nil {
-		s.failed(err)
+func (s *shard) processBatch(ctx context.Context) {
+	if err := s.prepareLog(ctx); err != nil {
+		s.recordFailure(err)
 		return
 	}
-	batch := s.attempt(s.decide(s.take()))
+	batch := s.markAttempted(s.decide(s.dequeue()))
 	if len(batch) == 0 {
-		s.recovered()
+		s.recordSuccess()
 		return
 	}
 	records := make([]*bronzeturnv1.LedgerRecord, len(batch))
@@ -152,11 +155,11 @@
 	err := s.log.write(ctx, records)
 	s.metrics.writes.Inc()
 	if err != nil {
-		s.putBack(batch)
-		s.settle(ctx, err)
+		s.requeue(batch)
+		s.reconcile(ctx, err)
 		return
 	}
-	s.recovered()
+	s.recordSuccess()
 	s.metrics.records.Add(float64(len(records)))
 	sequence := s.log.state.sequence
 	for _, p := range batch {
@@ -164,37 +167,37 @@
 	}
 }
 
-// settle reads back what a failed write left in the log. The records of the
-// batch wait in the queue again and are decided against what is found.
-func (s *shard) settle(ctx context.Context, cause error) {
+// reconcile reads from the log whether a failed write took effect. The batch's
+// records are back in the queue and are decided again against what it finds.
+func (s *shard) reconcile(ctx context.Context, cause error) {
 	if objectstore.IsConflict(cause) {
 		s.metrics.conflicts.Inc()
 	}
-	if err := s.log.forward(ctx); err != nil {
-		s.failed(err)
+	if err := s.log.catchUp(ctx); err != nil {
+		s.recordFailure(err)
 		return
 	}
 	if !objectstore.IsConflict(cause) {
-		s.failed(cause)
+		s.recordFailure(cause)
 	}
 }
 
-// prepare loads the log if need be, reads it forward if someone asked for
-// that, and compacts it when it is due.
-func (s *shard) prepare(ctx context.Context) error {
+// prepareLog loads the log if necessary, reads it to its end if a refresh was
+// requested, and compacts it when due.
+func (s *shard) prepareLog(ctx context.Context) error {
 	if !s.log.loaded {
 		if err := s.log.load(ctx); err != nil {
 			return err
 		}
-	} else if s.refreshWanted() {
-		if err := s.log.forward(ctx); err != nil {
+	} else if s.refreshRequested() {
+		if err := s.log.catchUp(ctx); err != nil {
 			return err
 		}
 	}
 	if !s.log.compactionDue() {
 		return nil
 	}
-	if err := s.log.maintain(ctx, s.keep); err != nil {
+	if err := s.log.maintain(ctx, s.billArchive); err != nil {
 		s.logger.Warn().Err(err).Uint32("shard", s.id).Msg("compaction failed")
 		if s.log.full() || !s.log.loaded {
 			return err
@@ -203,8 +206,9 @@
 	return nil
 }
 
-// decide answers the records whose fate stands already, puts a second record
-// of the same key back for the next batch, and returns the ones to write.
+// decide answers the records that the log already settles, returns a second
+// record of the same key to the queue for the next batch, and returns the
+// records to write.
 func (s *shard) decide(taken []*pending) []*pending {
 	var batch, later []*pending
 	seen := make(map[string]bool, len(taken))
@@ -225,13 +229,14 @@
 		seen[string(p.record.Fingerprint)] = true
 		batch = append(batch, p)
 	}
-	s.putBack(later)
+	s.requeue(later)
 	return batch
 }
 
-// failed starts a backoff. After several failures the waiting records are
-// answered, so that their callers can decide what to do.
-func (s *shard) failed(err error) {
+// recordFailure starts a backoff. After failFastAfter consecutive failures it
+// answers waiting records with an error, so that their callers can decide what
+// to do.
+func (s *shard) recordFailure(err error) {
 	s.failures++
 	s.metrics.failures.Inc()
 	bound := min(backoffMin<<min(s.failures, 10), backoffMax)
@@ -249,12 +254,12 @@
 	s.mu.Lock()
 	s.refuseUntil = s.backoffUntil
 	s.mu.Unlock()
-	for _, p := range s.take() {
+	for _, p := range s.dequeue() {
 		p.done <- result{err: errors.Join(ErrStoreFailing, err)}
 	}
 }
 
-func (s *shard) recovered() {
+func (s *shard) recordSuccess() {
 	if s.failures >= failFastAfter {
 		s.logger.Info().Uint32("shard", s.id).Msg("store answers again")
 	}
--- a/ledger/shardlog.go
+++ b/ledger/shardlog.go
@@ -13,17 +13,17 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// errSlotsFull reports that the next slot still holds a batch that is in no
-// segment.
+// errSlotsFull reports that the next slot holds a batch that is not yet
+// compacted and archived, or that the tail is too large.
 var errSlotsFull = errors.New("no free slot, compaction is behind")
 
-// shardLog reads and writes the log of one shard. Only one goroutine calls its
-// methods that do I/O; lookup may be called by any.
+// shardLog reads and writes the log of one shard. Methods that do I/O are
+// called from a single goroutine; lookup is safe for concurrent use.
 //
 // The slots of a shard form a ring. The batch with sequence number n replaces
-// the batch n-slots by an update that names the revision of that batch (or a
-// create, in the first lap). Revisions never repeat, so a write that a paused
-// writer sends late can only fail.
+// batch n-slots by an update conditional on that batch's revision (or by a
+// create, the first time around). Revisions never repeat, so a delayed write
+// from a paused writer can only fail.
 type shardLog struct {
 	store     Store
 	layout    layout
@@ -31,25 +31,27 @@
 	writer    string
 	retention Retention
 
-	// revisions of the slots as last read or written, zero for absent.
+	// revisions are the slots' revisions as last read or written, zero if
+	// absent.
 	revisions []uint64
-	// compacted is the last sequence number that the segments cover, filed the
-	// last one whose bills are in the totals. Both only rise.
+	// compacted is the last sequence number covered by segments; archived is
+	// the last one whose bills are in the totals. Both only increase.
 	compacted uint64
-	filed     uint64
+	archived  uint64
 	segments  []segmentInfo
 	totals    totals
-	// nextBillDrop is the clock at which the oldest itemised bills expire.
-	nextBillDrop int64
-	// tail are the batches after the lower of compacted and filed, in order.
+	// oldestBillsExpire is the shard clock at which the oldest itemised bills
+	// expire.
+	oldestBillsExpire int64
+	// tail holds the batches after min(compacted, archived), in order.
 	tail      []*bronzeturnv1.LedgerBatch
 	tailBytes int
-	// appliedAt is a time, on the local monotonic clock, at or after the
-	// instant that the state's clock stands for.
+	// appliedAt is a time on the local monotonic clock, not before the instant
+	// that the state's clock stands for.
 	appliedAt time.Time
 	loaded    bool
 
-	// mu guards the state against concurrent lookups.
+	// mu guards the following fields against concurrent lookups.
 	mu       sync.RWMutex
 	state    *state
 	readable bool
@@ -59,7 +61,7 @@
 	return &shardLog{store: store, layout: l, shard: shard, writer: writer, retention: r, state: newState(r)}
 }
 
-// next is the sequence number of the batch to write.
+// next returns the sequence number of the next batch to write.
 func (g *shardLog) next() uint64 { return g.state.sequence + 1 }
 
 // load reads the segments and the batches after them.
@@ -82,7 +84,7 @@
 	if err := g.loadSlots(ctx); err != nil {
 		return err
 	}
-	if err := g.forward(ctx); err != nil {
+	if err := g.catchUp(ctx); err != nil {
 		return err
 	}
 	g.loaded = true
@@ -96,7 +98,7 @@
 	g.readable = yes
 }
 
-// replaceState installs a state that has been read from the store.
+// replaceState installs a state that was read from the store, or an empty one.
 func (g *shardLog) replaceState(s *state) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -104,8 +106,8 @@
 	g.appliedAt = time.Now()
 }
 
-// forward applies the batches that others wrote after the known end.
-func (g *shardLog) forward(ctx context.Context) error {
+// catchUp applies the batches that other daemons wrote after the last one read.
+func (g *shardLog) catchUp(ctx context.Context) error {
 	for {
 		batch, err := g.readSlot(ctx, g.next())
 		if err != nil {
@@ -118,47 +120,49 @@
 	}
 }
 
-// apply adds a batch whose clock reading was true at or before at.
+// apply applies a batch. at is a local time not before the instant of the
+// batch's clock.
 func (g *shardLog) apply(batch *bronzeturnv1.LedgerBatch, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state.apply(batch)
 	g.state.sweep()
 	g.appliedAt = at
-	g.keep(batch)
+	g.addToTail(batch)
 }
 
-// keep remembers a batch until it is compacted and filed.
-func (g *shardLog) keep(batch *bronzeturnv1.LedgerBatch) {
+// addToTail keeps a batch until it is compacted and archived.
+func (g *shardLog) addToTail(batch *bronzeturnv1.LedgerBatch) {
 	g.tail = append(g.tail, batch)
 	g.tailBytes += proto.Size(batch)
 }
 
-// trimTail forgets the batches that are compacted and filed.
+// trimTail drops the batches that are compacted and archived.
 func (g *shardLog) trimTail() {
-	done := min(g.compacted, g.filed)
+	done := min(g.compacted, g.archived)
 	kept := g.tailAfter(done)
 	g.tail, g.tailBytes = nil, 0
 	for _, batch := range kept {
-		g.keep(batch)
+		g.addToTail(batch)
 	}
 }
 
-// tailAfter returns the kept batches with a greater sequence number.
+// tailAfter returns the batches of the tail with a greater sequence number.
 func (g *shardLog) tailAfter(sequence uint64) []*bronzeturnv1.LedgerBatch {
 	i := sort.Search(len(g.tail), func(i int) bool { return g.tail[i].Sequence > sequence })
 	return g.tail[i:]
 }
 
-// full tells that the next slot still holds a batch that is needed, or that
-// the tail has grown too large for a segment.
+// full reports whether the next slot still holds a batch that is needed, or the
+// tail has grown too large for a segment.
 func (g *shardLog) full() bool {
-	free := min(g.compacted, g.filed) + uint64(g.layout.slots)
+	free := min(g.compacted, g.archived) + uint64(g.layout.slots)
 	return g.next() > free || g.tailBytes > maxTailBytes
 }
 
-// write tries to make the records the next batch. After an error the batch may
-// be in the log or not: the caller calls forward and decides each record anew.
+// write tries to write the records as the next batch. After an error the batch
+// may or may not be in the log: the caller must call catchUp and decide each
+// record again.
 func (g *shardLog) write(ctx context.Context, records []*bronzeturnv1.LedgerRecord) error {
 	sequence := g.next()
 	if g.full() {
@@ -188,32 +192,33 @@
 	return nil
 }
 
-// ready tells whether the state has been read.
+// ready reports whether the state has been loaded.
 func (g *shardLog) ready() bool {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return g.readable
 }
 
-// lookup returns the entry in force as far as the log has been read, and the
-// shard's clock now.
+// lookup returns the unexpired entry according to the log as read so far, with
+// its time-dependent fields set for the current shard clock.
 func (g *shardLog) lookup(class Class, fp fingerprint) *bronzeturnv1.LedgerEntry {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	entry := g.state.lookup(class, fp)
-	stamp(entry, g.clockNow())
+	setTimeFields(entry, g.clockNow())
 	return entry
 }
 
-// clockNow is the shard's clock, never ahead of real time. The caller holds mu.
+// clockNow returns the shard's clock, which is never ahead of real time. The
+// caller holds mu.
 func (g *shardLog) clockNow() int64 {
 	return g.state.clock + time.Since(g.appliedAt).Microseconds()
 }
 
-// stamp adds to an answer what depends on the time. A running claim whose
-// deadline has passed reads as unknown: its holder may have died between
-// dispatch and outcome.
-func stamp(entry *bronzeturnv1.LedgerEntry, clock int64) {
+// setTimeFields sets the fields of an answer that depend on the current time. A
+// running claim whose deadline has passed reads as unknown: its holder may have
+// died between dispatch and outcome.
+func setTimeFields(entry *bronzeturnv1.LedgerEntry, clock int64) {
 	if entry == nil {
 		return
 	}
@@ -227,18 +232,18 @@
 	}
 }
 
-// decide is state.decide with overdue claims marked.
+// decide is state.decide with the time-dependent fields of the answer set.
 func (g *shardLog) decide(rec *bronzeturnv1.LedgerRecord) decision {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	d := g.state.decide(rec)
 	if d.verdict != nil {
-		stamp(d.verdict.Entry, g.clockNow())
+		setTimeFields(d.verdict.Entry, g.clockNow())
 	}
 	return d
 }
 
-// unload gives back the memory. The next use loads the log again.
+// unload frees the state's memory. The log is loaded again on its next use.
 func (g *shardLog) unload() {
 	g.loaded = false
 	g.tail, g.tailBytes = nil, 0
@@ -246,12 +251,12 @@
 	g.setReadable(false)
 }
 
-// maintain compacts and files the tail and deletes what has expired.
+// maintain compacts and archives the tail and deletes expired objects.
 func (g *shardLog) maintain(ctx context.Context, keepBills time.Duration) error {
 	if err := g.compact(ctx); err != nil {
 		return err
 	}
-	if err := g.file(ctx); err != nil {
+	if err := g.archiveBills(ctx); err != nil {
 		return err
 	}
 	if err := g.dropSegments(ctx); err != nil {
--- a/ledger/shardlog_test.go
+++ b/ledger/shardlog_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// writeLap writes n batches of one claim and one bill, compacting when due.
-func writeLap(t testing.TB, g *shardLog, prefix string, n int) {
+// writeBatches writes n batches of one claim and one bill each, compacting when
+// due.
+func writeBatches(t testing.TB, g *shardLog, prefix string, n int) {
 	for i := range n {
 		if g.compactionDue() {
 			qt.Assert(t, g.maintain(t.Context(), time.Hour), qt.IsNil)
@@ -57,25 +58,25 @@
 	}
 }
 
-// A writer that was paused before its write resumes after others have gone
-// around the ring. With slots that are deleted after compaction, its create
-// would succeed and it would take itself for the first.
-func TestWriteOfPausedWriterFailsAfterLapsOfTheRing(t *testing.T) {
+// A writer is paused before its write and resumes after other writers have gone
+// around the ring. Its write must fail. If slots were deleted after compaction,
+// its create would succeed and it would take itself for the first writer.
+func TestPausedWriterFailsAfterItsSlotIsReused(t *testing.T) {
 	store := memstore.New()
 	paused := loadedLog(t, store, 8)
-	writeLap(t, paused, "before", 3)
+	writeBatches(t, paused, "before", 3)
 	other := loadedLog(t, store, 8)
-	writeLap(t, other, "k", 50)
+	writeBatches(t, other, "k", 50)
 
 	err := paused.write(t.Context(), []*bronzeturnv1.LedgerRecord{testClaim("k0")})
 	qt.Assert(t, objectstore.IsConflict(err), qt.IsTrue)
-	qt.Assert(t, paused.forward(t.Context()), qt.ErrorIs, errLapped)
+	qt.Assert(t, paused.catchUp(t.Context()), qt.ErrorIs, errOverwritten)
 	qt.Assert(t, paused.load(t.Context()), qt.IsNil)
 	qt.Assert(t, paused.decide(testClaim("k0")).write, qt.IsFalse)
 	qt.Assert(t, paused.state.sequence, qt.Equals, other.state.sequence)
 }
 
-func TestNothingIsOverwrittenBeforeItIsCompactedAndFiled(t *testing.T) {
+func TestSlotsAreKeptUntilCompactedAndArchived(t *testing.T) {
 	store := memstore.New()
 	g := loadedLog(t, store, 8)
 	for i := range 8 {
@@ -83,7 +84,8 @@
 	}
 	qt.Assert(t, g.write(t.Context(), []*bronzeturnv1.LedgerRecord{testBill("8")}), qt.ErrorIs, errSlotsFull)
 	qt.Assert(t, g.compact(t.Context()), qt.IsNil)
-	// The writer dies here: the segment is written, the bills are not filed.
+	// The writer crashes here: the segment is written, but the bills are not
+	// archived.
 	next := loadedLog(t, store, 8)
 	qt.Assert(t, next.write(t.Context(), []*bronzeturnv1.LedgerRecord{testBill("8")}), qt.ErrorIs, errSlotsFull)
 	qt.Assert(t, next.maintain(t.Context(), time.Hour), qt.IsNil)
@@ -91,20 +93,21 @@
 	qt.Assert(t, next.totals.sums[totalKey{"org", "v"}].Bills, qt.Equals, uint64(8))
 }
 
-// The bills of a range are filed by a writer that dies before it has added
-// them to the totals; the next one adds exactly these.
-func TestTotalsCountEachBillOnceWhenFilingIsCutShort(t *testing.T) {
+// A writer crashes after it has written the itemised bills of a range and
+// before it has added them to the totals. The next writer must add exactly
+// these bills.
+func TestTotalsCountEachBillOnceWhenArchivingIsInterrupted(t *testing.T) {
 	store := memstore.New()
 	g := loadedLog(t, store, 8)
-	writeLap(t, g, "a", 3)
-	_, err := g.fileItems(t.Context())
+	writeBatches(t, g, "a", 3)
+	_, err := g.createBillsObject(t.Context())
 	qt.Assert(t, err, qt.IsNil)
-	writeLap(t, g, "b", 2)
+	writeBatches(t, g, "b", 2)
 	next := loadedLog(t, store, 8)
 	for range 2 {
-		qt.Assert(t, next.file(t.Context()), qt.IsNil)
+		qt.Assert(t, next.archiveBills(t.Context()), qt.IsNil)
 	}
-	qt.Assert(t, g.file(t.Context()), qt.IsNotNil) // the old writer loses
+	qt.Assert(t, g.archiveBills(t.Context()), qt.IsNotNil) // the first writer's update conflicts
 	qt.Assert(t, g.load(t.Context()), qt.IsNil)
 	qt.Assert(t, g.totals.sums[totalKey{"org", "v"}], qt.Equals, Total{Organisation: "org", Version: "v", Bills: 5, CostMicros: 10})
 }
@@ -112,7 +115,7 @@
 func TestStateSurvivesCompactionAndReload(t *testing.T) {
 	store := memstore.New()
 	g := loadedLog(t, store, 8)
-	writeLap(t, g, "k", 100)
+	writeBatches(t, g, "k", 100)
 	fresh := loadedLog(t, store, 8)
 	qt.Assert(t, fresh.state.sequence, qt.Equals, uint64(100))
 	qt.Assert(t, fresh.state.clock, qt.Equals, g.state.clock)
@@ -123,8 +126,8 @@
 	}
 }
 
-// The clock of a shard adds up what writers measured; it must never run ahead
-// of real time, or entries would expire early.
+// The shard clock adds up the times that writers measured. It must never run
+// ahead of real time, or entries would expire early.
 func TestShardClockNeverRunsAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -132,7 +135,7 @@
 		for i := range 20 {
 			g := loadedLog(t, store, 8)
 			time.Sleep(time.Minute)
-			writeLap(t, g, fmt.Sprint("a", i, "-"), 3)
+			writeBatches(t, g, fmt.Sprint("a", i, "-"), 3)
 			time.Sleep(time.Minute) // between the last write and the next writer
 			qt.Assert(t, g.state.clock <= time.Since(start).Microseconds(), qt.IsTrue)
 		}
@@ -141,8 +144,8 @@
 	})
 }
 
-// Organisations and versions come and go for years; their sums must go on
-// fitting an object, also when sealing them is cut short.
+// The number of organisations and versions grows over the years. Their sums
+// must keep fitting in an object, also if sealing a volume is interrupted.
 func TestTotalsAreSealedInVolumes(t *testing.T) {
 	store := memstore.New()
 	const batches, perBatch = 30, 400
@@ -154,7 +157,7 @@
 			records[j].GetBill().Organisation = fmt.Sprint("org-", i*perBatch+j)
 		}
 		qt.Assert(t, g.write(t.Context(), records), qt.IsNil)
-		if i%2 == 0 { // a writer that dies before it has moved on
+		if i%2 == 0 { // crashes after sealing, before it updates the totals
 			_, err := g.nextTotals(t.Context())
 			qt.Assert(t, err, qt.IsNil)
 			continue
@@ -163,7 +166,7 @@
 	}
 	g := loadedLog(t, store, 8)
 	qt.Assert(t, g.totals.volume, qt.Equals, uint64(2))
-	stale := loadedLog(t, store, 8) // paused with the totals of the first volume
+	stale := loadedLog(t, store, 8) // paused writer with the totals of the first volume
 	stale.totals = totals{revision: 1, volume: 0, sums: make(map[totalKey]Total, volumePairs)}
 	for i := range volumePairs {
 		stale.totals.sums[totalKey{"org", fmt.Sprint(i)}] = Total{Bills: 7}
--- a/ledger/slots.go
+++ b/ledger/slots.go
@@ -13,18 +13,18 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// slotPage bounds the objects of one List call over batches.
-const slotPage = 64
+// slotPageSize is the number of objects per List call for batches.
+const slotPageSize = 64
 
-// errLapped reports that the log went on so far that the slot of the next
-// batch has been overwritten. The reader starts again from the segments.
-var errLapped = errors.New("log has gone on past the reader")
+// errOverwritten reports that the slot of a needed batch already holds a later
+// batch. The log must be loaded again from its segments.
+var errOverwritten = errors.New("log has gone on past the reader")
 
-// loadSlots lists the ring, keeps the batches that are not compacted or not
-// filed, and applies those that follow the segments.
+// loadSlots reads all slots, applies the batches after the segments, and keeps
+// those that are not yet archived.
 func (g *shardLog) loadSlots(ctx context.Context) error {
 	g.revisions = make([]uint64, g.layout.slots)
-	objects, err := listAll(ctx, g.store, slotPrefix(g.shard), slotPage)
+	objects, err := listAll(ctx, g.store, slotPrefix(g.shard), slotPageSize)
 	if err != nil {
 		return err
 	}
@@ -38,13 +38,13 @@
 		batches = append(batches, batch)
 	}
 	sort.Slice(batches, func(i, j int) bool { return batches[i].Sequence < batches[j].Sequence })
-	return g.takeBatches(batches)
+	return g.applyBatches(batches)
 }
 
-// takeBatches applies listed batches in order. It fails with errLapped when
-// one that is still needed was overwritten since the segments were read.
-func (g *shardLog) takeBatches(batches []*bronzeturnv1.LedgerBatch) error {
-	want := min(g.compacted, g.filed) + 1
+// applyBatches applies the listed batches in order. It returns errOverwritten
+// if a batch that is still needed was overwritten after the segments were read.
+func (g *shardLog) applyBatches(batches []*bronzeturnv1.LedgerBatch) error {
+	want := min(g.compacted, g.archived) + 1
 	for _, batch := range batches {
 		if batch.Sequence < want {
 			continue
@@ -54,18 +54,18 @@
 		}
 		want++
 		if batch.Sequence <= g.compacted {
-			g.keep(batch)
+			g.addToTail(batch)
 			continue
 		}
 		g.apply(batch, time.Now())
 	}
 	if want <= g.compacted {
-		return errLapped
+		return errOverwritten
 	}
 	return nil
 }
 
-// readSlot returns the batch with the sequence number, or nil when it has not
+// readSlot returns the batch with the sequence number, or nil if it has not
 // been written.
 func (g *shardLog) readSlot(ctx context.Context, sequence uint64) (*bronzeturnv1.LedgerBatch, error) {
 	slot := sequence % uint64(g.layout.slots)
@@ -83,7 +83,7 @@
 	}
 	if batch.Sequence > sequence {
 		g.loaded = false
-		return nil, errLapped
+		return nil, errOverwritten
 	}
 	g.revisions[slot] = obj.Revision
 	if batch.Sequence < sequence {
@@ -98,12 +98,13 @@
 		return nil, &CorruptError{Key: obj.Key, Cause: err}
 	}
 	if g.layout.slotKey(g.shard, batch.Sequence) != obj.Key {
-		return nil, &CorruptError{Key: obj.Key, Cause: errSequence}
+		return nil, &CorruptError{Key: obj.Key, Cause: errWrongSlot}
 	}
 	return &batch, nil
 }
 
-// conditionalWrite creates the object if revision is zero, else updates it.
+// conditionalWrite creates the object if revision is zero, and otherwise
+// updates it.
 func conditionalWrite(ctx context.Context, store Store, key string, value []byte, revision uint64) (objectstore.Object, error) {
 	if revision == 0 {
 		return store.Create(ctx, key, value)
@@ -111,7 +112,7 @@
 	return store.Update(ctx, key, value, revision)
 }
 
-// listAll lists the objects with the prefix page by page.
+// listAll lists all objects with the prefix, page by page.
 func listAll(ctx context.Context, store Store, prefix string, pageSize int) ([]objectstore.Object, error) {
 	var all []objectstore.Object
 	after := ""
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -7,31 +7,33 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Retention says how long entries are kept, on the shard's own clock, which
-// never runs ahead of real time.
+// Retention is how long entries are kept, measured on the shard's own clock,
+// which is never ahead of real time.
 type Retention struct {
-	// Claims and their outcomes.
+	// Claims is how long claims and their outcomes are kept.
 	Claims time.Duration
-	// AnswerBodies is how long after the claim the body of the answer is kept.
-	// Later, status and digest remain.
+	// AnswerBodies is how long after the claim the response body is kept. After
+	// that, only the status, digest and other metadata remain.
 	AnswerBodies time.Duration
-	// PinIdle after the last use of a conversation, PinLimit after its start.
+	// PinIdle is how long a pin is kept after its conversation's last use, and
+	// PinLimit after its start.
 	PinIdle  time.Duration
 	PinLimit time.Duration
 	// Bills is how long a request id is kept to recognise a repeated bill.
 	Bills time.Duration
 }
 
-// voidRetention is how long the nonce of an abandoned claim without an entry
-// is remembered. A request of that claim that is still under way by then is
-// answered as unknown instead of being run.
-const voidRetention = time.Hour
+// abandonedClaimRetention is how long the nonce of an abandoned claim is
+// remembered if the claim's own record is not in the log. A claim record that
+// arrives later than that creates an entry under which nobody dispatches, so
+// the request is not run and reads as unknown after its deadline.
+const abandonedClaimRetention = time.Hour
 
-// touchFraction is the part of PinIdle after which a use of a conversation
-// prolongs its pin.
-const touchFraction = 8
+// A use of a conversation extends its pin only if PinIdle/touchDivisor has
+// passed since the last extension.
+const touchDivisor = 8
 
-// claim is a claim in memory.
+// claim is the entry of a claim in memory.
 type claim struct {
 	nonce     Nonce
 	body      [32]byte
@@ -44,7 +46,7 @@
 	outcome   *bronzeturnv1.LedgerOutcome
 }
 
-// pin is the version of a conversation in memory.
+// pin is the entry of a conversation's version in memory.
 type pin struct {
 	nonce    Nonce
 	sequence uint64
@@ -54,8 +56,8 @@
 	version  string
 }
 
-// state is what the log of one shard says up to a sequence number. It does no
-// I/O and reads no clock; times are microseconds of the shard's clock, which
+// state is the content of one shard's log up to a sequence number. It does no
+// I/O and reads no clock. Times are in microseconds on the shard's clock, which
 // adds up the elapsed times that the writers measured.
 type state struct {
 	retention Retention
@@ -63,12 +65,12 @@
 	clock     int64
 	claims    map[fingerprint]claim
 	pins      map[fingerprint]pin
-	// bills holds the time of expiry in seconds.
+	// bills holds expiry times in seconds.
 	bills map[fingerprint]uint32
-	// holders holds each daemon name once.
+	// holders interns daemon names.
 	holders map[string]string
-	// swept is the clock at the last removal of expired entries.
-	swept int64
+	// sweptAt is the shard clock at the last removal of expired entries.
+	sweptAt int64
 }
 
 // newState returns the state of an empty log.
@@ -82,16 +84,17 @@
 	}
 }
 
-// decision is what the log says about a wanted record.
+// decision says whether a record may be written.
 type decision struct {
-	// write tells that the record may be written at the next sequence number.
+	// write is set if the record may be written at the next sequence number.
 	write bool
-	// verdict is the answer when write is false.
+	// verdict is the answer if write is false.
 	verdict *bronzeturnv1.LedgerVerdict
 }
 
-// decide tells whether the record may be written next, or what stands in its
-// place. It is exact only if the batch that follows is the next in the log.
+// decide returns whether the record may be written next or, if not, the entry
+// that rules it out. The decision holds only if the next batch of the log
+// contains it.
 func (s *state) decide(rec *bronzeturnv1.LedgerRecord) decision {
 	fp := fingerprint(rec.Fingerprint)
 	switch body := rec.Body.(type) {
@@ -116,7 +119,7 @@
 	if released && !own {
 		return decision{write: true}
 	}
-	return settled(own && !released, c.entry(fp), c.sequence)
+	return alreadyRecorded(own && !released, c.entry(fp), c.sequence)
 }
 
 func (s *state) decideOutcome(fp fingerprint, rec *bronzeturnv1.LedgerRecord, out *bronzeturnv1.LedgerOutcome) decision {
@@ -126,12 +129,12 @@
 		return decision{write: release, verdict: &bronzeturnv1.LedgerVerdict{}}
 	}
 	if !bytes.Equal(c.nonce[:], rec.Nonce) {
-		return settled(false, c.entry(fp), c.sequence)
+		return alreadyRecorded(false, c.entry(fp), c.sequence)
 	}
 	if c.state == bronzeturnv1.LedgerClaimState_LEDGER_CLAIM_STATE_RUNNING {
 		return decision{write: true}
 	}
-	return settled(c.state == out.State, c.entry(fp), c.sequence)
+	return alreadyRecorded(c.state == out.State, c.entry(fp), c.sequence)
 }
 
 func (s *state) decidePin(fp fingerprint, rec *bronzeturnv1.LedgerRecord, want *bronzeturnv1.LedgerPin) decision {
@@ -139,41 +142,41 @@
 	if !ok {
 		return decision{write: !want.Touch, verdict: &bronzeturnv1.LedgerVerdict{}}
 	}
-	if want.Touch && p.version == want.Version && s.clock-p.touched > s.touchAfter() {
+	if want.Touch && p.version == want.Version && s.clock-p.touched > s.touchInterval() {
 		return decision{write: true}
 	}
-	return settled(bytes.Equal(p.nonce[:], rec.Nonce), p.entry(fp), p.sequence)
+	return alreadyRecorded(bytes.Equal(p.nonce[:], rec.Nonce), p.entry(fp), p.sequence)
 }
 
 func (s *state) decideBill(fp fingerprint) decision {
 	if _, ok := s.bills[fp]; !ok {
 		return decision{write: true}
 	}
-	return settled(true, nil, 0)
+	return alreadyRecorded(true, nil, 0)
 }
 
-func settled(mine bool, entry *bronzeturnv1.LedgerEntry, sequence uint64) decision {
+func alreadyRecorded(mine bool, entry *bronzeturnv1.LedgerEntry, sequence uint64) decision {
 	return decision{verdict: &bronzeturnv1.LedgerVerdict{Mine: mine, Entry: entry, Sequence: sequence}}
 }
 
-func (s *state) touchAfter() int64 {
-	return (s.retention.PinIdle / touchFraction).Microseconds()
+func (s *state) touchInterval() int64 {
+	return (s.retention.PinIdle / touchDivisor).Microseconds()
 }
 
-// claim returns the claim that is in force.
+// claim returns the claim if it has not expired.
 func (s *state) claim(fp fingerprint) (claim, bool) {
 	c, ok := s.claims[fp]
 	return c, ok && c.expires > s.clock
 }
 
-// pin returns the pin that is in force.
+// pin returns the pin if it has not expired.
 func (s *state) pin(fp fingerprint) (pin, bool) {
 	p, ok := s.pins[fp]
 	return p, ok && p.expires > s.clock
 }
 
-// apply adds the next batch of the log. Its writer has decided each record
-// against the same log, so apply does not decide again.
+// apply applies the next batch of the log. It does not decide the records
+// again, since the batch's writer decided them against the same log.
 func (s *state) apply(b *bronzeturnv1.LedgerBatch) {
 	s.sequence = b.Sequence
 	s.clock += max(b.ElapsedMicros, 0)
@@ -208,21 +211,22 @@
 		expires:   s.clock + s.retention.Claims.Microseconds(),
 		deadline:  s.clock + c.RemainingMicros,
 		requestID: c.RequestId,
-		holder:    s.holderName(c.Holder),
+		holder:    s.internHolder(c.Holder),
 	}
 	copy(entry.body[:], c.BodySha256)
 	s.claims[fp] = entry
 }
 
-// maxHolders bounds the daemon names kept, which change as hosts are replaced.
-const maxHolders = 4096
+// maxHolderNames limits the interned daemon names, which change as hosts are
+// replaced.
+const maxHolderNames = 4096
 
-// holderName returns the one copy of a daemon name.
-func (s *state) holderName(name string) string {
+// internHolder returns the interned copy of a daemon name.
+func (s *state) internHolder(name string) string {
 	if known, ok := s.holders[name]; ok {
 		return known
 	}
-	if len(s.holders) >= maxHolders {
+	if len(s.holders) >= maxHolderNames {
 		clear(s.holders)
 	}
 	s.holders[name] = name
@@ -241,7 +245,7 @@
 		nonce:    nonce,
 		state:    out.State,
 		sequence: s.sequence,
-		expires:  s.clock + voidRetention.Microseconds(),
+		expires:  s.clock + abandonedClaimRetention.Microseconds(),
 	}
 }
 
@@ -257,13 +261,14 @@
 	s.pins[fp] = p
 }
 
-// bodyLess is the time to expiry below which an answer's body is dropped.
-func (s *state) bodyLess() int64 {
+// bodyDropThreshold is the remaining time to expiry below which a claim's
+// response body is dropped.
+func (s *state) bodyDropThreshold() int64 {
 	return (s.retention.Claims - s.retention.AnswerBodies).Microseconds()
 }
 
-// withoutBody returns the outcome without the answer's body. The original may
-// be in use.
+// withoutBody returns a copy of the outcome without the response body. The
+// original may still be in use.
 func withoutBody(out *bronzeturnv1.LedgerOutcome) *bronzeturnv1.LedgerOutcome {
 	return &bronzeturnv1.LedgerOutcome{
 		State:       out.State,
@@ -274,20 +279,20 @@
 	}
 }
 
-// sweepFraction is the part of the shortest retention between two sweeps.
-const sweepFraction = 64
+// Sweeps are at least the shortest retention divided by sweepDivisor apart.
+const sweepDivisor = 64
 
-// sweep removes expired entries when the last sweep is long enough ago.
+// sweep removes expired entries if enough time has passed since the last sweep.
 func (s *state) sweep() {
 	shortest := min(s.retention.Claims, s.retention.AnswerBodies, s.retention.PinIdle, s.retention.Bills)
-	if s.clock-s.swept < (shortest / sweepFraction).Microseconds() {
+	if s.clock-s.sweptAt < (shortest / sweepDivisor).Microseconds() {
 		return
 	}
-	s.swept = s.clock
+	s.sweptAt = s.clock
 	for fp, c := range s.claims {
 		if c.expires <= s.clock {
 			delete(s.claims, fp)
-		} else if c.outcome.GetBodyKept() && c.expires-s.clock < s.bodyLess() {
+		} else if c.outcome.GetBodyKept() && c.expires-s.clock < s.bodyDropThreshold() {
 			c.outcome = withoutBody(c.outcome)
 			s.claims[fp] = c
 		}
--- a/ledger/state_test.go
+++ b/ledger/state_test.go
@@ -10,7 +10,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// stateAfter returns the state after one batch per record, a second apart.
+// stateAfter returns the state after one batch per record, one second apart.
 func stateAfter(records ...*bronzeturnv1.LedgerRecord) *state {
 	s := newState(testRetention)
 	for _, rec := range records {
@@ -67,19 +67,19 @@
 	conversation := pinRecord(fp, newNonce(), "v1", false)
 	touch := pinRecord(fp, newNonce(), "v1", true)
 	s := stateAfter(testClaim("k"), testBill("r"), conversation)
-	pass := func(d time.Duration, records ...*bronzeturnv1.LedgerRecord) {
+	advance := func(d time.Duration, records ...*bronzeturnv1.LedgerRecord) {
 		s.apply(&bronzeturnv1.LedgerBatch{Sequence: s.sequence + 1, ElapsedMicros: d.Microseconds(), Records: records})
 		s.sweep()
 	}
-	pass(DefaultPinIdle-time.Minute, touch)
-	pass(2 * time.Minute)
-	qt.Assert(t, s.lookup(ClassPin, fp), qt.IsNotNil) // prolonged by the touch
-	pass(DefaultPinIdle)
+	advance(DefaultPinIdle-time.Minute, touch)
+	advance(2 * time.Minute)
+	qt.Assert(t, s.lookup(ClassPin, fp), qt.IsNotNil) // extended by the touch
+	advance(DefaultPinIdle)
 	qt.Assert(t, s.lookup(ClassPin, fp), qt.IsNil)
-	pass(DefaultBillRetention)
+	advance(DefaultBillRetention)
 	qt.Assert(t, s.decide(testBill("r")).write, qt.IsTrue)
 	qt.Assert(t, s.decide(testClaim("k")).write, qt.IsFalse)
-	pass(DefaultClaimRetention)
+	advance(DefaultClaimRetention)
 	qt.Assert(t, s.decide(testClaim("k")).write, qt.IsTrue)
 	qt.Assert(t, len(s.claims)+len(s.pins)+len(s.bills), qt.Equals, 0)
 }
@@ -100,20 +100,21 @@
 	done := outcome(claim, StateDone)
 	done.GetOutcome().Body, done.GetOutcome().BodyKept = []byte("answer"), true
 	s := stateAfter(claim, done)
-	pass := func(d time.Duration) *bronzeturnv1.LedgerOutcome {
+	advance := func(d time.Duration) *bronzeturnv1.LedgerOutcome {
 		s.apply(&bronzeturnv1.LedgerBatch{Sequence: s.sequence + 1, ElapsedMicros: d.Microseconds()})
 		s.sweep()
 		return s.lookup(ClassClaim, fingerprint(claim.Fingerprint)).GetClaim().GetOutcome()
 	}
-	qt.Assert(t, string(pass(DefaultAnswerRetention/2).Body), qt.Equals, "answer")
-	out := pass(DefaultAnswerRetention)
+	qt.Assert(t, string(advance(DefaultAnswerRetention/2).Body), qt.Equals, "answer")
+	out := advance(DefaultAnswerRetention)
 	qt.Assert(t, out.BodyKept, qt.IsFalse)
 	qt.Assert(t, out.Body, qt.IsNil)
 	qt.Assert(t, out.State, qt.Equals, wireStates[StateDone])
 	qt.Assert(t, string(done.GetOutcome().Body), qt.Equals, "answer")
 }
 
-// A segment of the largest tail has to fit one object, whatever the records.
+// A segment built from the largest possible tail must fit in one object, for
+// every kind of record.
 func TestLargestSegmentFitsAnObject(t *testing.T) {
 	kinds := map[string]func(i int) *bronzeturnv1.LedgerRecord{
 		"claims":   func(i int) *bronzeturnv1.LedgerRecord { return testClaim(string(rune(i))) },
