--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -18,9 +18,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
-		c.store.SetFault(delayed) // so that both write before they know of each other
+		c.store.SetFault(delayed) // both write before they see each other's records
 		a, b := c.start(t, "a"), c.start(t, "b")
-		c.setOwner(func(asking, _ string) string { return asking }) // both believe they own all
+		c.setOwner(func(asking, _ string) string { return asking }) // both believe that they own all shards
 		first := 0
 		var mu sync.Mutex
 		var wg sync.WaitGroup
@@ -64,10 +64,10 @@
 
 		done := make(chan ClaimResult, 1)
 		go func() {
-			got, _, _ := a.Wait(ctx, "org", "k")
+			got, _, _ := a.WaitForClaim(ctx, "org", "k")
 			done <- got
 		}()
-		d, err := b.Complete(ctx, CompleteRequest{
+		d, err := b.CompleteClaim(ctx, CompleteRequest{
 			Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateDone,
 			Outcome: NewOutcome(200, "text/plain", "v1", []byte("tagged")),
 		})
@@ -88,7 +88,7 @@
 		_, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
 		c.crash(a)
-		got, ok, err := b.Wait(t.Context(), "org", "k")
+		got, ok, err := b.WaitForClaim(t.Context(), "org", "k")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, got.State, qt.Equals, StateUnknown)
@@ -105,7 +105,7 @@
 		a := c.start(t, "a")
 		r, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
-		_, err = a.Complete(t.Context(), CompleteRequest{Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateNotRun})
+		_, err = a.CompleteClaim(t.Context(), CompleteRequest{Organisation: "org", Key: "k", Ticket: r.Ticket, State: StateNotRun})
 		qt.Assert(t, err, qt.IsNil)
 		again, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
@@ -114,15 +114,15 @@
 	})
 }
 
-// The write takes effect and its answer is lost: a blind retry would find its
-// own record and take itself for the second.
+// A write takes effect but its response is lost. A retry that does not read the
+// log first would take its own record for an earlier claim.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
 		defer c.stop()
 		a := c.start(t, "a")
 		synctest.Wait()
-		lost := 0 // answers
+		lost := 0 // responses
 		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.Verdict {
 			if op == memstore.OpCreate && strings.Contains(key, "/slot/") && lost < 1 {
 				lost++
@@ -140,8 +140,8 @@
 	})
 }
 
-// A claim whose outcome can't be settled in time is refused as not run. Its
-// record takes effect all the same; the retry must still run, once.
+// A claim that cannot be decided in time is refused as not run, although its
+// record still takes effect. The retry must run, exactly once.
 func TestAbandonedClaimIsReleasedAndRunsOnRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster()
@@ -185,7 +185,7 @@
 		results := make([]PinResult, 2)
 		for i, n := range []*node{a, b} {
 			wg.Go(func() {
-				r, err := n.Pin(t.Context(), PinRequest{"org", "conv", "v-" + n.name})
+				r, err := n.PinVersion(t.Context(), PinRequest{"org", "conv", "v-" + n.name})
 				qt.Check(t, err, qt.IsNil)
 				results[i] = r
 			})
@@ -193,11 +193,11 @@
 		wg.Wait()
 		qt.Assert(t, results[0].Version, qt.Equals, results[1].Version)
 		qt.Assert(t, results[0].Created != results[1].Created, qt.IsTrue)
-		version, ok, err := b.Pinned(t.Context(), "org", "conv")
+		version, ok, err := b.PinnedVersion(t.Context(), "org", "conv")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsTrue)
 		qt.Assert(t, version, qt.Equals, results[0].Version)
-		_, ok, err = b.Pinned(t.Context(), "other org", "conv")
+		_, ok, err = b.PinnedVersion(t.Context(), "other org", "conv")
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ok, qt.IsFalse)
 	})
--- a/router/claim.go
+++ b/router/claim.go
@@ -11,12 +11,12 @@
 // Ledger records bills, claims of idempotency keys and pinned conversations for
 // all daemons. Of concurrent claims or pins of one key, exactly one is first.
 type Ledger interface {
-	Reserve() (*ledger.Reservation, error)
+	ReserveBuffer() (*ledger.Reservation, error)
 	Claim(ctx context.Context, req ledger.ClaimRequest) (ledger.ClaimResult, error)
-	Complete(ctx context.Context, req ledger.CompleteRequest) (ledger.Durability, error)
-	Wait(ctx context.Context, organisation, key string) (ledger.ClaimResult, bool, error)
-	Pin(ctx context.Context, req ledger.PinRequest) (ledger.PinResult, error)
-	Pinned(ctx context.Context, organisation, conversation string) (string, bool, error)
+	CompleteClaim(ctx context.Context, req ledger.CompleteRequest) (ledger.Durability, error)
+	WaitForClaim(ctx context.Context, organisation, key string) (ledger.ClaimResult, bool, error)
+	PinVersion(ctx context.Context, req ledger.PinRequest) (ledger.PinResult, error)
+	PinnedVersion(ctx context.Context, organisation, conversation string) (string, bool, error)
 	Bill(ctx context.Context, b ledger.Bill) (ledger.Durability, error)
 }
 
@@ -71,7 +71,7 @@
 // replay answers a repeated request with the outcome of the first one.
 func (r *Router) replay(ctx context.Context, a *answer, c *call, result ledger.ClaimResult) *failure.Error {
 	if result.State == ledger.StateRunning {
-		settled, ok, err := r.Ledger.Wait(ctx, c.organisation.GetName(), c.ledgerKey())
+		settled, ok, err := r.Ledger.WaitForClaim(ctx, c.organisation.GetName(), c.ledgerKey())
 		if err != nil {
 			return failure.From(err)
 		}
@@ -110,7 +110,7 @@
 	if !held.held {
 		return
 	}
-	_, err := r.Ledger.Complete(ctx, ledger.CompleteRequest{
+	_, err := r.Ledger.CompleteClaim(ctx, ledger.CompleteRequest{
 		Organisation: c.organisation.GetName(),
 		Key:          c.ledgerKey(),
 		Ticket:       held.ticket,
