--- a/measure/learn.go
+++ b/measure/learn.go
@@ -52,14 +52,14 @@
 	good := draw < s.truth.quality(version, st.kind, now)
 	if d.Escalatable {
 		flagged := !checkAnswer(good, check).OK()
-		s.quality.Checked(quality.Checked{Version: version, Kind: st.kind, Flagged: flagged})
+		s.quality.AddCheck(quality.CheckResult{Version: version, Kind: st.kind, Flagged: flagged})
 		accepted = !flagged
 		if flagged {
 			version = d.Cascade.Next
 			good = draw < s.truth.quality(version, st.kind, now)
 		}
 	}
-	_, _ = s.versions.Rated(quality.Rated{
+	_, _ = s.versions.Rated(quality.Rating{
 		Organisation: organisation, Version: version, Kind: st.kind, Accepted: accepted,
 		Score: s.score(organisation, good), At: now,
 	})
--- a/measure/outcome.go
+++ b/measure/outcome.go
@@ -11,11 +11,11 @@
 	f := &r.flow
 	version, kind := f.version, r.kind.GetName()
 	good := r.goodDraw < s.truth.quality(version, kind, s.now)
-	s.quality.Answered(quality.Answered{Version: version, Kind: kind, CompletionTokens: r.completion})
+	s.quality.AddAnswer(quality.CompletedAnswer{Version: version, Kind: kind, CompletionTokens: r.completion})
 	accepted := false
 	if r.decision.Escalatable && !r.escalated {
 		verdict := checkAnswer(good, r.checkDraw)
-		s.quality.Checked(quality.Checked{Version: version, Kind: kind, Flagged: !verdict.OK()})
+		s.quality.AddCheck(quality.CheckResult{Version: version, Kind: kind, Flagged: !verdict.OK()})
 		next := cascade.Next(&r.decision.Cascade, &cascade.State{Verdict: verdict, Deadline: r.deadline}, s.now)
 		if next.Version != "" {
 			r.escalated = true
--- a/measure/sim.go
+++ b/measure/sim.go
@@ -318,7 +318,7 @@
 	delay := mean/2 + seconds(s.rated.ExpFloat64()*mean.Seconds()/2)
 	s.after(delay, func() {
 		// Scores are within 0 and 1, so the event is valid.
-		_, _ = s.versions.Rated(quality.Rated{
+		_, _ = s.versions.Rated(quality.Rating{
 			Organisation: r.organisation, Version: version, Kind: r.kind.GetName(),
 			Accepted: accepted, Score: s.score(r.organisation, good), At: s.now,
 		})
--- a/quality/cell.go
+++ b/quality/cell.go
@@ -65,8 +65,8 @@
 	return c
 }
 
-// SetFlagged sets the expected share of flagged answers before any check ran.
-func (c *Cell) SetFlagged(share float64) {
+// SetFlaggedShare sets the expected share of flagged answers before any check ran.
+func (c *Cell) SetFlaggedShare(share float64) {
 	c.flagged.CompareAndSwap(0, math.Float64bits(share))
 }
 
@@ -102,8 +102,8 @@
 	return math.Float64frombits(c.tokens.Load())
 }
 
-// Flagged returns the share of answers that the check of a cascade flagged.
-func (c *Cell) Flagged() float64 {
+// FlaggedShare returns the share of answers that the check of a cascade flagged.
+func (c *Cell) FlaggedShare() float64 {
 	return math.Float64frombits(c.flagged.Load())
 }
 
@@ -133,7 +133,7 @@
 	}
 }
 
-func (c *Cell) observe(e Rated) {
+func (c *Cell) observe(e Rating) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.discount(e.At)
@@ -144,8 +144,8 @@
 	c.publish(e.At)
 }
 
-// Forget drops all ratings. The prior stays.
-func (c *Cell) Forget() {
+// ClearRatings drops all ratings. The prior stays.
+func (c *Cell) ClearRatings() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.base = moments{}
--- a/quality/collector_test.go
+++ b/quality/collector_test.go
@@ -50,8 +50,8 @@
 }
 
 func (f *fleet) rate(d *daemon) {
-	event := Rated{Organisation: "o", Version: "v", Kind: "quick", Score: 1, At: f.now}
-	if err := d.collector.store.Observe(event); err != nil {
+	event := Rating{Organisation: "o", Version: "v", Kind: "quick", Score: 1, At: f.now}
+	if err := d.collector.store.AddRating(event); err != nil {
 		panic(err)
 	}
 	f.rated++
--- a/quality/exchange.go
+++ b/quality/exchange.go
@@ -61,9 +61,9 @@
 	Table       Table
 	Owners      Owners
 	Dialer      Dialer
-	// Judge is called with the ratings that this daemon merges as an
+	// OnMerged is called with the ratings that this daemon merges as an
 	// aggregator. It may be nil.
-	Judge func(c Counts, now time.Time)
+	OnMerged func(c Counts, now time.Time)
 	// ReportInterval is the time between two reports on a version.
 	ReportInterval time.Duration
 	// PublishInterval is the time between two publications of a version.
@@ -91,8 +91,8 @@
 			*d.field = d.value
 		}
 	}
-	if o.Judge == nil {
-		o.Judge = func(Counts, time.Time) {}
+	if o.OnMerged == nil {
+		o.OnMerged = func(Counts, time.Time) {}
 	}
 	return o
 }
@@ -144,10 +144,10 @@
 	return err
 }
 
-// Rated is the event of one rating: it counts at once in the local estimate,
+// AddRating is the event of one rating: it counts at once in the local estimate,
 // and is reported to the aggregator.
-func (x *Exchange) Rated(e Rated) error {
-	if err := x.options.Store.Observe(e); err != nil {
+func (x *Exchange) AddRating(e Rating) error {
+	if err := x.options.Store.AddRating(e); err != nil {
 		return err
 	}
 	x.collector(e.Version)
@@ -315,7 +315,7 @@
 func (x *Exchange) judge(counts []Counts) {
 	now := time.Now()
 	for _, n := range counts {
-		x.options.Judge(n, now)
+		x.options.OnMerged(n, now)
 	}
 }
 
--- a/quality/exchange_test.go
+++ b/quality/exchange_test.go
@@ -43,7 +43,7 @@
 		m := &member{network: n, name: name, store: newStore(false)}
 		m.exchange = quality.NewExchange(quality.ExchangeOptions{
 			Name: name, Incarnation: uint64(i), Store: m.store, Table: n, Owners: m, Dialer: n,
-			Judge: func(c quality.Counts, _ time.Time) { m.judged.Add(int64(c.Weight)) },
+			OnMerged: func(c quality.Counts, _ time.Time) { m.judged.Add(int64(c.Weight)) },
 			Log:   zerolog.Nop(),
 		})
 		n.daemons[name] = m
@@ -104,7 +104,7 @@
 func (m *member) rate(t testing.TB, organisation string, score float64, n int) {
 	t.Helper()
 	for range n {
-		err := m.exchange.Rated(quality.Rated{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: time.Now()})
+		err := m.exchange.AddRating(quality.Rating{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: time.Now()})
 		qt.Assert(t, err, qt.IsNil)
 	}
 }
--- a/quality/quality.go
+++ b/quality/quality.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// Rated is the event that the rating service rated one answer.
-type Rated struct {
+// Rating is the event that the rating service rated one answer.
+type Rating struct {
 	Organisation string
 	Version      string
 	Kind         string
@@ -87,15 +87,15 @@
 	At time.Time
 }
 
-// Answered is the event that a version answered a request in full.
-type Answered struct {
+// CompletedAnswer is the event that a version answered a request in full.
+type CompletedAnswer struct {
 	Version          string
 	Kind             string
 	CompletionTokens int64
 }
 
-// Checked is the event that the first answer of a cascade was checked.
-type Checked struct {
+// CheckResult is the event that the first answer of a cascade was checked.
+type CheckResult struct {
 	Version string
 	Kind    string
 	// Flagged is true when the check found a fault.
@@ -142,8 +142,8 @@
 	return s
 }
 
-// Observe adds a rating. Invalid scores are refused with ErrScore.
-func (s *Store) Observe(e Rated) error {
+// AddRating adds a rating. Invalid scores are refused with ErrScore.
+func (s *Store) AddRating(e Rating) error {
 	if !(e.Score >= 0 && e.Score <= 1) {
 		return fmt.Errorf("%w: %v", ErrScore, e.Score)
 	}
@@ -151,14 +151,14 @@
 	return nil
 }
 
-// Answered adds the length of an answer to the expected length.
-func (s *Store) Answered(e Answered) {
+// AddAnswer adds the length of an answer to the expected length.
+func (s *Store) AddAnswer(e CompletedAnswer) {
 	s.Cell(e.Version, e.Kind).answered(e.CompletionTokens)
 }
 
-// Checked adds the result of a check to the share of flagged answers.
-func (s *Store) Checked(e Checked) {
-	s.Accepted(e.Version, e.Kind).checked(e.Flagged)
+// AddCheck adds the result of a check to the share of flagged answers.
+func (s *Store) AddCheck(e CheckResult) {
+	s.AcceptedCell(e.Version, e.Kind).checked(e.Flagged)
 }
 
 // Estimate returns the estimate of a version for a kind. A pair without a cell
@@ -181,9 +181,9 @@
 	return s.cell(key{version, kind, false})
 }
 
-// Accepted returns the cell of the answers of a version that passed the check
+// AcceptedCell returns the cell of the answers of a version that passed the check
 // of a cascade, and creates it at first use.
-func (s *Store) Accepted(version, kind string) *Cell {
+func (s *Store) AcceptedCell(version, kind string) *Cell {
 	return s.cell(key{version, kind, true})
 }
 
--- a/quality/quality_test.go
+++ b/quality/quality_test.go
@@ -34,7 +34,7 @@
 		if rng.Float64() < mean {
 			score = 1
 		}
-		err := s.Observe(quality.Rated{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: start})
+		err := s.AddRating(quality.Rating{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: start})
 		qt.Assert(t, err, qt.IsNil)
 	}
 }
@@ -119,28 +119,28 @@
 	s := newStore(false)
 	for _, o := range []string{"a", "b", "c"} {
 		for range 100 {
-			err := s.Observe(quality.Rated{Organisation: o, Version: "v", Kind: "quick", Accepted: true, Score: 1, At: start})
+			err := s.AddRating(quality.Rating{Organisation: o, Version: "v", Kind: "quick", Accepted: true, Score: 1, At: start})
 			qt.Assert(t, err, qt.IsNil)
 		}
 	}
 	near(t, s.Estimate("v", "quick", start).Mean, prior, 1e-4)
-	qt.Assert(t, s.Accepted("v", "quick").Estimate(start).Mean > 0.9, qt.IsTrue)
+	qt.Assert(t, s.AcceptedCell("v", "quick").Estimate(start).Mean > 0.9, qt.IsTrue)
 }
 
 func TestAnswersAndChecksAreSmoothed(t *testing.T) {
 	s := newStore(false)
 	for range 300 {
-		s.Answered(quality.Answered{Version: "v", Kind: "quick", CompletionTokens: 500})
-		s.Checked(quality.Checked{Version: "v", Kind: "quick", Flagged: true})
+		s.AddAnswer(quality.CompletedAnswer{Version: "v", Kind: "quick", CompletionTokens: 500})
+		s.AddCheck(quality.CheckResult{Version: "v", Kind: "quick", Flagged: true})
 	}
 	near(t, s.Cell("v", "quick").CompletionTokens(), 500, 1)
-	near(t, s.Accepted("v", "quick").Flagged(), 1, 0.02)
+	near(t, s.AcceptedCell("v", "quick").FlaggedShare(), 1, 0.02)
 }
 
 func TestInvalidScoresAreRefused(t *testing.T) {
 	s := newStore(false)
 	for _, score := range []float64{-0.1, 1.1, math.NaN(), math.Inf(1)} {
-		qt.Check(t, s.Observe(quality.Rated{Score: score}), qt.ErrorIs, quality.ErrScore)
+		qt.Check(t, s.AddRating(quality.Rating{Score: score}), qt.ErrorIs, quality.ErrScore)
 	}
 }
 
@@ -165,7 +165,7 @@
 		s := newStore(false)
 		observe := func(organisation string, score float64, n int) {
 			for range n {
-				if err := s.Observe(quality.Rated{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: start}); err != nil {
+				if err := s.AddRating(quality.Rating{Organisation: organisation, Version: "v", Kind: "quick", Score: score, At: start}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -212,13 +212,13 @@
 	for _, organisations := range []int{10, 400} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
 			s := newStore(false)
-			events := make([]quality.Rated, organisations)
+			events := make([]quality.Rating, organisations)
 			for i := range events {
-				events[i] = quality.Rated{Organisation: fmt.Sprintf("o%d", i), Version: "v", Kind: "quick", Score: 1, At: start}
+				events[i] = quality.Rating{Organisation: fmt.Sprintf("o%d", i), Version: "v", Kind: "quick", Score: 1, At: start}
 			}
 			i := 0
 			for b.Loop() {
-				if err := s.Observe(events[i%organisations]); err != nil {
+				if err := s.AddRating(events[i%organisations]); err != nil {
 					b.Fatal(err)
 				}
 				i++
--- a/ratings.go
+++ b/ratings.go
@@ -53,7 +53,7 @@
 		Table:       shared,
 		Owners:      d.fleet.members,
 		Dialer:      d.fleet.directory,
-		Judge:       l.judge,
+		OnMerged:       l.judge,
 		Log:         l.log,
 	})
 	return l
@@ -106,7 +106,7 @@
 	now := time.Now()
 	for _, r := range ratings {
 		l.last = max(l.last, r.Sequence)
-		err := l.exchange.Rated(quality.Rated{
+		err := l.exchange.AddRating(quality.Rating{
 			Organisation: r.Organisation, Version: r.Version, Kind: r.Kind,
 			Accepted: r.Accepted, Score: r.Score, At: now,
 		})
--- a/router/cascade.go
+++ b/router/cascade.go
@@ -58,7 +58,7 @@
 func (r *Router) afterCheck(c *call, d *selection.Decision, held *heldAnswer, s *settlement) string {
 	verdict := checker.Check(held.describe(c))
 	s.accepted = verdict.OK()
-	r.Quality.Checked(quality.Checked{Version: d.Version, Kind: c.kind.GetName(), Flagged: !verdict.OK()})
+	r.Quality.AddCheck(quality.CheckResult{Version: d.Version, Kind: c.kind.GetName(), Flagged: !verdict.OK()})
 	newest, now := r.Tables().Snapshot, time.Now()
 	left, limited := r.Admission.SpendLeft(c.organisation.GetName(), now)
 	decision := cascade.Next(&d.Cascade, &cascade.State{
--- a/router/log.go
+++ b/router/log.go
@@ -99,7 +99,7 @@
 // answered feeds back a whole answer.
 func (r *Router) answered(s *settlement) {
 	kind := s.call.kind.GetName()
-	r.Quality.Answered(quality.Answered{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
+	r.Quality.AddAnswer(quality.CompletedAnswer{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
 	r.Raters.Sample(AnswerSample{
 		RequestID:    s.call.requestID,
 		Organisation: s.call.organisation.GetName(),
--- a/selection/choose.go
+++ b/selection/choose.go
@@ -263,7 +263,7 @@
 	first, lowest := none, chosen.cost
 	for _, v := range c.org.candidates {
 		cost := c.cost(v)
-		if cost+c.rows[v].accepted.Flagged()*chosen.cost >= lowest {
+		if cost+c.rows[v].accepted.FlaggedShare()*chosen.cost >= lowest {
 			continue
 		}
 		out, ok := c.outlook(v, cost, &chosen)
@@ -297,6 +297,6 @@
 func (c *choice) outlook(first int, cost float64, next *option) (cascade.Outlook, bool) {
 	cell := c.rows[first].accepted
 	accepted := cell.EstimateAt(c.nanos)
-	out := cascade.Expect(cost, accepted.Lower, cell.Flagged(), next.cost, next.estimate.Lower)
+	out := cascade.Expect(cost, accepted.Lower, cell.FlaggedShare(), next.cost, next.estimate.Lower)
 	return out, out.Quality >= c.kind.target
 }
--- a/selection/explore.go
+++ b/selection/explore.go
@@ -94,8 +94,8 @@
 	}
 	cell := c.rows[v].accepted
 	accepted := cell.EstimateAt(c.nanos)
-	mean := cascade.Expect(first, accepted.Mean, cell.Flagged(), chosen.cost, chosen.estimate.Mean)
-	lower := cascade.Expect(first, accepted.Lower, cell.Flagged(), chosen.cost, chosen.estimate.Lower)
+	mean := cascade.Expect(first, accepted.Mean, cell.FlaggedShare(), chosen.cost, chosen.estimate.Mean)
+	lower := cascade.Expect(first, accepted.Lower, cell.FlaggedShare(), chosen.cost, chosen.estimate.Lower)
 	share := cascadeFactor * c.exploreShare(mean.Quality, lower.Quality)
 	worth := share * (chosen.cost - mean.Cost)
 	if draw >= share || lower.Quality >= c.kind.target || worth <= best.worth {
--- a/selection/learning_test.go
+++ b/selection/learning_test.go
@@ -57,7 +57,7 @@
 
 type lateRating struct {
 	due   int
-	event quality.Rated
+	event quality.Rating
 }
 
 func (tr *trial) run(t testing.TB) result {
@@ -108,7 +108,7 @@
 			if bad {
 				res.ratings++
 			}
-			queue = append(queue, lateRating{i + tr.late, quality.Rated{
+			queue = append(queue, lateRating{i + tr.late, quality.Rating{
 				Organisation: r.Organisation, Version: d.Version, Kind: "report", Score: tr.score(rng, truth[v], organisation),
 			}})
 		}
--- a/selection/policy.go
+++ b/selection/policy.go
@@ -98,17 +98,17 @@
 	}
 	r.cell.SetPrior(prior, version.soleUser)
 	if kind.cascade {
-		r.accepted = y.quality.Accepted(version.name, kind.name)
+		r.accepted = y.quality.AcceptedCell(version.name, kind.name)
 		r.accepted.SetPrior(cascade.PriorAccepted(prior), version.soleUser)
-		r.accepted.SetFlagged(cascade.PriorFlagged(prior))
+		r.accepted.SetFlaggedShare(cascade.PriorFlagged(prior))
 	}
 	b.rows[k*len(p.versions)+v] = r
 }
 
 // Rated is the event of one rating on a daemon that does not exchange ratings
 // with others: it updates the estimate and judges the version.
-func (y *Policy) Rated(e quality.Rated) (rollout.Change, error) {
-	if err := y.quality.Observe(e); err != nil {
+func (y *Policy) Rated(e quality.Rating) (rollout.Change, error) {
+	if err := y.quality.AddRating(e); err != nil {
 		return rollout.Unchanged, err
 	}
 	return y.Judge(quality.Counts{
@@ -162,9 +162,9 @@
 func (b *binding) forget(p *Plan, v int) {
 	n := len(p.versions)
 	for i := v; i < len(b.rows); i += n {
-		b.rows[i].cell.Forget()
+		b.rows[i].cell.ClearRatings()
 		if b.rows[i].accepted != nil {
-			b.rows[i].accepted.Forget()
+			b.rows[i].accepted.ClearRatings()
 		}
 	}
 }
--- a/selection/property_test.go
+++ b/selection/property_test.go
@@ -75,7 +75,7 @@
 	for _, v := range w.reg.Versions {
 		score := rapid.Float64Range(0, 1).Draw(t, "score")
 		for i := range rapid.IntRange(0, 40).Draw(t, "ratings") {
-			_, err := w.policy.Rated(quality.Rated{
+			_, err := w.policy.Rated(quality.Rating{
 				Organisation: fmt.Sprintf("o%d", i%3), Version: v.Name, Kind: "quick", Score: score, At: start,
 			})
 			if err != nil {
--- a/selection/rollout_test.go
+++ b/selection/rollout_test.go
@@ -49,7 +49,7 @@
 func (f *fixture) rate(t *testing.T, version string, score float64, n int) {
 	t.Helper()
 	for i := range n {
-		change, err := f.policy.Rated(quality.Rated{
+		change, err := f.policy.Rated(quality.Rating{
 			Organisation: []string{"workshop", "depot"}[i%2], Version: version, Kind: "quick", Score: score, At: f.now,
 		})
 		qt.Assert(t, err, qt.IsNil)
