--- a/orders.go
+++ b/orders.go
@@ -41,18 +41,18 @@
 	return names
 }
 
-// Desired implements orders.Source. A daemon without fresh news gives no
+// DesiredState implements orders.Source. A daemon without fresh news gives no
 // orders.
-func (s poolSource) Desired(pool string) (orders.Desired, bool) {
+func (s poolSource) DesiredState(pool string) (orders.DesiredState, bool) {
 	tables := s.d.tables.Load()
 	if tables == nil || s.d.fresh(time.Now()) != nil {
-		return orders.Desired{}, false
+		return orders.DesiredState{}, false
 	}
 	withdrawn := func(version string) bool {
 		_, is := tables.Snapshot.Withdrawn(version)
 		return is
 	}
-	return orders.FromRegister(tables.Snapshot.Generation(), tables.Snapshot.PoolEngines(pool), withdrawn, longestDeadline(tables)), true
+	return orders.DesiredFromRegister(tables.Snapshot.Generation(), tables.Snapshot.PoolEngines(pool), withdrawn, longestDeadline(tables)), true
 }
 
 // longestDeadline is how long a request can run on a withdrawn version.
--- a/orders/decide.go
+++ b/orders/decide.go
@@ -97,7 +97,7 @@
 
 // decide compares the desired state with the observed one. Engines that were
 // not read in this round are left alone.
-func decide(d Desired, seen map[string]*observed, b bounds, now time.Time) []decision {
+func decide(d DesiredState, seen map[string]*observed, b bounds, now time.Time) []decision {
 	loading := 0
 	for _, o := range seen {
 		loading += o.loading()
--- a/orders/desired.go
+++ b/orders/desired.go
@@ -7,8 +7,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Desired is what the configuration asks of one pool.
-type Desired struct {
+// DesiredState is what the configuration asks of one pool.
+type DesiredState struct {
 	// Generation is the configuration's.
 	Generation uint64
 	Engines    []Target
@@ -32,10 +32,10 @@
 	return t.Name == o.Name && t.Address == o.Address && t.Role == o.Role && slices.Equal(t.Versions, o.Versions)
 }
 
-// FromRegister returns the desired state of a pool's engines: the versions of
+// DesiredFromRegister returns the desired state of a pool's engines: the versions of
 // the register without those withdrawn.
-func FromRegister(generation uint64, engines []*bronzeturnv1.Engine, withdrawn func(version string) bool, grace time.Duration) Desired {
-	d := Desired{Generation: generation, Grace: grace}
+func DesiredFromRegister(generation uint64, engines []*bronzeturnv1.Engine, withdrawn func(version string) bool, grace time.Duration) DesiredState {
+	d := DesiredState{Generation: generation, Grace: grace}
 	for _, e := range engines {
 		versions := slices.DeleteFunc(slices.Clone(e.GetVersions()), withdrawn)
 		d.Engines = append(d.Engines, Target{
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -157,7 +157,7 @@
 // fakeSource is one daemon's configuration.
 type fakeSource struct {
 	mu      sync.Mutex
-	desired Desired
+	desired DesiredState
 	missing bool
 }
 
@@ -170,7 +170,7 @@
 func (s *fakeSource) set(generation uint64, engines int, versions ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.desired = Desired{Generation: generation, Grace: time.Minute}
+	s.desired = DesiredState{Generation: generation, Grace: time.Minute}
 	for i := range engines {
 		s.desired.Engines = append(s.desired.Engines, Target{
 			Name: fmt.Sprintf("engine-%d", i), Address: address(i), Versions: versions,
@@ -180,7 +180,7 @@
 
 func (s *fakeSource) Pools() []string { return []string{testPool} }
 
-func (s *fakeSource) Desired(string) (Desired, bool) {
+func (s *fakeSource) DesiredState(string) (DesiredState, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.desired, !s.missing
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -46,9 +46,9 @@
 type Source interface {
 	// Pools returns the names of all pools.
 	Pools() []string
-	// Desired returns what the pool should be, or false when the daemon's
+	// DesiredState returns what the pool should be, or false when the daemon's
 	// configuration is missing or too old to act upon.
-	Desired(pool string) (Desired, bool)
+	DesiredState(pool string) (DesiredState, bool)
 }
 
 // Owner returns the preferred owner of a key and whether it is this daemon. Two
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -83,7 +83,7 @@
 
 // round keeps the lease, reads the engines and sends the orders that are due.
 func (p *pool) round(ctx context.Context) {
-	desired, ok := p.runner.deps.Source.Desired(p.name)
+	desired, ok := p.runner.deps.Source.DesiredState(p.name)
 	_, self := p.runner.deps.Owner(p.lease.key)
 	if !ok || !self {
 		p.giveUp(ctx)
@@ -181,7 +181,7 @@
 
 // observe reads the engines side by side. Those that do not answer in time are
 // left alone in this round; the next one begins with others.
-func (p *pool) observe(ctx context.Context, d Desired) {
+func (p *pool) observe(ctx context.Context, d DesiredState) {
 	ctx, cancel := context.WithTimeout(ctx, p.runner.options.ReadTimeout)
 	defer cancel()
 	loads := make([]*engine.Load, len(d.Engines))
@@ -204,7 +204,7 @@
 
 // take takes in the reports of one round. What was known of engines that left
 // the pool is dropped.
-func (p *pool) take(d Desired, loads []*engine.Load) {
+func (p *pool) take(d DesiredState, loads []*engine.Load) {
 	now := time.Now()
 	old := p.seen
 	p.seen = make(map[string]*observed, len(d.Engines))
