--- a/admission/account.go
+++ b/admission/account.go
@@ -107,7 +107,7 @@
 // exceeded builds the refusal of one dimension.
 func (a *account) exceeded(what string, after time.Duration) *failure.Error {
 	return failure.New(failure.CodeLimitExceeded, failure.RanNo, "limit of %s reached", what).
-		After(max(after, minRetryAfter))
+		WithRetryAfter(max(after, minRetryAfter))
 }
 
 // settle replaces the estimate of a finished request by what it used.
@@ -156,7 +156,7 @@
 	if b.fleetTotal+fleetCost > limit || b.spent+b.reserved >= limit {
 		after = untilNextDay(now)
 	}
-	return failure.New(failure.CodeSpendExceeded, failure.RanNo, "daily spend limit reached").After(after)
+	return failure.New(failure.CodeSpendExceeded, failure.RanNo, "daily spend limit reached").WithRetryAfter(after)
 }
 
 const day = 24 * time.Hour
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -145,7 +145,7 @@
 	d, after := g.offer(now, r.Deadline, it)
 	switch d {
 	case Refuse:
-		return failure.New(failure.CodeNoCapacity, failure.RanNo, "no capacity before the deadline").After(after)
+		return failure.New(failure.CodeNoCapacity, failure.RanNo, "no capacity before the deadline").WithRetryAfter(after)
 	case WaitTurn:
 		if err := g.wait(ctx, it); err != nil {
 			return err
--- a/admission/group.go
+++ b/admission/group.go
@@ -49,7 +49,7 @@
 			return g.waited(<-it.ready, it)
 		}
 		return failure.New(failure.CodeNoCapacity, failure.RanNo, "no capacity became free in time").
-			After(g.waitAdvice(time.Now(), it))
+			WithRetryAfter(g.waitAdvice(time.Now(), it))
 	case <-ctx.Done():
 		if !g.withdraw(it) && <-it.ready == started {
 			g.release(time.Now(), it, 0, 0)
@@ -63,7 +63,7 @@
 	if result == started {
 		return nil
 	}
-	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").After(g.waitAdvice(time.Now(), it))
+	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").WithRetryAfter(g.waitAdvice(time.Now(), it))
 }
 
 // withdraw takes a request out that gives up waiting. It reports false when
--- a/decisions.go
+++ b/decisions.go
@@ -142,7 +142,7 @@
 		d.publishNewest()
 		return reason, nil
 	}
-	return reason, failure.New(failure.CodeConfigurationStale, failure.RanNo, "this address has no fresh configuration: %s", reason).After(staleRetryAfter)
+	return reason, failure.New(failure.CodeConfigurationStale, failure.RanNo, "this address has no fresh configuration: %s", reason).WithRetryAfter(staleRetryAfter)
 }
 
 // publishNewest compiles a configuration that the provider has installed and the
--- a/gateway/again.go
+++ b/gateway/again.go
@@ -42,7 +42,7 @@
 	}
 	if t.ran == failure.RanNo {
 		f := failure.Wrap(e, failure.CodeNoCapacity, failure.RanNo, "no engine took the request")
-		return f.After(max(min(e.comeBack, busyRetry), busyRetry/4))
+		return f.WithRetryAfter(max(min(e.comeBack, busyRetry), busyRetry/4))
 	}
 	return failure.Wrap(e, failure.CodeEngineFailed, t.ran, "the engine did not answer; the request may have run")
 }
--- a/gateway/budget_test.go
+++ b/gateway/budget_test.go
@@ -72,7 +72,7 @@
 func TestStatusPromisesNoMoreThanIsKnown(t *testing.T) {
 	c := qt.New(t)
 	for _, code := range []failure.Code{
-		failure.CodeNoCapacity, failure.CodeDeadlinePassed, failure.CodeEngineFailed, failure.CodeLeaving, failure.CodeInternal,
+		failure.CodeNoCapacity, failure.CodeDeadlinePassed, failure.CodeEngineFailed, failure.CodeDaemonLeaving, failure.CodeInternal,
 		failure.CodeCanceled, failure.CodeAnswerBroken,
 	} {
 		for _, ran := range []failure.Ran{failure.RanUnknown, failure.RanYes} {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -31,7 +31,7 @@
 		}
 		if waited >= emptyWait || backoff.Sleep(ctx, emptyPoll) != nil {
 			f := failure.New(failure.CodeNoCapacity, t.ran, "no engine takes the request now: %s", decision.Reason)
-			return nil, f.After(min(max(decision.RetryAfter, busyRetry/4), busyRetry))
+			return nil, f.WithRetryAfter(min(max(decision.RetryAfter, busyRetry/4), busyRetry))
 		}
 		waited += emptyPoll
 	}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -94,11 +94,11 @@
 func (g *Gateway) prepare(q *request, a *answer) *failure.Error {
 	q.deadline = q.received.Add(defaultWait)
 	if g.gate.closed.Load() {
-		return failure.New(failure.CodeLeaving, failure.RanNo, "the daemon is stopping").After(leavingRetry)
+		return failure.New(failure.CodeDaemonLeaving, failure.RanNo, "the daemon is stopping").WithRetryAfter(leavingRetry)
 	}
 	q.tables = g.Tables()
 	if q.tables == nil || q.tables.Routes == nil {
-		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration yet").After(g.unreadyAdvice())
+		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration yet").WithRetryAfter(g.unreadyAdvice())
 	}
 	if f := g.findRoute(q); f != nil {
 		return f
@@ -107,7 +107,7 @@
 		return f
 	}
 	if q.route.Kind == route.Stream && g.gate.noStreams.Load() {
-		return failure.New(failure.CodeLeaving, failure.RanNo, "the daemon is stopping").After(leavingRetry)
+		return failure.New(failure.CodeDaemonLeaving, failure.RanNo, "the daemon is stopping").WithRetryAfter(leavingRetry)
 	}
 	q.setDeadline()
 	if f := q.readBody(a); f != nil {
@@ -149,7 +149,7 @@
 // configuration may be old does not call it unknown.
 func (g *Gateway) unknown(code failure.Code, text string) *failure.Error {
 	if g.Stale(time.Now()) {
-		return failure.New(failure.CodeConfigurationStale, failure.RanNo, "the configuration may be out of date").After(g.unreadyAdvice())
+		return failure.New(failure.CodeConfigurationStale, failure.RanNo, "the configuration may be out of date").WithRetryAfter(g.unreadyAdvice())
 	}
 	return failure.New(code, failure.RanNo, "%s", text)
 }
--- a/gateway/screen.go
+++ b/gateway/screen.go
@@ -25,7 +25,7 @@
 func (g *Gateway) quarantined(t *task) *failure.Error {
 	known := g.Quarantine.Refused(t.hash)
 	g.Log.Warn().Str("request", t.meta.ID).Stringer("hash", t.hash).EmbedObject(&known).Str("ran", string(t.ran)).Msg("request in quarantine refused")
-	return failure.New(failure.CodeQuarantined, t.ran, "the request crashes engines").After(known.RetryAfter())
+	return failure.New(failure.CodeQuarantined, t.ran, "the request crashes engines").WithRetryAfter(known.RetryAfter())
 }
 
 // under notes that the attempt ended because its request came to be held.
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -41,7 +41,7 @@
 	if f := g.ended(ctx, t); f != nil {
 		return f
 	}
-	return failure.New(failure.CodeVersionStopped, failure.RanNo, "the version that the session ran on has stopped").After(lapse - hold)
+	return failure.New(failure.CodeVersionStopped, failure.RanNo, "the version that the session ran on has stopped").WithRetryAfter(lapse - hold)
 }
 
 // holdBeforeAdvice returns how long a request is held until its caller would honour the
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -175,7 +175,7 @@
 
 func (l *Ledger) claimRefused(err error) error {
 	l.metrics.refused.Inc()
-	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the claim could not be recorded").After(retryAfter)
+	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the claim could not be recorded").WithRetryAfter(retryAfter)
 }
 
 // abandon gives up an attempt whose record may still turn up in the log. No
@@ -295,7 +295,7 @@
 			if ok {
 				return result, true, nil
 			}
-			return ClaimResult{}, false, failure.Wrap(lookupErr, failure.CodeLedgerUnavailable, failure.RanUnknown, "the state of the claim is not known").After(retryAfter)
+			return ClaimResult{}, false, failure.Wrap(lookupErr, failure.CodeLedgerUnavailable, failure.RanUnknown, "the state of the claim is not known").WithRetryAfter(retryAfter)
 		}
 		poll = min(2*poll, waitPollMax)
 	}
--- a/ledger/pin.go
+++ b/ledger/pin.go
@@ -44,7 +44,7 @@
 }
 
 func pinRefused(err error) error {
-	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the conversation's version could not be settled").After(retryAfter)
+	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the conversation's version could not be settled").WithRetryAfter(retryAfter)
 }
 
 func pinRecord(fp fingerprint, nonce Nonce, version string, touch bool) *bronzeturnv1.LedgerRecord {
--- a/ledger/reserve.go
+++ b/ledger/reserve.go
@@ -37,7 +37,7 @@
 	defer o.mu.Unlock()
 	if o.fullWith(recordsPerRequest, reservedBytes) {
 		l.metrics.full.Inc()
-		return nil, failure.New(failure.CodeLedgerUnavailable, failure.RanNo, "too many bills wait for the store").After(fullRetryAfter)
+		return nil, failure.New(failure.CodeLedgerUnavailable, failure.RanNo, "too many bills wait for the store").WithRetryAfter(fullRetryAfter)
 	}
 	o.reserved++
 	return &Reservation{box: o}, nil
--- a/router/claim.go
+++ b/router/claim.go
@@ -79,9 +79,9 @@
 	case ledger.StateDone:
 		return replayOutcome(a, result.Outcome)
 	case ledger.StateRunning:
-		return failure.New(failure.CodeInProgress, failure.RanUnknown, "the first request with this key still runs").After(inProgressRetryAfter)
+		return failure.New(failure.CodeInProgress, failure.RanUnknown, "the first request with this key still runs").WithRetryAfter(inProgressRetryAfter)
 	case ledger.StateNotRun:
-		return failure.New(failure.CodeInProgress, failure.RanNo, "the first request with this key did not run; send it again").After(leavingRetryAfter)
+		return failure.New(failure.CodeInProgress, failure.RanNo, "the first request with this key did not run; send it again").WithRetryAfter(leavingRetryAfter)
 	default:
 		return failure.New(failure.CodeOutcomeUnknown, failure.RanUnknown, "the first request with this key may have run; its outcome is not known")
 	}
--- a/router/launch.go
+++ b/router/launch.go
@@ -129,7 +129,7 @@
 	})
 	if !ok {
 		r.logEngine(l, &decision)
-		return decision, failure.New(failure.CodeNoCapacity, l.ran, "no engine can answer in time").After(decision.RetryAfter)
+		return decision, failure.New(failure.CodeNoCapacity, l.ran, "no engine can answer in time").WithRetryAfter(decision.RetryAfter)
 	}
 	r.logEngine(l, &decision)
 	return decision, nil
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -33,7 +33,7 @@
 	case engine.Canceled:
 		return failure.Wrap(err, failure.CodeCanceled, ran, "the request was canceled")
 	case engine.Refused, engine.Unreachable:
-		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the engine did not take the request").After(max(err.RetryAfter, busyRetryAfter))
+		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the engine did not take the request").WithRetryAfter(max(err.RetryAfter, busyRetryAfter))
 	case engine.Rejected:
 		return failure.Wrap(err, failure.CodeMalformedRequest, ran, "the engine refused the request as malformed")
 	default:
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -67,7 +67,7 @@
 func (r *Router) quarantined(l *launch) *failure.Error {
 	record := r.Quarantine.Refused(l.call.hash)
 	with(r.Log.Warn(), l.call).Stringer("hash", l.call.hash).EmbedObject(&record).Str("ran", string(l.ran)).Msg("request in quarantine refused")
-	return failure.New(failure.CodeQuarantined, l.ran, "the request crashes engines").After(record.RetryAfter())
+	return failure.New(failure.CodeQuarantined, l.ran, "the request crashes engines").WithRetryAfter(record.RetryAfter())
 }
 
 // engineOf returns the chosen engine with its current start.
--- a/router/rechoose_test.go
+++ b/router/rechoose_test.go
@@ -92,7 +92,7 @@
 				c := qt.New(t)
 				s := newSite(t)
 				s.all(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").After(time.Second))
+					s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").WithRetryAfter(time.Second))
 					test.answer(w, r)
 				}))
 				got := s.send(ask{})
--- a/router/refusal_test.go
+++ b/router/refusal_test.go
@@ -76,10 +76,10 @@
 		{name: "no configuration", prepare: func(_ *testing.T, s *site) { s.current.Store(nil) },
 			code: failure.CodeNoConfiguration, status: 503, retry: true},
 		{name: "stale configuration", prepare: func(_ *testing.T, s *site) {
-			s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").After(time.Second))
+			s.stale.Store(failure.New(failure.CodeConfigurationStale, failure.RanNo, "no news").WithRetryAfter(time.Second))
 		}, code: failure.CodeConfigurationStale, status: 503, retry: true},
 		{name: "leaving", prepare: func(_ *testing.T, s *site) { s.StopAdmitting() },
-			code: failure.CodeLeaving, status: 503, retry: true},
+			code: failure.CodeDaemonLeaving, status: 503, retry: true},
 		{name: "limit of the organisation", prepare: func(t *testing.T, s *site) {
 			s.Admission.Update([]*bronzeturnv1.Limit{{Organisation: "depot", ConcurrentRequests: 1}}, 1)
 			_, err := s.Admission.Acquire(context.Background(), admission.Request{Organisation: "depot", Deadline: time.Now().Add(time.Second), Group: cheap})
@@ -108,7 +108,7 @@
 				}
 				seconds, err := strconv.Atoi(g.Header().Get("Retry-After"))
 				c.Check(err == nil && seconds >= 1 && f.RetryAfterMillis > 0, qt.Equals, test.retry)
-				leaves := test.code == failure.CodeLeaving || test.code == failure.CodeConfigurationStale
+				leaves := test.code == failure.CodeDaemonLeaving || test.code == failure.CodeConfigurationStale
 				c.Check(len(f.Entries) > 0, qt.Equals, leaves)
 				c.Check(s.network.hosts(), qt.HasLen, 0)
 				c.Check(s.ledger.billsOf(g.id()), qt.HasLen, 0)
--- a/router/serve.go
+++ b/router/serve.go
@@ -69,7 +69,7 @@
 func (r *Router) identify(req *http.Request, c *call) *failure.Error {
 	c.tables = r.Tables()
 	if c.tables == nil {
-		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").After(startupRetryAfter)
+		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").WithRetryAfter(startupRetryAfter)
 	}
 	if f := r.stale(failure.RanNo); f != nil {
 		return f
@@ -95,7 +95,7 @@
 
 // leavingFailure tells a caller which addresses to use instead.
 func (r *Router) leavingFailure() *failure.Error {
-	f := failure.New(failure.CodeLeaving, failure.RanNo, "this address takes no new requests").After(leavingRetryAfter)
+	f := failure.New(failure.CodeDaemonLeaving, failure.RanNo, "this address takes no new requests").WithRetryAfter(leavingRetryAfter)
 	f.Entries, _ = r.otherEntries()
 	return f
 }
--- a/router/service.go
+++ b/router/service.go
@@ -158,7 +158,7 @@
 			return instance, nil
 		}
 	}
-	return nil, failure.New(failure.CodeNoCapacity, ran, "no instance of the service takes calls").After(busyRetryAfter)
+	return nil, failure.New(failure.CodeNoCapacity, ran, "no instance of the service takes calls").WithRetryAfter(busyRetryAfter)
 }
 
 // callInstance calls one instance once and tells its breaker.
@@ -234,7 +234,7 @@
 	case err.Kind == plainservice.Canceled:
 		return failure.Wrap(err, failure.CodeCanceled, ran, "the request was canceled")
 	case ran == failure.RanNo:
-		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the service did not take the call").After(busyRetryAfter)
+		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the service did not take the call").WithRetryAfter(busyRetryAfter)
 	default:
 		return failure.Wrap(err, failure.CodeOutcomeUnknown, ran, "the service did not answer; the call may have run")
 	}
--- a/selection/candidate.go
+++ b/selection/candidate.go
@@ -169,8 +169,8 @@
 			wait = min(wait, at.Sub(c.now))
 		}
 	}
-	return failure.New(failure.CodeBelowTarget, failure.RanNo,
-		"no allowed version reaches the quality target").After(wait)
+	return failure.New(failure.CodeTargetUnreachable, failure.RanNo,
+		"no allowed version reaches the quality target").WithRetryAfter(wait)
 }
 
 // notAllowed is the refusal for versions, models and organisations that are
@@ -185,7 +185,7 @@
 
 func noCapacity() error {
 	return failure.New(failure.CodeNoCapacity, failure.RanNo, "no engine serves an allowed version now").
-		After(defaultRetryAfter)
+		WithRetryAfter(defaultRetryAfter)
 }
 
 func spendExceeded() error {
--- a/selection/rollout_test.go
+++ b/selection/rollout_test.go
@@ -156,7 +156,7 @@
 
 	rules.Kinds[0].BelowTarget = bronzeturnv1.BelowTarget_BELOW_TARGET_REFUSE
 	_, err = f.policy.Choose(selection.NewPlan(reg, rules), &r, f.now, nil)
-	qt.Assert(t, codeOf(err), qt.Equals, failure.CodeBelowTarget)
+	qt.Assert(t, codeOf(err), qt.Equals, failure.CodeTargetUnreachable)
 	qt.Assert(t, failure.From(err).RetryAfter > 0, qt.IsTrue)
 }
 
--- a/selection/selection_test.go
+++ b/selection/selection_test.go
@@ -78,7 +78,7 @@
 			r.Kinds[1].BelowTarget = bronzeturnv1.BelowTarget_BELOW_TARGET_REFUSE
 		},
 		request: selection.Request{Organisation: "depot", Kind: "report"},
-		code:    failure.CodeBelowTarget,
+		code:    failure.CodeTargetUnreachable,
 	}, {
 		name: "a preferred version goes before a cheaper one",
 		change: func(_ *bronzeturnv1.Register, r *bronzeturnv1.Rules) {
