--- a/failure/failure.go
+++ b/failure/failure.go
@@ -32,11 +32,11 @@
 	CodeNoCapacity         Code = "no_capacity"
 	CodeLimitExceeded      Code = "limit_exceeded"
 	CodeSpendExceeded      Code = "spend_exceeded"
-	CodeTargetUnreachable        Code = "quality_target_unreachable"
+	CodeTargetUnreachable  Code = "quality_target_unreachable"
 	CodeNoConfiguration    Code = "no_configuration"
 	CodeConfigurationStale Code = "configuration_stale"
 	CodeLedgerUnavailable  Code = "ledger_unavailable"
-	CodeDaemonLeaving            Code = "daemon_leaving"
+	CodeDaemonLeaving      Code = "daemon_leaving"
 	CodeEngineFailed       Code = "engine_failed"
 	CodeAnswerBroken       Code = "answer_broken"
 	CodeNotFound           Code = "not_found"
@@ -135,11 +135,11 @@
 	CodeNoCapacity:         http.StatusServiceUnavailable,
 	CodeLimitExceeded:      http.StatusTooManyRequests,
 	CodeSpendExceeded:      http.StatusPaymentRequired,
-	CodeTargetUnreachable:        http.StatusServiceUnavailable,
+	CodeTargetUnreachable:  http.StatusServiceUnavailable,
 	CodeNoConfiguration:    http.StatusServiceUnavailable,
 	CodeConfigurationStale: http.StatusServiceUnavailable,
 	CodeLedgerUnavailable:  http.StatusServiceUnavailable,
-	CodeDaemonLeaving:            http.StatusServiceUnavailable,
+	CodeDaemonLeaving:      http.StatusServiceUnavailable,
 	CodeEngineFailed:       http.StatusBadGateway,
 	CodeAnswerBroken:       http.StatusBadGateway,
 	CodeNotFound:           http.StatusNotFound,
--- a/quality/exchange_test.go
+++ b/quality/exchange_test.go
@@ -44,7 +44,7 @@
 		m.exchange = quality.NewExchange(quality.ExchangeOptions{
 			Name: name, Incarnation: uint64(i), Store: m.store, Table: n, Owners: m, Dialer: n,
 			OnMerged: func(c quality.Counts, _ time.Time) { m.judged.Add(int64(c.Weight)) },
-			Log:   zerolog.Nop(),
+			Log:      zerolog.Nop(),
 		})
 		n.daemons[name] = m
 	}
--- a/ratings.go
+++ b/ratings.go
@@ -53,7 +53,7 @@
 		Table:       shared,
 		Owners:      d.fleet.members,
 		Dialer:      d.fleet.directory,
-		OnMerged:       l.judge,
+		OnMerged:    l.judge,
 		Log:         l.log,
 	})
 	return l
