--- a/orders/decide.go
+++ b/orders/decide.go
@@ -7,10 +7,10 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// Reason says why an order is sent or held back.
+// Reason tells why an order is sent or held back.
 type Reason string
 
-// The reasons. Those from ReasonPending on hold an order back.
+// Reasons. ReasonPending and those after it hold an order back.
 const (
 	ReasonMissing     Reason = "version_missing"
 	ReasonNotDesired  Reason = "version_not_desired"
@@ -21,46 +21,49 @@
 	ReasonWeightLimit Reason = "weight_store_limit"
 )
 
-// change is one difference between desired and observed state.
+// change is one operation that brings an engine closer to its desired state.
 type change struct {
 	op      engine.Op
 	version string
 	role    string
 }
 
-// decision is what to do about one change.
+// decision tells whether to send the order for one change.
 type decision struct {
 	target Target
 	change change
 	reason Reason
-	// hold tells that nothing is sent now.
-	hold bool
+	// held is true when the order is not sent in this round.
+	held bool
 }
 
-// observed is what is known of one engine.
-type observed struct {
+// engineState is the last observed state of one engine and its open changes.
+type engineState struct {
 	load engine.Load
-	// fresh tells that load was read in this round.
+	// fresh is true when load was read in this round.
 	fresh bool
-	// pending gives the time until which a change already ordered is waited for.
+	// pending holds the changes already ordered, with the time after which they
+	// may be ordered again.
 	pending map[change]time.Time
-	// unwantedSince gives the time since which a loaded version is not desired.
+	// unwantedSince holds the loaded versions that are not desired, with the time
+	// at which this was first seen.
 	unwantedSince map[string]time.Time
 }
 
-func newObserved() *observed {
-	return &observed{
+func newEngineState() *engineState {
+	return &engineState{
 		pending:       make(map[change]time.Time),
 		unwantedSince: make(map[string]time.Time),
 	}
 }
 
-// see takes in a load report and forgets what it settles.
-func (o *observed) see(load engine.Load, target Target, now time.Time) {
+// update stores a load report, removes pending changes that it shows as applied
+// or that have timed out, and tracks the versions that are not desired.
+func (o *engineState) update(load engine.Load, target Target, now time.Time) {
 	o.load = load
 	o.fresh = true
 	for c, until := range o.pending {
-		if !now.Before(until) || c.done(load) {
+		if !now.Before(until) || c.appliedIn(load) {
 			delete(o.pending, c)
 		}
 	}
@@ -76,8 +79,8 @@
 	}
 }
 
-// done tells whether the report shows the change.
-func (c change) done(load engine.Load) bool {
+// appliedIn reports whether the load report shows the change as applied.
+func (c change) appliedIn(load engine.Load) bool {
 	switch c.op {
 	case engine.OpLoad:
 		return slices.Contains(load.Versions, c.version)
@@ -88,32 +91,32 @@
 	}
 }
 
-// bounds are the limits that decide keeps.
-type bounds struct {
+// loadLimits restrict the load orders of one round.
+type loadLimits struct {
 	maxLoading int
-	// weightsFrom is the time from which the weight store may be asked again.
-	weightsFrom time.Time
+	// weightsRetryAt is the earliest time of the next request to the weight store.
+	weightsRetryAt time.Time
 }
 
-// decide compares the desired state with the observed one. Engines that were
-// not read in this round are left alone.
-func decide(d DesiredState, seen map[string]*observed, b bounds, now time.Time) []decision {
+// decide compares the desired state with the observed one and returns a decision
+// for each difference. It skips engines that were not read in this round.
+func decide(d DesiredState, engines map[string]*engineState, b loadLimits, now time.Time) []decision {
 	loading := 0
-	for _, o := range seen {
-		loading += o.loading()
+	for _, o := range engines {
+		loading += o.pendingLoads()
 	}
 	var decisions []decision
 	for _, target := range d.Engines {
-		o := seen[target.Name]
+		o := engines[target.Name]
 		if o == nil || !o.fresh {
 			continue
 		}
 		for _, c := range differences(target, o.load) {
-			dec := o.judge(target, c, d.Grace, now)
-			if c.op == engine.OpLoad && !dec.hold {
-				dec = b.admit(dec, loading, now)
+			dec := o.decideChange(target, c, d.Grace, now)
+			if c.op == engine.OpLoad && !dec.held {
+				dec = b.applyTo(dec, loading, now)
 			}
-			if c.op == engine.OpLoad && !dec.hold {
+			if c.op == engine.OpLoad && !dec.held {
 				loading++
 			}
 			decisions = append(decisions, dec)
@@ -122,8 +125,8 @@
 	return decisions
 }
 
-// loading counts the loads that are waited for.
-func (o *observed) loading() int {
+// pendingLoads returns the number of loads ordered but not yet reported.
+func (o *engineState) pendingLoads() int {
 	n := 0
 	for c := range o.pending {
 		if c.op == engine.OpLoad {
@@ -133,7 +136,8 @@
 	return n
 }
 
-// differences returns the changes that lead from the report to the target.
+// differences returns the changes needed to get from the reported state to the
+// target.
 func differences(target Target, load engine.Load) []change {
 	var changes []change
 	for _, version := range target.Versions {
@@ -152,11 +156,11 @@
 	return changes
 }
 
-// judge decides about one change of one engine by itself.
-func (o *observed) judge(target Target, c change, grace time.Duration, now time.Time) decision {
+// decideChange decides about one change without regard to the limits of the pool.
+func (o *engineState) decideChange(target Target, c change, grace time.Duration, now time.Time) decision {
 	dec := decision{target: target, change: c}
 	if _, ok := o.pending[c]; ok {
-		dec.reason, dec.hold = ReasonPending, true
+		dec.reason, dec.held = ReasonPending, true
 		return dec
 	}
 	switch c.op {
@@ -167,26 +171,26 @@
 	case engine.OpUnload:
 		dec.reason = ReasonNotDesired
 		if o.busy() && now.Sub(o.unwantedSince[c.version]) < grace {
-			dec.reason, dec.hold = ReasonDraining, true
+			dec.reason, dec.held = ReasonDraining, true
 		}
 	}
 	return dec
 }
 
-// busy tells whether the engine has requests. Reports do not tell of which
-// version they are.
-func (o *observed) busy() bool {
+// busy reports whether the engine has running or queued requests. Load reports
+// do not break these down by version.
+func (o *engineState) busy() bool {
 	return o.load.RunningRequests > 0 || o.load.QueuedRequests > 0
 }
 
-// admit holds a load back while too many engines load or the weight store has
-// asked for patience.
-func (b bounds) admit(dec decision, loading int, now time.Time) decision {
+// applyTo holds a load back while too many loads are in progress or the weight
+// store must not be asked yet.
+func (b loadLimits) applyTo(dec decision, loading int, now time.Time) decision {
 	switch {
-	case now.Before(b.weightsFrom):
-		dec.reason, dec.hold = ReasonWeightLimit, true
+	case now.Before(b.weightsRetryAt):
+		dec.reason, dec.held = ReasonWeightLimit, true
 	case loading >= b.maxLoading:
-		dec.reason, dec.hold = ReasonLoading, true
+		dec.reason, dec.held = ReasonLoading, true
 	}
 	return dec
 }
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -31,8 +31,9 @@
 
 const testPool = "diag-llm"
 
-// fakeEngine takes orders like an engine, at once.
+// fakeEngine is an engine that applies orders immediately.
 type fakeEngine struct {
+	// checks is true when the engine refuses outdated fencing numbers.
 	checks   bool
 	versions []string
 	role     string
@@ -45,15 +46,15 @@
 	fences []uint64
 }
 
-// fakeEngines is the pool's engines by address.
+// fakeEngines implements Engines for the engines of the pool, by address.
 type fakeEngines struct {
 	mu      sync.Mutex
 	engines map[string]*fakeEngine
-	// reads counts the readings of all engines.
+	// reads counts the Load calls to all engines.
 	reads int
-	// delay, if set, is called before an order arrives; it may block.
+	// delay, if set, is called before an order is applied; it may block.
 	delay func(address string, o engine.Order)
-	// lose, if set, tells whether the answer to an order gets lost.
+	// lose, if set, reports whether the answer to an order is lost.
 	lose func(o engine.Order) bool
 }
 
@@ -77,7 +78,7 @@
 	return engine.Load{Versions: slices.Clone(e.versions), Role: e.role, RunningRequests: e.running}, ctx.Err()
 }
 
-// readings returns how often engines were read.
+// readings returns the number of Load calls to all engines.
 func (f *fakeEngines) readings() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// versions returns what the engine serves, sorted.
+// versions returns the loaded versions of engine i, sorted.
 func (f *fakeEngines) versions(i int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,7 +135,7 @@
 	return slices.Clone(f.engines[address(i)].taken)
 }
 
-// fakeWeights grants every transfer unless limit is above zero.
+// fakeWeights refuses the first limit requests and grants all others.
 type fakeWeights struct {
 	mu      sync.Mutex
 	limit   int
@@ -154,7 +155,7 @@
 	return weightstore.Transfer{}, nil
 }
 
-// fakeSource is one daemon's configuration.
+// fakeSource implements Source with the configuration of one daemon.
 type fakeSource struct {
 	mu      sync.Mutex
 	desired DesiredState
@@ -186,7 +187,7 @@
 	return s.desired, !s.missing
 }
 
-// fleet is a store, engines, and daemons that share them.
+// fleet holds the store, the engines and the weight store that daemons share.
 type fleet struct {
 	c       *qt.C
 	store   *memstore.Store
@@ -198,7 +199,7 @@
 	return &fleet{c: c, store: memstore.New(), engines: engines, weights: &fakeWeights{}}
 }
 
-// daemon starts a daemon. Calls that the test makes wait go through store.
+// daemon starts a Runner that uses the given store, source and owner.
 func (f *fleet) daemon(name string, store Store, source Source, owner Owner) *tomb.Tomb {
 	r, err := New(Dependencies{
 		Store: store, Engines: f.engines, Weights: f.weights, Source: source, Owner: owner,
@@ -211,10 +212,10 @@
 	return t
 }
 
-// always is the Owner of a daemon that believes to be preferred.
-func always(string) (string, bool) { return "", true }
+// alwaysOwner is the Owner of a daemon that considers itself the preferred owner.
+func alwaysOwner(string) (string, bool) { return "", true }
 
-// stop ends daemons and waits for them.
+// stop stops daemons and waits for them.
 func stop(daemons ...*tomb.Tomb) {
 	for _, t := range daemons {
 		t.Kill(nil)
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -13,48 +13,51 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// ErrLeaseLost reports that the lease is not held, or not for long enough.
+// ErrLeaseLost reports that the lease is not held or expires too soon.
 var ErrLeaseLost = errors.New("lease not held")
 
-// ErrStaleGeneration reports that another daemon has acted upon a newer
-// configuration than this one has.
+// ErrStaleGeneration reports that a newer configuration than this daemon's has
+// already been acted upon.
 var ErrStaleGeneration = errors.New("configuration older than the last holder's")
 
-// lease is this daemon's part in the lease of one pool. It is used by one
-// goroutine.
+// lease is this daemon's view of the lease of one pool. It is not safe for
+// concurrent use.
 //
-// Nobody compares clocks: a holder counts the duration from before its last
-// write was sent, others from when they first saw the revision, which is later.
-// The revision of the object is the fencing number. The store raises it with
-// every change and never repeats it, not even when the object was deleted.
+// Clocks of different hosts are not compared: the holder counts the duration from
+// just before it sent its last write, other daemons from when they first saw that
+// revision, which is later. The revision of the object is the fencing number. The
+// store increases it with every change and never reuses one, even after the
+// object was deleted.
 type lease struct {
 	store    Store
 	key      string
 	holder   string
 	duration time.Duration
 
-	// revision is that of the last own write, zero when the lease is not held.
+	// revision is the revision of the object when the lease was last written or
+	// confirmed, zero when it is not held.
 	revision uint64
-	// until is the end of the lease as this daemon may count it.
-	until time.Time
+	// expires is when the lease ends unless it is renewed.
+	expires time.Time
 
-	// foreign is the revision of another's lease and when it was first seen.
-	foreign     uint64
-	foreignSeen time.Time
+	// otherRevision is the last revision seen of another holder's lease, and
+	// otherSeenAt the time at which it was first seen.
+	otherRevision uint64
+	otherSeenAt   time.Time
 }
 
 // fence returns the fencing number.
 func (l *lease) fence() uint64 { return l.revision }
 
-// holds tells whether the lease lasts for at least d from now on.
-func (l *lease) holds(now time.Time, d time.Duration) bool {
-	return l.revision != 0 && !now.Add(d).After(l.until)
+// validFor reports whether the lease is held and remains valid for at least d.
+func (l *lease) validFor(now time.Time, d time.Duration) bool {
+	return l.revision != 0 && !now.Add(d).After(l.expires)
 }
 
-// keep takes or renews the lease and returns nil when it is held. A renewal is
-// written only when a third of the duration has passed.
-func (l *lease) keep(ctx context.Context, generation uint64) error {
-	if l.holds(time.Now(), l.duration*2/3) {
+// acquireOrRenew returns nil when the lease is held afterwards. It writes a
+// renewal only when a third of the duration has passed.
+func (l *lease) acquireOrRenew(ctx context.Context, generation uint64) error {
+	if l.validFor(time.Now(), l.duration*2/3) {
 		return nil
 	}
 	start := time.Now()
@@ -63,7 +66,7 @@
 	case errors.Is(err, objectstore.ErrNotFound):
 		obj, err = l.store.Create(ctx, l.key, l.encode(l.holder, generation))
 	case err != nil:
-		return l.unknown("read lease", err)
+		return l.storeFailed("read lease", err)
 	case !l.mayTake(obj, record):
 		l.revision = 0
 		return ErrLeaseLost
@@ -73,51 +76,51 @@
 	default:
 		obj, err = l.store.Update(ctx, l.key, l.encode(l.holder, generation), obj.Revision)
 	}
-	return l.written(obj, err, start)
+	return l.afterWrite(obj, err, start)
 }
 
-// written takes in the outcome of a write that began at start. After a lost
-// answer the next read finds out what happened.
-func (l *lease) written(obj objectstore.Object, err error, start time.Time) error {
+// afterWrite processes the outcome of a write that began at start. If the answer
+// was lost, the next read shows whether the write took effect.
+func (l *lease) afterWrite(obj objectstore.Object, err error, start time.Time) error {
 	if objectstore.IsConflict(err) {
 		l.revision = 0
 		return ErrLeaseLost
 	}
 	if err != nil {
-		return l.unknown("write lease", err)
+		return l.storeFailed("write lease", err)
 	}
 	l.revision = obj.Revision
-	l.until = start.Add(l.duration)
+	l.expires = start.Add(l.duration)
 	return nil
 }
 
-// unknown handles a store that did not answer: the lease is held as long as
-// its last renewal lasts.
-func (l *lease) unknown(op string, err error) error {
-	if l.holds(time.Now(), 0) {
+// storeFailed handles a failed call to the store: the lease counts as held until
+// its last renewal expires.
+func (l *lease) storeFailed(op string, err error) error {
+	if l.validFor(time.Now(), 0) {
 		return nil
 	}
 	return fmt.Errorf("%s: %w", op, err)
 }
 
-// mayTake tells whether the lease is free: released, this daemon's own, or
-// another's that was not renewed for its whole duration.
+// mayTake reports whether this daemon may write the lease: it is released, this
+// daemon's own, or another holder's that was not renewed for its whole duration.
 func (l *lease) mayTake(obj objectstore.Object, record *bronzeturnv1.PoolLease) bool {
 	if record.GetHolder() == "" || record.GetHolder() == l.holder {
 		return true
 	}
 	now := time.Now()
-	if l.foreign != obj.Revision {
-		l.foreign = obj.Revision
-		l.foreignSeen = now
+	if l.otherRevision != obj.Revision {
+		l.otherRevision = obj.Revision
+		l.otherSeenAt = now
 	}
-	return now.Sub(l.foreignSeen) >= max(record.GetDuration().AsDuration(), l.duration)
+	return now.Sub(l.otherSeenAt) >= max(record.GetDuration().AsDuration(), l.duration)
 }
 
-// confirm reads the lease again right before an order. It returns ErrLeaseLost
-// unless the lease is this daemon's and lasts for at least d.
+// confirm reads the lease again right before an order is sent. It returns
+// ErrLeaseLost unless this daemon holds the lease for at least d more.
 func (l *lease) confirm(ctx context.Context, d time.Duration) error {
-	if !l.holds(time.Now(), d) {
+	if !l.validFor(time.Now(), d) {
 		return ErrLeaseLost
 	}
 	obj, record, err := l.read(ctx)
@@ -128,15 +131,15 @@
 		l.revision = 0
 		return ErrLeaseLost
 	}
-	// A renewal whose answer was lost has raised the revision.
+	// A renewal whose answer was lost may have raised the revision.
 	l.revision = obj.Revision
-	if !l.holds(time.Now(), d) {
+	if !l.validFor(time.Now(), d) {
 		return ErrLeaseLost
 	}
 	return nil
 }
 
-// release gives the lease up, so that the next holder need not wait.
+// release clears the holder, so that the next one need not wait for expiry.
 func (l *lease) release(ctx context.Context, generation uint64) error {
 	if l.revision == 0 {
 		return nil
@@ -169,7 +172,7 @@
 		Generation: generation,
 	})
 	if err != nil {
-		// Only invalid UTF-8 in the holder's name can bring this about.
+		// Marshal fails only if the holder's name is not valid UTF-8.
 		return nil
 	}
 	return value
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,12 +1,13 @@
-// Package orders keeps the engines of each pool at what the configuration asks
-// for: which versions they have loaded and which role they have. One daemon per
-// pool sends orders, under a lease in the object store.
+// Package orders reconciles the engines of each pool with the configuration:
+// which versions they have loaded and which role they have. One daemon per pool
+// sends orders, under a lease in the object store.
 //
-// Safety does not rest on the lease. A holder that was paused may send one
-// order after another daemon took over. Engines that check fencing numbers
-// refuse it. At the others it does bounded harm: orders are idempotent and
-// derived from the desired state of a configuration generation, at most one is
-// under way per pool, and the next holder reads the engines back and repairs.
+// Correctness does not depend on the lease. A holder that was paused may send
+// one order after another daemon has taken over. Engines that check fencing
+// numbers refuse it. On other engines the harm is bounded: orders are idempotent
+// and derived from the desired state of a configuration generation, at most one
+// is in flight per pool, and the next holder reads the engines' state and
+// corrects it.
 package orders
 
 import (
@@ -22,40 +23,40 @@
 	"github.com/bronzeturn/bronzeturn/weightstore"
 )
 
-// Store is the part of the object API that leases need.
+// Store is the subset of the object store API that leases use.
 type Store interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	Create(ctx context.Context, key string, value []byte) (objectstore.Object, error)
 	Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error)
 }
 
-// Engines reads the state of engines and sends them orders. Calls must end
-// with the context.
+// Engines reads the state of engines and sends them orders. Calls must return
+// when the context is done.
 type Engines interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 	Order(ctx context.Context, address string, o engine.Order) (engine.State, error)
 }
 
-// Weights asks the weight store for a transfer. A *weightstore.RateLimitError
-// says when to ask again.
+// Weights requests transfers from the weight store. A
+// *weightstore.RateLimitError tells when to retry.
 type Weights interface {
 	Fetch(ctx context.Context, version string) (weightstore.Transfer, error)
 }
 
-// Source gives the desired state in force on this daemon.
+// Source provides the desired state from the configuration in force on this daemon.
 type Source interface {
 	// Pools returns the names of all pools.
 	Pools() []string
-	// DesiredState returns what the pool should be, or false when the daemon's
-	// configuration is missing or too old to act upon.
+	// DesiredState returns the desired state of the pool, or false when the
+	// daemon's configuration is missing or too old to act upon.
 	DesiredState(pool string) (DesiredState, bool)
 }
 
 // Owner returns the preferred owner of a key and whether it is this daemon. Two
-// daemons that both believe to be it do no harm.
+// daemons may both consider themselves the owner: the lease decides between them.
 type Owner func(key string) (name string, self bool)
 
-// Dependencies are what a Runner works with. All but Registerer are required.
+// Dependencies are the collaborators of a Runner. All but Registerer are required.
 type Dependencies struct {
 	Store      Store
 	Engines    Engines
@@ -67,27 +68,30 @@
 	Registerer prometheus.Registerer
 }
 
-// Options sets the times and bounds of a Runner.
+// Options sets the intervals, timeouts and limits of a Runner.
 type Options struct {
 	// Self names this daemon.
 	Self string
-	// Interval is the time between two rounds of a pool, before jitter.
+	// Interval is the time between two reconciliation rounds of a pool, before
+	// jitter.
 	Interval time.Duration
 	// Lease is how long a lease lasts without renewal.
 	Lease time.Duration
-	// Margin is subtracted from the lease before each order, for clocks that
-	// run at different rates.
+	// Margin is the time, beyond OrderTimeout, for which the lease must remain
+	// valid before an order is sent. It allows for clocks that run at different
+	// rates.
 	Margin time.Duration
-	// OrderTimeout bounds one order.
+	// OrderTimeout bounds the call that sends one order.
 	OrderTimeout time.Duration
-	// ReadTimeout bounds the reading of a whole pool in one round.
+	// ReadTimeout bounds the reading of all engines of a pool in one round.
 	ReadTimeout time.Duration
-	// LoadTimeout is the time after which a load that did not show is ordered anew.
+	// LoadTimeout is the time after which a load order is sent again if the
+	// engine's report does not show the version.
 	LoadTimeout time.Duration
-	// SettleTime is the same for unloads and roles. It has to be longer than the
-	// engines' reports lag.
+	// SettleTime is the same for unload and role orders, and for orders whose
+	// outcome is unknown. It must exceed the delay of the engines' reports.
 	SettleTime time.Duration
-	// MaxLoading bounds the engines of a pool that load at the same time.
+	// MaxLoading bounds the concurrent loads in a pool.
 	MaxLoading int
 }
 
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 3, "old@1"))
-		d := f.daemon("entry-a", f.store, newSource(1, 3, "new@1", "new@2"), always)
+		d := f.daemon("entry-a", f.store, newSource(1, 3, "new@1", "new@2"), alwaysOwner)
 		time.Sleep(time.Minute)
 		stop(d)
 		for i := range 3 {
@@ -31,8 +31,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(false, 3, "old@1"))
-		a := f.daemon("entry-a", f.store, newSource(1, 3, "new@1"), always)
-		b := f.daemon("entry-b", f.store, newSource(1, 3, "new@1"), always)
+		a := f.daemon("entry-a", f.store, newSource(1, 3, "new@1"), alwaysOwner)
+		b := f.daemon("entry-b", f.store, newSource(1, 3, "new@1"), alwaysOwner)
 		time.Sleep(time.Minute)
 		stop(a, b)
 		for i := range 3 {
@@ -45,9 +45,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 1, "v@1"))
-		a := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), always)
+		a := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), alwaysOwner)
 		time.Sleep(10 * time.Second)
-		b := f.daemon("entry-b", f.store, newSource(2, 1, "v@1", "v@2"), always)
+		b := f.daemon("entry-b", f.store, newSource(2, 1, "v@1", "v@2"), alwaysOwner)
 		time.Sleep(10 * time.Second)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"})
 		stop(a)
@@ -57,8 +57,9 @@
 	})
 }
 
-// pausedHolder runs a holder whose order hangs, as in a frozen process, until
-// another daemon has taken over with a newer configuration, and then arrives.
+// pausedHolder runs a holder whose order is delayed, as by a paused process,
+// until another daemon has taken over with a newer configuration, and is then
+// delivered.
 func pausedHolder(c *qt.C, checks bool) *fleet {
 	f := newFleet(c, newFakeEngines(checks, 1, "v@1"))
 	resume := make(chan struct{})
@@ -68,11 +69,11 @@
 			<-resume
 		}
 	}
-	a := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), always)
+	a := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), alwaysOwner)
 	time.Sleep(10 * time.Second)
 	c.Assert(frozen.Load(), qt.IsTrue)
-	// Generation 2 withdraws v@2 and brings v@3.
-	b := f.daemon("entry-b", f.store, newSource(2, 1, "v@1", "v@3"), always)
+	// Generation 2 removes v@2 and adds v@3.
+	b := f.daemon("entry-b", f.store, newSource(2, 1, "v@1", "v@3"), alwaysOwner)
 	time.Sleep(time.Minute)
 	c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@3"})
 	close(resume)
@@ -120,7 +121,7 @@
 		var last uint64
 		for i, name := range []string{"entry-a", "entry-b", "entry-c"} {
 			versions := []string{"v@1", "v@2", "v@3"}[:i+1]
-			d := f.daemon(name, f.store, newSource(uint64(i+1), 1, versions...), always)
+			d := f.daemon(name, f.store, newSource(uint64(i+1), 1, versions...), alwaysOwner)
 			time.Sleep(time.Minute)
 			stop(d)
 			fences := f.engines.engines[address(0)].fences
@@ -142,7 +143,7 @@
 			}
 			return memstore.Pass
 		})
-		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), always)
+		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), alwaysOwner)
 		time.Sleep(10 * time.Second)
 		c.Assert(lost.Load(), qt.IsTrue)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"}, qt.Commentf("well before the lease could lapse"))
@@ -155,7 +156,7 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(false, 1, "v@1"))
 		source := newSource(1, 1, "v@1")
-		d := f.daemon("entry-a", f.store, source, always)
+		d := f.daemon("entry-a", f.store, source, alwaysOwner)
 		time.Sleep(10 * time.Second)
 		f.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return memstore.Refuse })
 		source.set(2, 1, "v@1", "v@2")
@@ -172,11 +173,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(false, 1, "v@1"))
-		a := f.daemon("entry-a", f.store, newSource(7, 1, "v@1", "v@2"), always)
+		a := f.daemon("entry-a", f.store, newSource(7, 1, "v@1", "v@2"), alwaysOwner)
 		time.Sleep(20 * time.Second)
 		stop(a)
 		old := newSource(6, 1, "v@1")
-		b := f.daemon("entry-b", f.store, old, always)
+		b := f.daemon("entry-b", f.store, old, alwaysOwner)
 		time.Sleep(10 * time.Minute)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
 		old.set(8, 1, "v@1")
@@ -211,7 +212,7 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 1))
 		f.weights.limit = 2
-		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), always)
+		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), alwaysOwner)
 		time.Sleep(5 * time.Minute)
 		stop(d)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
@@ -227,7 +228,7 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 2, "v@1", "v@2"))
 		f.engines.engines[address(0)].running = 1
-		d := f.daemon("entry-a", f.store, newSource(1, 2, "v@1"), always)
+		d := f.daemon("entry-a", f.store, newSource(1, 2, "v@1"), alwaysOwner)
 		time.Sleep(30 * time.Second)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"}, qt.Commentf("busy"))
 		c.Assert(f.engines.versions(1), qt.DeepEquals, []string{"v@1"}, qt.Commentf("idle"))
@@ -242,7 +243,7 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 1))
 		f.engines.lose = func(engine.Order) bool { return true }
-		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), always)
+		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1", "v@2"), alwaysOwner)
 		time.Sleep(10 * time.Minute)
 		stop(d)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
@@ -251,16 +252,16 @@
 }
 
 func TestNoOrderGoesOutOnceTheStoreNamesAnotherHolder(t *testing.T) {
-	// The holder renews every few rounds only; the takeover falls between two
-	// renewals in some of these.
+	// The holder renews the lease only every few rounds; at some of these offsets
+	// the takeover falls between two renewals.
 	for second := range 6 {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			f := newFleet(c, newFakeEngines(false, 1, "v@1"))
 			source := newSource(1, 1, "v@1")
-			f.daemon("entry-a", f.store, source, always)
+			f.daemon("entry-a", f.store, source, alwaysOwner)
 			time.Sleep(10*time.Second + time.Duration(second)*time.Second)
-			// Somebody else's clock ran fast: the lease is taken before its time.
+			// A daemon with a fast clock takes the lease before it expires.
 			takeLease(c, f.store, "entry-b")
 			source.set(1, 1, "v@1", "v@2")
 			time.Sleep(time.Minute)
@@ -269,7 +270,7 @@
 	}
 }
 
-// takeLease writes another holder into the lease, whoever holds it.
+// takeLease overwrites the holder of the lease regardless of its current holder.
 func takeLease(c *qt.C, store Store, holder string) {
 	l := lease{store: store, key: KeyPrefix + testPool, holder: holder, duration: time.Hour}
 	obj, err := store.Get(c.Context(), l.key)
@@ -283,7 +284,7 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 1))
 		source := newSource(1, 1, "v@1")
-		f.daemon("entry-a", f.store, source, always)
+		f.daemon("entry-a", f.store, source, alwaysOwner)
 		time.Sleep(10 * time.Second)
 		obj, err := f.store.Get(c.Context(), KeyPrefix+testPool)
 		c.Assert(err, qt.IsNil)
@@ -296,43 +297,43 @@
 	})
 }
 
-func TestStoreCallsOfAPoolAtRest(t *testing.T) {
+func TestStoreCallsOfAnIdlePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 3, "v@1"))
-		owner := f.daemon("entry-a", f.store, newSource(1, 3, "v@1"), always)
+		owner := f.daemon("entry-a", f.store, newSource(1, 3, "v@1"), alwaysOwner)
 		others := func(string) (string, bool) { return "entry-a", false }
 		f.daemon("entry-b", f.store, newSource(1, 3, "v@1"), others)
 		time.Sleep(time.Hour)
 		stop(owner)
 		calls := f.store.Counts()
 		c.Logf("in an hour: %+v", calls)
-		// One renewal, a read and a write, every third of the lease at most.
+		// At most one renewal (a read and a write) per third of the lease duration.
 		c.Assert(calls.Writes <= 720, qt.IsTrue)
 		c.Assert(calls.Reads <= 720, qt.IsTrue)
-		// Three engines, each read every quietRead, one round later at most.
+		// Three engines, each read every idleReadInterval plus at most one round.
 		c.Logf("engine readings in an hour: %d", f.engines.readings())
-		c.Assert(f.engines.readings() <= 3*(int(time.Hour/quietRead)+1), qt.IsTrue)
-		c.Assert(f.engines.readings() >= 3*int(time.Hour/(quietRead+4*time.Second)), qt.IsTrue)
+		c.Assert(f.engines.readings() <= 3*(int(time.Hour/idleReadInterval)+1), qt.IsTrue)
+		c.Assert(f.engines.readings() >= 3*int(time.Hour/(idleReadInterval+4*time.Second)), qt.IsTrue)
 	})
 }
 
-func TestAPoolAtRestReadsItsEnginesWhenItsOwnVersionsChange(t *testing.T) {
+func TestIdlePoolReadsItsEnginesWhenItsOwnVersionsChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 3, "v@1"))
 		source := newSource(1, 3, "v@1")
-		d := f.daemon("entry-a", f.store, source, always)
+		d := f.daemon("entry-a", f.store, source, alwaysOwner)
 		time.Sleep(time.Minute)
 		before := f.engines.readings()
 		for generation := range uint64(20) {
-			// Changes elsewhere in the configuration, one a second.
+			// One new generation a second that does not change this pool.
 			source.set(generation+2, 3, "v@1")
 			time.Sleep(time.Second)
 		}
 		c.Assert(f.engines.readings()-before <= 2*3, qt.IsTrue, qt.Commentf("%d readings", f.engines.readings()-before))
 		source.set(30, 3, "v@1", "v@2")
-		time.Sleep(quietRead / 2)
+		time.Sleep(idleReadInterval / 2)
 		stop(d)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
 	})
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -15,37 +15,39 @@
 	"github.com/bronzeturn/bronzeturn/weightstore"
 )
 
-// quietRead is the time between two readings of the engines of a pool in which
-// nothing has to change. At 331 engines and 424 bytes each, reading them in every
-// round would cost 70 KB/s (docs/CAPACITY.md).
-const quietRead = 20 * time.Second
+// idleReadInterval is the time between two reads of the engines of a pool that
+// is in its desired state. With 331 engines and 424 bytes each, reading them in
+// every round would cost 70 KB/s (docs/CAPACITY.md).
+const idleReadInterval = 20 * time.Second
 
-// readers bounds the engines read at the same time.
-const readers = 16
+// maxConcurrentReads bounds the engines of a pool that are read at the same time.
+const maxConcurrentReads = 16
 
-// pool watches over one pool. Its fields are used by one goroutine.
+// pool reconciles one pool. It is not safe for concurrent use.
 type pool struct {
-	runner *Runner
-	name   string
-	lease  lease
-	log    zerolog.Logger
-	seen   map[string]*observed
-	// generation is the newest that was acted upon.
-	generation  uint64
-	weightsFrom time.Time
-	// sequence numbers the orders of this run.
+	runner  *Runner
+	name    string
+	lease   lease
+	log     zerolog.Logger
+	engines map[string]*engineState
+	// generation is the newest configuration generation acted upon.
+	generation     uint64
+	weightsRetryAt time.Time
+	// sequence is the number of the last order sent.
 	sequence uint64
-	// first is the engine at which the next round of reading begins.
-	first int
-	// held remembers the decisions held back, so that each is logged once.
-	held map[string]Reason
-	// owned tells whether the last round held the lease.
+	// readOffset, modulo the number of engines, is the index of the engine that
+	// is read first.
+	readOffset int
+	// loggedHolds holds the logged reasons by decision key, so that an order held
+	// back is logged once per reason.
+	loggedHolds map[string]Reason
+	// owned is true when the last round held the lease.
 	owned bool
-	// quietUntil is when the engines are read again although nothing has to
-	// change, unless what is desired of the pool does.
-	quietUntil time.Time
-	// readFor is what was desired at the last reading.
-	readFor []Target
+	// nextRead is when the engines of an idle pool are read again, unless the
+	// desired state changes before.
+	nextRead time.Time
+	// lastDesired is the desired state at the last read.
+	lastDesired []Target
 }
 
 func newPool(r *Runner, name string) *pool {
@@ -59,81 +61,83 @@
 			holder:   r.holder,
 			duration: r.options.Lease,
 		},
-		seen: make(map[string]*observed),
-		held: make(map[string]Reason),
+		engines:     make(map[string]*engineState),
+		loggedHolds: make(map[string]Reason),
 	}
 }
 
-// run makes rounds until t is dying or the pool is gone.
+// run makes rounds until t is dying or the pool has left the configuration.
 func (p *pool) run(t *tomb.Tomb) error {
-	defer p.runner.stopped(p.name)
+	defer p.runner.removePool(p.name)
 	ctx := t.Context(context.Background())
 	for slices.Contains(p.runner.deps.Source.Pools(), p.name) {
 		p.round(ctx)
-		if !sleep(t, p.runner.pause()) {
+		if !sleep(t, p.runner.roundDelay()) {
 			break
 		}
 	}
-	// The context of t is over, but the release has to go out.
+	// The context of t may have ended, but the release must still be sent.
 	ctx, cancel := context.WithTimeout(context.Background(), p.runner.options.OrderTimeout)
 	defer cancel()
-	p.giveUp(ctx)
+	p.releaseLease(ctx)
 	return nil
 }
 
-// round keeps the lease, reads the engines and sends the orders that are due.
+// round acquires or renews the lease, reads the engines and sends the orders
+// that are due.
 func (p *pool) round(ctx context.Context) {
 	desired, ok := p.runner.deps.Source.DesiredState(p.name)
 	_, self := p.runner.deps.Owner(p.lease.key)
 	if !ok || !self {
-		p.giveUp(ctx)
+		p.releaseLease(ctx)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.runner.options.Lease)
 	defer cancel()
-	err := p.keep(ctx, desired.Generation)
-	p.own(err == nil, err)
+	err := p.keepLease(ctx, desired.Generation)
+	p.setOwned(err == nil, err)
 	if err != nil {
 		return
 	}
-	if p.quiet(desired.Engines, time.Now()) {
+	if p.readNotDue(desired.Engines, time.Now()) {
 		return
 	}
-	p.observe(ctx, desired)
-	limits := bounds{maxLoading: p.runner.options.MaxLoading, weightsFrom: p.weightsFrom}
-	decisions := decide(desired, p.seen, limits, time.Now())
-	p.forget(decisions)
-	p.rest(desired.Engines, len(decisions) == 0, time.Now())
-	p.act(ctx, decisions)
+	p.readEngines(ctx, desired)
+	limits := loadLimits{maxLoading: p.runner.options.MaxLoading, weightsRetryAt: p.weightsRetryAt}
+	decisions := decide(desired, p.engines, limits, time.Now())
+	p.pruneLoggedHolds(decisions)
+	p.scheduleRead(desired.Engines, len(decisions) == 0, time.Now())
+	p.sendOrders(ctx, decisions)
 }
 
-// quiet tells whether the last reading still stands.
-func (p *pool) quiet(desired []Target, now time.Time) bool {
-	return now.Before(p.quietUntil) && slices.EqualFunc(desired, p.readFor, Target.equal)
+// readNotDue reports whether the engines need not be read in this round.
+func (p *pool) readNotDue(desired []Target, now time.Time) bool {
+	return now.Before(p.nextRead) && slices.EqualFunc(desired, p.lastDesired, Target.equal)
 }
 
-// rest lets the next readings wait when nothing is wanted, nothing is under way
-// and every engine answered.
-func (p *pool) rest(desired []Target, settled bool, now time.Time) {
-	p.readFor = desired
-	p.quietUntil = time.Time{}
-	for _, o := range p.seen {
+// scheduleRead delays the next read when there are no differences, no pending
+// changes and no unwanted versions, and every engine answered.
+func (p *pool) scheduleRead(desired []Target, settled bool, now time.Time) {
+	p.lastDesired = desired
+	p.nextRead = time.Time{}
+	for _, o := range p.engines {
 		settled = settled && o.fresh && len(o.pending) == 0 && len(o.unwantedSince) == 0
 	}
 	if settled {
-		p.quietUntil = now.Add(quietRead)
+		p.nextRead = now.Add(idleReadInterval)
 	}
 }
 
-// act sends the orders decided until the lease is gone.
-func (p *pool) act(ctx context.Context, decisions []decision) {
+// sendOrders sends the orders that are not held back. It stops when the lease is
+// lost.
+func (p *pool) sendOrders(ctx context.Context, decisions []decision) {
 	for _, dec := range decisions {
-		if dec.change.op == engine.OpLoad && time.Now().Before(p.weightsFrom) {
-			// An earlier load of this round has met the limit.
-			dec.reason, dec.hold = ReasonWeightLimit, true
+		if dec.change.op == engine.OpLoad && time.Now().Before(p.weightsRetryAt) {
+			// The weight store granted no transfer for an earlier load in this round.
+			dec.reason, dec.held = ReasonWeightLimit, true
 		}
-		if dec.hold {
-			p.hold(dec)
+		if dec.held {
+			p.logHeld(dec)
 			continue
 		}
 		if !p.send(ctx, dec) {
@@ -142,30 +146,31 @@
 	}
 }
 
-// keep keeps the lease. A daemon never acts upon an older configuration than
-// it did before.
-func (p *pool) keep(ctx context.Context, generation uint64) error {
+// keepLease acquires or renews the lease. It refuses a generation older than one
+// that this daemon has already acted upon.
+func (p *pool) keepLease(ctx context.Context, generation uint64) error {
 	if generation < p.generation {
 		return ErrStaleGeneration
 	}
-	if err := p.lease.keep(ctx, generation); err != nil {
+	if err := p.lease.acquireOrRenew(ctx, generation); err != nil {
 		return err
 	}
 	p.generation = generation
 	return nil
 }
 
-// own logs and counts a change of ownership.
-func (p *pool) own(owned bool, cause error) {
+// setOwned logs and counts a change of ownership. It resets the state of the
+// engines when the lease is acquired.
+func (p *pool) setOwned(owned bool, cause error) {
 	if owned == p.owned {
 		return
 	}
 	p.owned = owned
 	if owned {
 		p.runner.metrics.leases.Inc()
-		clear(p.seen)
-		clear(p.held)
-		p.quietUntil = time.Time{}
+		clear(p.engines)
+		clear(p.loggedHolds)
+		p.nextRead = time.Time{}
 		p.log.Info().Uint64("fence", p.lease.fence()).Msg("lease taken")
 		return
 	}
@@ -173,22 +178,22 @@
 	p.log.Info().AnErr("cause", cause).Msg("lease given up")
 }
 
-// giveUp releases the lease if it is held.
-func (p *pool) giveUp(ctx context.Context) {
+// releaseLease releases the lease if it is held.
+func (p *pool) releaseLease(ctx context.Context) {
 	err := p.lease.release(ctx, p.generation)
-	p.own(false, err)
+	p.setOwned(false, err)
 }
 
-// observe reads the engines side by side. Those that do not answer in time are
-// left alone in this round; the next one begins with others.
-func (p *pool) observe(ctx context.Context, d DesiredState) {
+// readEngines reads the engines concurrently. Those that do not answer in time
+// are skipped in this round; the next round begins with other engines.
+func (p *pool) readEngines(ctx context.Context, d DesiredState) {
 	ctx, cancel := context.WithTimeout(ctx, p.runner.options.ReadTimeout)
 	defer cancel()
 	loads := make([]*engine.Load, len(d.Engines))
 	var wait sync.WaitGroup
-	free := make(chan struct{}, readers)
+	free := make(chan struct{}, maxConcurrentReads)
 	for i := range d.Engines {
-		at := (p.first + i) % len(d.Engines)
+		at := (p.readOffset + i) % len(d.Engines)
 		free <- struct{}{}
 		wait.Go(func() {
 			defer func() { <-free }()
@@ -198,37 +203,38 @@
 		})
 	}
 	wait.Wait()
-	p.first += readers
-	p.take(d, loads)
+	p.readOffset += maxConcurrentReads
+	p.recordLoads(d, loads)
 }
 
-// take takes in the reports of one round. What was known of engines that left
-// the pool is dropped.
-func (p *pool) take(d DesiredState, loads []*engine.Load) {
+// recordLoads stores the load reports of one round and drops the state of
+// engines that have left the pool. An entry of loads is nil when the engine did
+// not answer.
+func (p *pool) recordLoads(d DesiredState, loads []*engine.Load) {
 	now := time.Now()
-	old := p.seen
-	p.seen = make(map[string]*observed, len(d.Engines))
+	old := p.engines
+	p.engines = make(map[string]*engineState, len(d.Engines))
 	for i, target := range d.Engines {
 		o := old[target.Name]
 		if o == nil {
-			o = newObserved()
+			o = newEngineState()
 		}
 		o.fresh = false
 		if loads[i] != nil {
-			o.see(*loads[i], target, now)
+			o.update(*loads[i], target, now)
 		}
-		p.seen[target.Name] = o
+		p.engines[target.Name] = o
 	}
 }
 
-// send sends one order and returns false when the lease is gone.
+// send sends one order and returns false when the lease could not be confirmed.
 func (p *pool) send(ctx context.Context, dec decision) bool {
-	if dec.change.op == engine.OpLoad && !p.fetch(ctx, dec) {
+	if dec.change.op == engine.OpLoad && !p.requestWeights(ctx, dec) {
 		return true
 	}
 	options := &p.runner.options
 	if err := p.lease.confirm(ctx, options.OrderTimeout+options.Margin); err != nil {
-		p.outcome(dec, engine.Order{}, "not_sent", err)
+		p.logOutcome(dec, engine.Order{}, "not_sent", err)
 		return false
 	}
 	p.sequence++
@@ -242,13 +248,14 @@
 	ctx, cancel := context.WithTimeout(ctx, options.OrderTimeout)
 	defer cancel()
 	_, err := p.runner.deps.Engines.Order(ctx, dec.target.Address, order)
-	p.sent(dec, order, err)
+	p.recordResult(dec, order, err)
 	return true
 }
 
-// sent takes in the outcome of an order. An order whose answer was lost is
-// waited for as if it had been taken; the report shows whether it was.
-func (p *pool) sent(dec decision, order engine.Order, err error) {
+// recordResult processes the outcome of an order. An order whose answer was lost
+// counts as pending for SettleTime, like one that was accepted; later load
+// reports show whether it took effect.
+func (p *pool) recordResult(dec decision, order engine.Order, err error) {
 	settle := p.runner.options.SettleTime
 	if order.Op == engine.OpLoad {
 		settle = p.runner.options.LoadTimeout
@@ -256,75 +263,76 @@
 	var refused *engine.Error
 	switch {
 	case err == nil:
-		p.outcome(dec, order, "taken", nil)
+		p.logOutcome(dec, order, "taken", nil)
 	case errors.As(err, &refused) && refused.Kind == engine.Fenced:
-		p.outcome(dec, order, "fenced", err)
+		p.logOutcome(dec, order, "fenced", err)
 		return
 	case errors.As(err, &refused) && refused.Ran == "no":
-		p.outcome(dec, order, "refused", err)
+		p.logOutcome(dec, order, "refused", err)
 		return
 	default:
 		settle = p.runner.options.SettleTime
-		p.outcome(dec, order, "unknown", err)
+		p.logOutcome(dec, order, "unknown", err)
 	}
-	p.seen[dec.target.Name].pending[dec.change] = time.Now().Add(settle)
+	p.engines[dec.target.Name].pending[dec.change] = time.Now().Add(settle)
 }
 
-// fetch asks the weight store for the transfer and tells whether it was granted.
-func (p *pool) fetch(ctx context.Context, dec decision) bool {
+// requestWeights asks the weight store for the transfer and reports whether it was
+// granted.
+func (p *pool) requestWeights(ctx context.Context, dec decision) bool {
 	_, err := p.runner.deps.Weights.Fetch(ctx, dec.change.version)
 	if err == nil {
 		return true
 	}
 	now := time.Now()
-	p.weightsFrom = now.Add(p.runner.options.Interval)
+	p.weightsRetryAt = now.Add(p.runner.options.Interval)
 	var limited *weightstore.RateLimitError
 	switch {
 	case errors.As(err, &limited):
-		p.weightsFrom = now.Add(max(limited.RetryAfter, p.runner.options.Interval))
+		p.weightsRetryAt = now.Add(max(limited.RetryAfter, p.runner.options.Interval))
 	case errors.Is(err, weightstore.ErrNotFound):
-		p.weightsFrom = time.Time{}
-		p.seen[dec.target.Name].pending[dec.change] = now.Add(p.runner.options.LoadTimeout)
+		p.weightsRetryAt = time.Time{}
+		p.engines[dec.target.Name].pending[dec.change] = now.Add(p.runner.options.LoadTimeout)
 	}
-	p.outcome(dec, engine.Order{}, "no_weights", err)
+	p.logOutcome(dec, engine.Order{}, "no_weights", err)
 	return false
 }
 
-// outcome writes the log line of a decision that was acted upon.
-func (p *pool) outcome(dec decision, order engine.Order, result string, err error) {
+// logOutcome counts and logs the result of a decision that was acted upon.
+func (p *pool) logOutcome(dec decision, order engine.Order, result string, err error) {
 	p.runner.metrics.orders.WithLabelValues(string(dec.change.op), result).Inc()
-	p.line(dec).Str("order", order.ID).Uint64("fence", order.Fencing).
+	p.logEvent(dec).Str("order", order.ID).Uint64("fence", order.Fencing).
 		Str("result", result).AnErr("cause", err).Msg("order " + result)
 }
 
-// hold writes the log line of a decision held back, once.
-func (p *pool) hold(dec decision) {
+// logHeld logs a decision that was held back, once per reason.
+func (p *pool) logHeld(dec decision) {
 	key := dec.key()
-	if p.held[key] == dec.reason {
+	if p.loggedHolds[key] == dec.reason {
 		return
 	}
-	p.held[key] = dec.reason
-	p.line(dec).Msg("order held back")
+	p.loggedHolds[key] = dec.reason
+	p.logEvent(dec).Msg("order held back")
 }
 
-// forget drops the decisions held back that are not pending any more.
-func (p *pool) forget(decisions []decision) {
-	still := make(map[string]Reason, len(p.held))
+// pruneLoggedHolds removes the entries of decisions that are no longer held back.
+func (p *pool) pruneLoggedHolds(decisions []decision) {
+	still := make(map[string]Reason, len(p.loggedHolds))
 	for _, dec := range decisions {
-		if reason, ok := p.held[dec.key()]; ok && dec.hold {
+		if reason, ok := p.loggedHolds[dec.key()]; ok && dec.held {
 			still[dec.key()] = reason
 		}
 	}
-	p.held = still
+	p.loggedHolds = still
 }
 
-func (p *pool) line(dec decision) *zerolog.Event {
+func (p *pool) logEvent(dec decision) *zerolog.Event {
 	return p.log.Info().Str("engine", dec.target.Name).Str("op", string(dec.change.op)).
 		Str("version", dec.change.version).Str("role", dec.change.role).
 		Str("reason", string(dec.reason)).Uint64("generation", p.generation)
 }
 
-// key names a decision among those of its pool.
+// key identifies a decision among those of its pool.
 func (d decision) key() string {
 	return d.target.Name + "/" + string(d.change.op) + "/" + d.change.version + d.change.role
 }
--- a/orders/runner.go
+++ b/orders/runner.go
@@ -9,18 +9,18 @@
 	"gopkg.in/tomb.v2"
 )
 
-// KeyPrefix is the prefix of the leases in the object store and of the keys
-// given to Owner. The name of the pool follows.
+// KeyPrefix is the prefix of lease keys in the object store and of the keys
+// passed to Owner. The name of the pool follows it.
 const KeyPrefix = "orders/"
 
-// Runner keeps the engines of the pools that this daemon owns at their desired
-// state.
+// Runner reconciles the engines of the pools that this daemon owns with their
+// desired state.
 type Runner struct {
 	deps    Dependencies
 	options Options
 	metrics *metrics
-	// holder names this run of the daemon, so that a restart does not take its
-	// predecessor's lease for its own.
+	// holder identifies this run of the daemon, so that a restarted daemon does
+	// not mistake its previous run's lease for its own.
 	holder string
 
 	mu    sync.Mutex
@@ -43,11 +43,12 @@
 	}, nil
 }
 
-// Run watches over the pools until t is dying. Leases are released then.
+// Run reconciles all pools until t is dying. Each pool's goroutine, which t
+// tracks, then releases its lease.
 func (r *Runner) Run(t *tomb.Tomb) error {
 	for {
 		for _, name := range r.deps.Source.Pools() {
-			r.start(t, name)
+			r.startPool(t, name)
 		}
 		if !sleep(t, r.options.Interval) {
 			return nil
@@ -55,8 +56,8 @@
 	}
 }
 
-// start begins to watch over a pool that is not watched yet.
-func (r *Runner) start(t *tomb.Tomb, name string) {
+// startPool starts the goroutine of a pool that has none yet.
+func (r *Runner) startPool(t *tomb.Tomb, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.pools[name]; ok {
@@ -67,22 +68,22 @@
 	t.Go(func() error { return p.run(t) })
 }
 
-// stopped forgets a pool that is not in the configuration any more.
-func (r *Runner) stopped(name string) {
+// removePool removes a pool whose goroutine has ended.
+func (r *Runner) removePool(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.pools, name)
 }
 
-// pause returns the time to the next round, between half and one and a half
-// intervals, so that the daemons' calls spread out.
-func (r *Runner) pause() time.Duration {
+// roundDelay returns the time to the next round, a random value between 0.5 and
+// 1.5 intervals, so that the calls of different daemons and pools spread out.
+func (r *Runner) roundDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.options.Interval/2 + time.Duration(r.rng.Int64N(int64(r.options.Interval)+1))
 }
 
-// sleep waits and returns false when t is dying.
+// sleep waits for d and returns true, or returns false as soon as t is dying.
 func sleep(t *tomb.Tomb, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/orders/schedule_test.go
+++ b/orders/schedule_test.go
@@ -32,11 +32,11 @@
 	stepStop               // a planned stop
 	stepConfigure          // a new generation reaches one daemon
 	stepRefuse             // the store refuses calls
-	stepLose               // the store loses answers
-	stepSlow               // orders arrive late
-	stepDrop               // answers of engines get lost
-	stepHeal
-	stepReset // an engine restarts with nothing loaded
+	stepLose               // the store's answers are lost
+	stepSlow               // orders are delayed
+	stepDrop               // the engines' answers are lost
+	stepHeal               // all faults of the store and of calls end
+	stepReset              // an engine restarts with nothing loaded
 	stepKinds
 )
 
@@ -55,8 +55,8 @@
 	scheduleEngines = 2
 )
 
-// schedule runs the steps against a small fleet whose daemons all believe to
-// own the pool.
+// schedule runs the steps against a small fleet whose daemons all consider
+// themselves owners of the pool.
 type schedule struct {
 	fleet      *fleet
 	sources    []*fakeSource
@@ -111,7 +111,7 @@
 func (s *schedule) start(i int) {
 	if s.daemons[i] == nil {
 		name := fmt.Sprintf("entry-%d", i)
-		s.daemons[i] = s.fleet.daemon(name, s.fleet.store, s.sources[i], always)
+		s.daemons[i] = s.fleet.daemon(name, s.fleet.store, s.sources[i], alwaysOwner)
 	}
 }
 
@@ -142,8 +142,8 @@
 	s.fleet.engines.engines[address(0)].versions = nil
 }
 
-// finish ends all faults, gives everybody the newest configuration, and
-// returns what is wrong in the end.
+// finish ends all faults, starts all daemons with the newest configuration, and
+// returns a description of the first fault in the resulting state, or "".
 func (s *schedule) finish() string {
 	s.heal()
 	s.generation++
@@ -192,8 +192,9 @@
 	return ""
 }
 
-// TestAnyScheduleEndsInTheDesiredState draws schedules of starts, stops, lost
-// answers, outages, late orders, lagging configurations and engine restarts.
+// TestAnyScheduleEndsInTheDesiredState checks random schedules of starts, stops,
+// lost answers, outages, delayed orders, outdated configurations and engine
+// restarts.
 func TestAnyScheduleEndsInTheDesiredState(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %v", checks), func(t *testing.T) {
