--- a/quality/collector_test.go
+++ b/quality/collector_test.go
@@ -14,8 +14,8 @@
 
 var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is a model of daemons that exchange the ratings of one version. Views
-// of the owner and of the table lag by chance.
+// fleet is a model of daemons that exchange the ratings of one version. The
+// daemons' views of the owner and of the table may be outdated.
 type fleet struct {
 	daemons  []*daemon
 	owner    int
@@ -23,16 +23,16 @@
 	value    []byte
 	now      time.Time
 	rated    float64
-	// givenUp are ratings whose report got no answer before the owner changed.
-	givenUp float64
-	// conflict is set once a daemon published without knowing the newest entry.
+	// dropped counts ratings whose report got no answer before the owner changed.
+	dropped float64
+	// conflict is set when a daemon publishes without knowing the newest entry.
 	conflict bool
 }
 
 type daemon struct {
 	name      string
 	collector *collector
-	owner     int // as this daemon sees it
+	owner     int // index of the owner in this daemon's view
 }
 
 func newFleet(n int) *fleet {
@@ -57,7 +57,7 @@
 	f.rated++
 }
 
-// Outcomes of a report on its way.
+// Outcomes of an attempt to deliver a report.
 const (
 	delivered = iota
 	answerLost
@@ -68,12 +68,12 @@
 func (f *fleet) report(d *daemon, outcome int) {
 	owner := f.daemons[d.owner]
 	for _, r := range d.collector.reports {
-		if !r.answered && r.uncertain && r.owner != owner.name {
-			f.givenUp += r.counts[0].Weight
+		if !r.answered && r.mayBeMerged && r.owner != owner.name {
+			f.dropped += r.counts[0].Weight
 		}
 	}
 	if owner == d {
-		d.collector.collect(d.name)
+		d.collector.collectOwn(d.name)
 		return
 	}
 	r := d.collector.next(owner.name)
@@ -81,20 +81,20 @@
 		return
 	}
 	if outcome == connectFailed || f.daemons[owner.owner] != owner {
-		d.collector.refused(r)
+		d.collector.onNotMerged(r)
 		return
 	}
 	if outcome == requestLost {
-		d.collector.lost(r)
+		d.collector.onNoAnswer(r)
 		return
 	}
 	request := &bronzeturnv1.ReportRequest{Origin: d.name, Incarnation: 1, Sequence: r.sequence, Promises: r.promises}
 	promise, _ := owner.collector.merge(request, r.counts)
 	if outcome == answerLost {
-		d.collector.lost(r)
+		d.collector.onNoAnswer(r)
 		return
 	}
-	d.collector.answered(r, promise)
+	d.collector.onAnswer(r, promise)
 }
 
 func (f *fleet) publish(d *daemon) {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *fleet) hear(d *daemon) {
+func (f *fleet) receive(d *daemon) {
 	if _, err := d.collector.receive(f.revision, f.value, f.now); err != nil {
 		panic(err)
 	}
@@ -127,16 +127,16 @@
 
 func (f *fleet) index(d *daemon) int { return slices.Index(f.daemons, d) }
 
-// settle lets all daemons agree and exchange without faults.
+// settle gives all daemons the same owner and lets them exchange without faults.
 func (f *fleet) settle() {
 	for range 6 {
 		for _, d := range f.daemons {
 			d.owner = f.owner
-			f.hear(d)
+			f.receive(d)
 		}
 		for _, d := range f.daemons {
 			f.report(d, delivered)
-			for d.owner != f.index(d) && d.collector.unanswered() != nil {
+			for d.owner != f.index(d) && d.collector.nextUnanswered() != nil {
 				f.report(d, delivered)
 			}
 		}
@@ -144,13 +144,13 @@
 		f.publish(f.daemons[f.owner])
 	}
 	for _, d := range f.daemons {
-		f.hear(d)
+		f.receive(d)
 	}
 }
 
-// Property: whatever is lost, delayed or taken over, no rating is counted
-// twice. While no two daemons publish at odds, only reports without an answer
-// are ever missing.
+// Property: under any losses, delays and changes of the owner, no rating is
+// counted twice. Unless daemons publish concurrently, only ratings in unanswered
+// reports are lost.
 func TestEveryRatingIsCountedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(4)
@@ -166,7 +166,7 @@
 			case 4:
 				f.publish(d)
 			case 5:
-				f.hear(d)
+				f.receive(d)
 			case 6:
 				if rapid.Bool().Draw(t, "elect") {
 					f.owner = pick.Draw(t, "owner")
@@ -176,13 +176,13 @@
 		}
 		f.settle()
 		got := f.published()
-		if got > f.rated+0.01 || !f.conflict && got < f.rated-f.givenUp-0.01 {
-			t.Fatalf("published %v of %v ratings, %v given up", got, f.rated, f.givenUp)
+		if got > f.rated+0.01 || !f.conflict && got < f.rated-f.dropped-0.01 {
+			t.Fatalf("published %v of %v ratings, %v dropped", got, f.rated, f.dropped)
 		}
 		for _, d := range f.daemons {
 			local := d.collector.store.Estimate("v", "quick", f.now).Weight
-			if d.collector.unanswered() == nil && math.Abs(local-got) > 0.1 {
-				t.Fatalf("%s sees %v ratings, published are %v", d.name, local, got)
+			if d.collector.nextUnanswered() == nil && math.Abs(local-got) > 0.1 {
+				t.Fatalf("%s has %v ratings, %v are published", d.name, local, got)
 			}
 		}
 	})
@@ -216,8 +216,9 @@
 	}
 }
 
-// A daemon that heard of a lost promise too early resends its report to a
-// successor that already builds on the promised publication.
+// Guards against counting a report twice: a daemon that wrongly takes a promise
+// for lost resends its report to a successor whose evidence already includes the
+// promised publication.
 func TestResentReportIsNotMergedWhereItIsPublished(t *testing.T) {
 	f := newFleet(3)
 	first, successor, origin := f.daemons[0], f.daemons[1], f.daemons[2]
@@ -225,10 +226,10 @@
 	f.report(origin, delivered)
 	f.now = f.now.Add(time.Millisecond)
 	f.publish(first)
-	f.hear(successor)
+	f.receive(successor)
 
-	// A publication by a fourth daemon, which the others never hear of.
-	stray, err := encode(nil, succeed(nil, &bronzeturnv1.Publisher{Aggregator: 9, Publication: 1}))
+	// A publication by a fourth daemon that only origin receives.
+	stray, err := encode(nil, prependPublisher(nil, &bronzeturnv1.Publisher{Aggregator: 9, Publication: 1}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -256,8 +257,8 @@
 	}
 }
 
-// The bound on what the exchange adds to the flooded table: 36 versions with 8
-// kinds, half of them with cascade, published every half minute.
+// Bounds the traffic that the exchange adds to the flooded table: 36 versions with
+// 8 kinds, half of them with a cascade, published every 30 s.
 func TestPublicationBytesAreBounded(t *testing.T) {
 	all := make(map[key]moments)
 	for i := range 8 {
@@ -265,11 +266,11 @@
 			all[key{"v", fmt.Sprintf("some-kind-%d", i), accepted}] = moments{sum: 900.5, weight: 1000.25}
 		}
 	}
-	var line []*bronzeturnv1.Publisher
+	var publishers []*bronzeturnv1.Publisher
 	for i := range uint64(maxPublishers + 1) {
-		line = succeed(line, &bronzeturnv1.Publisher{Aggregator: 1<<60 + i, Publication: 100})
+		publishers = prependPublisher(publishers, &bronzeturnv1.Publisher{Aggregator: 1<<60 + i, Publication: 100})
 	}
-	value, err := encode(all, line)
+	value, err := encode(all, publishers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/quality/estimate.go
+++ b/quality/estimate.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Estimate is a belief about the mean quality of a version for one task kind.
+// Estimate is the estimated mean quality of a version for one task kind.
 type Estimate struct {
 	// Mean is the expected score, 0 to 1.
 	Mean float64
 	// Lower and Upper bound the credible interval, 0 to 1.
 	Lower, Upper float64
-	// Weight is the number of discounted ratings behind the estimate, without
-	// the prior.
+	// Weight is the discounted number of ratings behind the estimate, not
+	// counting the prior.
 	Weight float64
 }
 
-// Resolution of the packed fields.
+// Resolution of the 16-bit fields of a packed Estimate.
 const (
 	fieldMax    = 1<<16 - 1
 	fieldUnit   = 1.0 / fieldMax
@@ -38,15 +38,15 @@
 	m.weight *= f
 }
 
-// limit forgets older evidence in proportion, down to the weight max.
+// limit scales the evidence down to the weight max if it exceeds it.
 func (m *moments) limit(max float64) {
 	if m.weight > max {
 		m.scale(max / m.weight)
 	}
 }
 
-// estimate returns the posterior of a Beta prior after the evidence m, with
-// the interval of its normal approximation.
+// estimate returns the posterior of a Beta prior after the evidence m, with the
+// credible interval from its normal approximation.
 func estimate(m moments, prior float64, o *Options) Estimate {
 	n := m.weight + o.PriorWeight
 	mean := clamp((m.sum + prior*o.PriorWeight) / n)
@@ -56,7 +56,7 @@
 
 func pack(e Estimate) uint64 {
 	w := math.Min(e.Weight*weightScale, fieldMax)
-	return field(e.Mean) | field(e.Lower)<<16 | field(e.Upper)<<32 | uint64(w)<<48
+	return packField(e.Mean) | packField(e.Lower)<<16 | packField(e.Upper)<<32 | uint64(w)<<48
 }
 
 func unpack(w uint64) Estimate {
@@ -68,6 +68,6 @@
 	}
 }
 
-func field(x float64) uint64 { return uint64(math.Round(x * fieldMax)) }
+func packField(x float64) uint64 { return uint64(math.Round(x * fieldMax)) }
 
 func clamp(x float64) float64 { return math.Min(1, math.Max(0, x)) }
--- a/quality/evidence.go
+++ b/quality/evidence.go
@@ -2,37 +2,38 @@
 
 import "math"
 
-// negligibleWeight is the evidence, in ratings, below which an organisation's
-// record is dropped.
+// negligibleWeight is the weight, in ratings, below which evidence is dropped or
+// not published.
 const negligibleWeight = 1e-3
 
-// evidence holds the ratings of each organisation for one cell, in the order
-// of their first ratings, so that sums come out the same in every run.
+// evidence holds the ratings of each organisation for one cell, in the order of
+// their first ratings, so that floating-point sums are reproducible.
 type evidence struct {
 	records []record
 	index   map[string]int
 }
 
-// record is what one organisation contributed.
+// record holds the ratings of one organisation.
 type record struct {
 	organisation string
-	// fresh came to this daemon and was not handed over yet.
-	fresh moments
-	// sent came to this daemon and was handed over, but is in no publication yet.
+	// unsent ratings arrived at this daemon and are in no report yet.
+	unsent moments
+	// sent ratings arrived at this daemon and are in a report, but in no known
+	// publication yet.
 	sent moments
-	// merged was collected by this daemon as the aggregator of the version.
+	// merged ratings were collected by this daemon as the aggregator of the version.
 	merged moments
 }
 
 func (r *record) total() moments {
-	m := r.fresh
+	m := r.unsent
 	m.add(r.sent)
 	m.add(r.merged)
 	return m
 }
 
-// of returns the record of an organisation, created at first use.
-func (e *evidence) of(organisation string) *record {
+// recordOf returns the record of an organisation, creating it on first use.
+func (e *evidence) recordOf(organisation string) *record {
 	i, ok := e.index[organisation]
 	if !ok {
 		if e.index == nil {
@@ -45,12 +46,12 @@
 	return &e.records[i]
 }
 
-// scale discounts all evidence by the factor f and drops what became negligible.
+// scale multiplies all evidence by f and drops records of negligible weight.
 func (e *evidence) scale(f float64) {
 	kept := e.records[:0]
 	clear(e.index)
 	for _, r := range e.records {
-		r.fresh.scale(f)
+		r.unsent.scale(f)
 		r.sent.scale(f)
 		r.merged.scale(f)
 		if r.total().weight < negligibleWeight {
@@ -71,16 +72,16 @@
 	return sum
 }
 
-// mostInfluential returns the evidence of the organisation that pulls furthest
-// away from mean, up or down.
+// mostInfluential returns the evidence of the organisation that shifts the
+// estimate furthest from mean in either direction.
 func (e *evidence) mostInfluential(mean float64) moments {
-	var worst moments
+	var most moments
 	pull := 0.0
 	for i := range e.records {
 		m := e.records[i].total()
 		if p := math.Abs(m.sum - mean*m.weight); p > pull {
-			worst, pull = m, p
+			most, pull = m, p
 		}
 	}
-	return worst
+	return most
 }
--- a/quality/exchange.go
+++ b/quality/exchange.go
@@ -19,7 +19,7 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// TablePrefix begins the keys of published estimates in the flooded table.
+// TablePrefix is the prefix of the keys of publications in the flooded table.
 const TablePrefix = "quality/"
 
 // Defaults of ExchangeOptions.
@@ -30,18 +30,19 @@
 	DefaultReportTimeout   = time.Second
 )
 
-// maxReportCounts bounds the counts of one report.
+// maxReportCounts bounds the number of counts in an accepted report.
 const maxReportCounts = 4096
 
-// Table is the flooded table between daemons; the higher version wins.
+// Table is the key-value table that daemons replicate by flooding. Of two entries
+// for a key, the one with the higher version wins.
 type Table interface {
 	Publish(key string, version uint64, value []byte) error
-	// Subscribe calls f with all present and future entries under a prefix. An
+	// Subscribe calls f with all current and future entries under a prefix. An
 	// empty value means that there is no entry.
 	Subscribe(prefix string, f func(key string, version uint64, value []byte))
 }
 
-// Owners names the preferred aggregator of a key among the live daemons.
+// Owners selects the preferred aggregator of a key among the live daemons.
 type Owners interface {
 	Owner(key string) (name string, self bool)
 }
@@ -53,23 +54,23 @@
 
 // ExchangeOptions configure an Exchange. Zero durations take the defaults.
 type ExchangeOptions struct {
-	// Name of this daemon.
+	// Name is the name of this daemon.
 	Name string
-	// Incarnation differs between two runs of this daemon.
+	// Incarnation differs between any two runs of this daemon.
 	Incarnation uint64
 	Store       *Store
 	Table       Table
 	Owners      Owners
 	Dialer      Dialer
-	// OnMerged is called with the ratings that this daemon merges as an
-	// aggregator. It may be nil.
+	// OnMerged, if not nil, is called with the ratings that this daemon merges as
+	// an aggregator.
 	OnMerged func(c Counts, now time.Time)
 	// ReportInterval is the time between two reports on a version.
 	ReportInterval time.Duration
 	// PublishInterval is the time between two publications of a version.
 	PublishInterval time.Duration
-	// SettleTime is how long after its start the daemon does not act as an
-	// aggregator, so that it has heard the published estimates before.
+	// SettleTime is the time after NewExchange during which the daemon does not
+	// act as an aggregator, so that it receives the existing publications first.
 	SettleTime time.Duration
 	// ReportTimeout bounds one call to an aggregator.
 	ReportTimeout time.Duration
@@ -97,13 +98,14 @@
 	return o
 }
 
-// Exchange shares ratings among daemons: each version has one aggregator, the
-// others report their counts to it, and it publishes merged estimates in the
-// flooded table. It implements bronzeturnv1connect.QualityServiceHandler.
+// Exchange shares ratings among daemons. Each version has one aggregator. The
+// other daemons report their counts to it, and it publishes the merged evidence
+// in the flooded table. Exchange implements
+// bronzeturnv1connect.QualityServiceHandler.
 type Exchange struct {
-	options ExchangeOptions
-	tomb    tomb.Tomb
-	ready   time.Time
+	options       ExchangeOptions
+	tomb          tomb.Tomb
+	aggregateFrom time.Time
 
 	mu         sync.Mutex
 	collectors map[string]*collector
@@ -111,41 +113,42 @@
 
 var _ bronzeturnv1connect.QualityServiceHandler = (*Exchange)(nil)
 
-// NewExchange returns an Exchange, which Start sets going.
+// NewExchange returns an Exchange. Call Start to start its background work.
 func NewExchange(o ExchangeOptions) *Exchange {
 	o = o.withDefaults()
 	return &Exchange{
-		options:    o,
-		ready:      time.Now().Add(o.SettleTime),
-		collectors: make(map[string]*collector),
+		options:       o,
+		aggregateFrom: time.Now().Add(o.SettleTime),
+		collectors:    make(map[string]*collector),
 	}
 }
 
-// Handler returns the path and the handler of the service towards other daemons.
+// Handler returns the path and the handler of the service for other daemons.
 func (x *Exchange) Handler(options ...connect.HandlerOption) (path string, handler http.Handler) {
 	return bronzeturnv1connect.NewQualityServiceHandler(x, options...)
 }
 
-// Start subscribes to the table and begins to report and publish.
+// Start subscribes to the table and starts to report and publish periodically.
 func (x *Exchange) Start() {
-	x.options.Table.Subscribe(TablePrefix, x.receive)
-	x.tomb.Go(func() error { return x.every(x.options.ReportInterval, x.report) })
-	x.tomb.Go(func() error { return x.every(x.options.PublishInterval, x.publish) })
+	x.options.Table.Subscribe(TablePrefix, x.onTableEntry)
+	x.tomb.Go(func() error { return x.runEvery(x.options.ReportInterval, x.reportAll) })
+	x.tomb.Go(func() error { return x.runEvery(x.options.PublishInterval, x.publishAll) })
 }
 
-// Stop hands over what is left and waits until all work has ended.
+// Stop stops the background work, waits for it, and then reports and publishes
+// once more.
 func (x *Exchange) Stop() error {
 	x.tomb.Kill(nil)
 	err := x.tomb.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), x.options.ReportTimeout)
 	defer cancel()
-	x.report(ctx)
-	x.publish(ctx)
+	x.reportAll(ctx)
+	x.publishAll(ctx)
 	return err
 }
 
-// AddRating is the event of one rating: it counts at once in the local estimate,
-// and is reported to the aggregator.
+// AddRating adds a rating to the local estimate immediately; the next report
+// sends it to the aggregator.
 func (x *Exchange) AddRating(e Rating) error {
 	if err := x.options.Store.AddRating(e); err != nil {
 		return err
@@ -154,7 +157,7 @@
 	return nil
 }
 
-func (x *Exchange) every(interval time.Duration, f func(context.Context)) error {
+func (x *Exchange) runEvery(interval time.Duration, f func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -167,10 +170,10 @@
 	}
 }
 
-// report hands the fresh ratings of all versions over.
-func (x *Exchange) report(ctx context.Context) {
+// reportAll sends the reports of all versions to their aggregators.
+func (x *Exchange) reportAll(ctx context.Context) {
 	var group sync.WaitGroup
-	for _, c := range x.all() {
+	for _, c := range x.sortedCollectors() {
 		group.Go(func() { x.reportVersion(ctx, c) })
 	}
 	group.Wait()
@@ -179,8 +182,8 @@
 func (x *Exchange) reportVersion(ctx context.Context, c *collector) {
 	owner, self := x.options.Owners.Owner(TablePrefix + c.version)
 	if self {
-		if x.settled() {
-			x.judge(c.collect(owner))
+		if x.mayAggregate() {
+			x.notifyMerged(c.collectOwn(owner))
 		}
 		return
 	}
@@ -194,32 +197,32 @@
 	}
 }
 
-// send makes one attempt and tells whether the report was answered.
+// send makes one attempt to deliver a report and reports whether it was answered.
 func (x *Exchange) send(ctx context.Context, c *collector, owner string, r *report) bool {
 	client, base, ok := x.options.Dialer.Dial(owner)
 	if !ok {
-		c.refused(r) // no address of the owner is known by now
+		c.onNotMerged(r) // the address of the owner is not known yet
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.options.ReportTimeout)
 	defer cancel()
 	service := bronzeturnv1connect.NewQualityServiceClient(client, base)
-	response, err := service.Report(ctx, connect.NewRequest(x.request(c.version, r)))
+	response, err := service.Report(ctx, connect.NewRequest(x.newRequest(c.version, r)))
 	switch {
 	case err == nil:
-		c.answered(r, &bronzeturnv1.Publisher{
+		c.onAnswer(r, &bronzeturnv1.Publisher{
 			Aggregator: response.Msg.GetAggregator(), Publication: response.Msg.GetPublication(),
 		})
-	case notRun(err):
-		c.refused(r)
+	case notExecuted(err):
+		c.onNotMerged(r)
 	default:
-		c.lost(r)
-		x.options.Log.Debug().Err(err).Str("version", c.version).Str("owner", owner).Msg("rating report unanswered")
+		c.onNoAnswer(r)
+		x.options.Log.Debug().Err(err).Str("version", c.version).Str("owner", owner).Msg("rating report not answered by the aggregator")
 	}
 	return err == nil
 }
 
-func (x *Exchange) request(version string, r *report) *bronzeturnv1.ReportRequest {
+func (x *Exchange) newRequest(version string, r *report) *bronzeturnv1.ReportRequest {
 	request := &bronzeturnv1.ReportRequest{
 		Version: version, Origin: x.options.Name, Incarnation: x.options.Incarnation, Sequence: r.sequence,
 		Promises: r.promises,
@@ -232,8 +235,8 @@
 	return request
 }
 
-// notRun tells whether a failed call was certainly not executed.
-func notRun(err error) bool {
+// notExecuted reports whether a failed call was certainly not executed.
+func notExecuted(err error) bool {
 	var unconnected interface{ ConnectFailed() bool }
 	if errors.As(err, &unconnected) && unconnected.ConnectFailed() {
 		return true
@@ -241,13 +244,13 @@
 	return connect.CodeOf(err) == connect.CodeFailedPrecondition
 }
 
-// publish writes the merged estimates of the versions that this daemon
-// aggregates to the table.
-func (x *Exchange) publish(context.Context) {
-	if !x.settled() {
+// publishAll publishes the merged evidence of the versions that this daemon
+// aggregates.
+func (x *Exchange) publishAll(context.Context) {
+	if !x.mayAggregate() {
 		return
 	}
-	for _, c := range x.all() {
+	for _, c := range x.sortedCollectors() {
 		if _, self := x.options.Owners.Owner(TablePrefix + c.version); self {
 			x.publishVersion(c)
 		}
@@ -260,42 +263,42 @@
 		err = x.options.Table.Publish(TablePrefix+c.version, revision, value)
 	}
 	if err != nil {
-		x.options.Log.Warn().Err(err).Str("version", c.version).Msg("estimate not published")
+		x.options.Log.Warn().Err(err).Str("version", c.version).Msg("quality estimate not published")
 	}
 }
 
-// receive takes over a table entry.
-func (x *Exchange) receive(key string, revision uint64, value []byte) {
+// onTableEntry processes a table entry. It ignores empty entries and foreign keys.
+func (x *Exchange) onTableEntry(key string, revision uint64, value []byte) {
 	version, ok := strings.CutPrefix(key, TablePrefix)
 	if !ok || version == "" || len(value) == 0 {
 		return
 	}
 	if _, err := x.collector(version).receive(revision, value, time.Now()); err != nil {
-		x.options.Log.Warn().Err(err).Str("version", version).Msg("published estimate unreadable")
+		x.options.Log.Warn().Err(err).Str("version", version).Msg("published quality estimate cannot be decoded")
 	}
 }
 
 // Report implements bronzeturnv1connect.QualityServiceHandler.
 func (x *Exchange) Report(_ context.Context, r *connect.Request[bronzeturnv1.ReportRequest]) (*connect.Response[bronzeturnv1.ReportResponse], error) {
-	counts, err := countsOf(r.Msg)
+	counts, err := parseCounts(r.Msg)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	if _, self := x.options.Owners.Owner(TablePrefix + r.Msg.GetVersion()); !self || !x.settled() {
+	if _, self := x.options.Owners.Owner(TablePrefix + r.Msg.GetVersion()); !self || !x.mayAggregate() {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, ErrNotAggregator)
 	}
 	c := x.collector(r.Msg.GetVersion())
 	promise, isNew := c.merge(r.Msg, counts)
 	if isNew {
-		x.judge(counts)
+		x.notifyMerged(counts)
 	}
 	return connect.NewResponse(&bronzeturnv1.ReportResponse{
 		Aggregator: promise.GetAggregator(), Publication: promise.GetPublication(),
 	}), nil
 }
 
-// countsOf validates the counts of a report.
-func countsOf(r *bronzeturnv1.ReportRequest) ([]Counts, error) {
+// parseCounts validates a report and returns its counts.
+func parseCounts(r *bronzeturnv1.ReportRequest) ([]Counts, error) {
 	if r.GetVersion() == "" || r.GetOrigin() == "" || len(r.GetCounts()) > maxReportCounts {
 		return nil, ErrReport
 	}
@@ -312,14 +315,14 @@
 	return counts, nil
 }
 
-func (x *Exchange) judge(counts []Counts) {
+func (x *Exchange) notifyMerged(counts []Counts) {
 	now := time.Now()
 	for _, n := range counts {
 		x.options.OnMerged(n, now)
 	}
 }
 
-func (x *Exchange) settled() bool { return !time.Now().Before(x.ready) }
+func (x *Exchange) mayAggregate() bool { return !time.Now().Before(x.aggregateFrom) }
 
 func (x *Exchange) collector(version string) *collector {
 	x.mu.Lock()
@@ -332,8 +335,8 @@
 	return c
 }
 
-// all returns the collectors in the order of their versions.
-func (x *Exchange) all() []*collector {
+// sortedCollectors returns the collectors, sorted by version.
+func (x *Exchange) sortedCollectors() []*collector {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	all := make([]*collector, 0, len(x.collectors))
--- a/quality/exchange_test.go
+++ b/quality/exchange_test.go
@@ -19,7 +19,8 @@
 	"github.com/bronzeturn/bronzeturn/quality"
 )
 
-// network is a flooded table, a list of owners and direct calls in one.
+// network is a fake of the flooded table, of the owners and of calls between
+// daemons.
 type network struct {
 	mu          sync.Mutex
 	owner       string
@@ -33,7 +34,7 @@
 	name     string
 	store    *quality.Store
 	exchange *quality.Exchange
-	judged   atomic.Int64
+	merged   atomic.Int64
 	down     atomic.Bool
 }
 
@@ -43,7 +44,7 @@
 		m := &member{network: n, name: name, store: newStore(false)}
 		m.exchange = quality.NewExchange(quality.ExchangeOptions{
 			Name: name, Incarnation: uint64(i), Store: m.store, Table: n, Owners: m, Dialer: n,
-			OnMerged: func(c quality.Counts, _ time.Time) { m.judged.Add(int64(c.Weight)) },
+			OnMerged: func(c quality.Counts, _ time.Time) { m.merged.Add(int64(c.Weight)) },
 			Log:      zerolog.Nop(),
 		})
 		n.daemons[name] = m
@@ -121,17 +122,17 @@
 			}
 		}
 		time.Sleep(2 * quality.DefaultReportInterval)
-		qt.Assert(t, n.daemons["a"].judged.Load(), qt.Equals, int64(180))
+		qt.Assert(t, n.daemons["a"].merged.Load(), qt.Equals, int64(180))
 		time.Sleep(quality.DefaultPublishInterval)
 		for name, m := range n.daemons {
 			near(t, m.estimate().Weight, 120, 1) // without the most influential one
 			near(t, m.estimate().Mean, (120*0.5+quality.DefaultPriorWeight*prior)/(120+quality.DefaultPriorWeight), 0.01)
-			qt.Assert(t, name == "a" || m.judged.Load() == 0, qt.IsTrue)
+			qt.Assert(t, name == "a" || m.merged.Load() == 0, qt.IsTrue)
 		}
 
 		n.daemons["a"].down.Store(true)
 		n.daemons["c"].rate(t, "o1", 0.5, 20)
-		time.Sleep(2 * quality.DefaultReportInterval) // refused by "a", kept
+		time.Sleep(2 * quality.DefaultReportInterval) // "a" refuses connections; "c" keeps the report
 		n.mu.Lock()
 		n.owner = "b"
 		n.mu.Unlock()
--- a/quality/publication.go
+++ b/quality/publication.go
@@ -8,10 +8,11 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// maxPublishers bounds the line of publishers in a publication.
+// maxPublishers bounds the list of publishers in a publication.
 const maxPublishers = 8
 
-// encode returns the table value for merged evidence.
+// encode returns the table value with the evidence of one version and the
+// publishers that contributed to it, newest first.
 func encode(all map[key]moments, publishers []*bronzeturnv1.Publisher) ([]byte, error) {
 	message := &bronzeturnv1.PublishedQuality{Publishers: publishers}
 	for k, m := range all {
@@ -25,7 +26,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
 }
 
-// decode reads a table value.
+// decode is the inverse of encode. It skips kinds with invalid evidence.
 func decode(version string, value []byte) (map[key]moments, []*bronzeturnv1.Publisher, error) {
 	message := &bronzeturnv1.PublishedQuality{}
 	if err := proto.Unmarshal(value, message); err != nil {
@@ -41,16 +42,17 @@
 	return all, message.GetPublishers(), nil
 }
 
-// valid tells whether m can be the evidence of scores between 0 and 1.
+// valid reports whether m can be a sum of scores between 0 and 1.
 func (m moments) valid() bool {
 	const rounding = 1e-3
 	return m.sum >= 0 && m.weight >= 0 && m.sum <= m.weight*(1+rounding)+rounding && m.weight < 1e9
 }
 
-// succeed returns the line of publishers headed by a new publication.
-func succeed(line []*bronzeturnv1.Publisher, head *bronzeturnv1.Publisher) []*bronzeturnv1.Publisher {
+// prependPublisher returns the list of publishers for a new publication by head,
+// with at most one entry per aggregator.
+func prependPublisher(publishers []*bronzeturnv1.Publisher, head *bronzeturnv1.Publisher) []*bronzeturnv1.Publisher {
 	next := []*bronzeturnv1.Publisher{head}
-	for _, p := range line {
+	for _, p := range publishers {
 		if p.GetAggregator() != head.GetAggregator() && len(next) < maxPublishers {
 			next = append(next, p)
 		}
@@ -58,18 +60,20 @@
 	return next
 }
 
-// includes tells whether the line builds on a publication. What is too far back
-// to be told counts as built upon, so that nothing is counted twice.
-func includes(line []*bronzeturnv1.Publisher, promise *bronzeturnv1.Publisher) bool {
-	for _, p := range line {
+// buildsOn reports whether a publication with these publishers includes the
+// promised one. If the list is full, an aggregator that is missing from it may
+// have been cut off; its publications then count as included, so that no rating
+// is counted twice.
+func buildsOn(publishers []*bronzeturnv1.Publisher, promise *bronzeturnv1.Publisher) bool {
+	for _, p := range publishers {
 		if p.GetAggregator() == promise.GetAggregator() {
 			return p.GetPublication() >= promise.GetPublication()
 		}
 	}
-	return len(line) >= maxPublishers
+	return len(publishers) >= maxPublishers
 }
 
-// headedBy tells whether an aggregator wrote the newest publication.
-func headedBy(line []*bronzeturnv1.Publisher, aggregator uint64) bool {
-	return len(line) > 0 && line[0].GetAggregator() == aggregator
+// lastPublishedBy reports whether the aggregator wrote the newest publication.
+func lastPublishedBy(publishers []*bronzeturnv1.Publisher, aggregator uint64) bool {
+	return len(publishers) > 0 && publishers[0].GetAggregator() == aggregator
 }
--- a/quality/quality.go
+++ b/quality/quality.go
@@ -1,11 +1,11 @@
-// Package quality keeps estimates, with their uncertainty, of how good the
-// answers of a version are for each task kind.
+// Package quality estimates the quality of a version's answers for each task
+// kind, with credible intervals.
 //
-// An estimate starts from the prior of the register, weighs ratings as
-// fractional successes of a Beta distribution and discounts them over time.
-// The organisation whose ratings move an estimate most is left out of it, so
-// that no organisation can spoil, or praise, a version for others by its
-// ratings alone. The decision code reads one atomic word per estimate.
+// An estimate starts from the prior in the register, counts ratings as
+// fractional successes of a Beta distribution and discounts them over time. The
+// organisation whose ratings influence an estimate most is excluded from it, so
+// that no single organisation can lower or raise a version's estimate for the
+// others. Request routing reads one atomic word per estimate.
 package quality
 
 import (
@@ -24,21 +24,23 @@
 	DefaultShards      = 32
 )
 
-// Options tune a Store. Zero fields take the defaults above.
+// Options configure a Store. Zero fields take the defaults above.
 type Options struct {
-	// PriorWeight is the number of ratings that the prior counts for.
+	// PriorWeight is the weight of the prior, as a number of ratings.
 	PriorWeight float64
-	// MaxWeight bounds the ratings remembered by one organisation in one cell;
-	// older ones are forgotten in proportion.
+	// MaxWeight bounds the weight of one organisation's ratings in a cell,
+	// separately for unsent and for merged ones. Above it, they are scaled down
+	// in proportion.
 	MaxWeight float64
-	// MaxTotal bounds the ratings remembered by one cell in the same way.
+	// MaxTotal bounds the total weight of all ratings in a cell: above it, they
+	// are scaled down by a tenth.
 	MaxTotal float64
 	// HalfLife is the time in which a rating loses half of its weight.
 	HalfLife time.Duration
 	// Z is the distance of Lower and Upper from the mean in standard
 	// deviations. The default 0.84 makes Lower the 20% quantile.
 	Z float64
-	// Shards is the number of locks over which cells are spread.
+	// Shards is the number of separately locked maps that hold the cells.
 	Shards int
 }
 
@@ -64,7 +66,7 @@
 	return o
 }
 
-// Validate reports options that make no estimate possible.
+// Validate returns an ErrOptions error if an option is out of bounds.
 func (o Options) Validate() error {
 	o = o.withDefaults()
 	if !(o.PriorWeight > 0) || !(o.MaxWeight > 0) || !(o.MaxTotal > 0) || !(o.Z > 0) || o.HalfLife < 0 || o.Shards < 0 {
@@ -73,28 +75,28 @@
 	return nil
 }
 
-// Rating is the event that the rating service rated one answer.
+// Rating is the rating of one answer by the rating service.
 type Rating struct {
 	Organisation string
 	Version      string
 	Kind         string
 	// Accepted is true for an answer of the first step of a cascade that passed
-	// the check. Such answers have an estimate of their own.
+	// the check. Such answers have a separate estimate.
 	Accepted bool
 	// Score is the quality of the answer, 0 to 1.
 	Score float64
-	// At is when the rating arrived.
+	// At is the time at which the rating arrived.
 	At time.Time
 }
 
-// CompletedAnswer is the event that a version answered a request in full.
+// CompletedAnswer records that a version answered a request completely.
 type CompletedAnswer struct {
 	Version          string
 	Kind             string
 	CompletionTokens int64
 }
 
-// CheckResult is the event that the first answer of a cascade was checked.
+// CheckResult is the result of checking the answer of a cascade's first step.
 type CheckResult struct {
 	Version string
 	Kind    string
@@ -102,13 +104,14 @@
 	Flagged bool
 }
 
-// Counts are ratings of one organisation, summed up.
+// Counts are the summed ratings of one organisation for one cell.
 type Counts struct {
 	Organisation string
 	Version      string
 	Kind         string
 	Accepted     bool
-	// Sum is the sum of Weight scores.
+	// Sum is the sum of the scores, Weight the number of ratings, both
+	// discounted.
 	Sum, Weight float64
 }
 
@@ -128,8 +131,7 @@
 	cells map[key]*Cell
 }
 
-// NewStore returns an empty Store. It panics when the options are invalid,
-// which Options.Validate reports beforehand.
+// NewStore returns an empty Store. It panics if Options.Validate fails.
 func NewStore(o Options) *Store {
 	if err := o.Validate(); err != nil {
 		panic(err)
@@ -142,27 +144,27 @@
 	return s
 }
 
-// AddRating adds a rating. Invalid scores are refused with ErrScore.
+// AddRating adds a rating. It returns ErrScore for a score outside 0 to 1.
 func (s *Store) AddRating(e Rating) error {
 	if !(e.Score >= 0 && e.Score <= 1) {
 		return fmt.Errorf("%w: %v", ErrScore, e.Score)
 	}
-	s.cell(key{e.Version, e.Kind, e.Accepted}).observe(e)
+	s.cell(key{e.Version, e.Kind, e.Accepted}).addRating(e)
 	return nil
 }
 
-// AddAnswer adds the length of an answer to the expected length.
+// AddAnswer updates the expected answer length.
 func (s *Store) AddAnswer(e CompletedAnswer) {
-	s.Cell(e.Version, e.Kind).answered(e.CompletionTokens)
+	s.Cell(e.Version, e.Kind).addAnswer(e.CompletionTokens)
 }
 
-// AddCheck adds the result of a check to the share of flagged answers.
+// AddCheck updates the share of flagged answers.
 func (s *Store) AddCheck(e CheckResult) {
-	s.AcceptedCell(e.Version, e.Kind).checked(e.Flagged)
+	s.AcceptedCell(e.Version, e.Kind).addCheck(e.Flagged)
 }
 
-// Estimate returns the estimate of a version for a kind. A pair without a cell
-// gets the estimate of an uninformed prior.
+// Estimate returns the estimate of a version for a kind. Without a cell, it is
+// that of the uninformed prior.
 func (s *Store) Estimate(version, kind string, now time.Time) Estimate {
 	k := key{version, kind, false}
 	h := s.shard(k)
@@ -175,14 +177,14 @@
 	return c.Estimate(now)
 }
 
-// Cell returns the cell of a version and a kind, and creates it at first use.
-// Hot paths keep the cell and spare the look-up.
+// Cell returns the cell of a version and a kind, creating it on first use. Hot
+// paths keep the returned cell to avoid the look-up.
 func (s *Store) Cell(version, kind string) *Cell {
 	return s.cell(key{version, kind, false})
 }
 
 // AcceptedCell returns the cell of the answers of a version that passed the check
-// of a cascade, and creates it at first use.
+// of a cascade, creating it on first use.
 func (s *Store) AcceptedCell(version, kind string) *Cell {
 	return s.cell(key{version, kind, true})
 }
--- a/quality/quality_test.go
+++ b/quality/quality_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// rate adds n ratings with the given mean, which alternate between 0 and 1.
+// rate adds n ratings of 0 or 1, drawn at random with the given mean.
 func rate(t testing.TB, s *quality.Store, organisation string, mean float64, n int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -65,7 +65,7 @@
 	qt.Assert(t, e.Upper-e.Lower < 0.06, qt.IsTrue)
 }
 
-func TestOneOrganisationCannotSpoilAVersion(t *testing.T) {
+func TestOneOrganisationCannotMoveAnEstimateAlone(t *testing.T) {
 	t.Run("alone", func(t *testing.T) {
 		s := newStore(false)
 		rate(t, s, "hostile", 0, 1000)
@@ -87,20 +87,20 @@
 	})
 }
 
-func TestTwoOrganisationsThatAgreeAreHeard(t *testing.T) {
+func TestTwoOrganisationsThatAgreeMoveTheEstimate(t *testing.T) {
 	s := newStore(false)
 	rate(t, s, "a", 0.2, 100)
 	rate(t, s, "b", 0.2, 100)
 	qt.Assert(t, s.Estimate("v", "quick", start).Upper < 0.5, qt.IsTrue)
 }
 
-func TestSoleUserIsHeard(t *testing.T) {
+func TestSoleUserMovesTheEstimate(t *testing.T) {
 	s := newStore(true)
 	rate(t, s, "a", 0.2, 100)
 	qt.Assert(t, s.Estimate("v", "quick", start).Upper < 0.5, qt.IsTrue)
 }
 
-func TestSilenceReturnsToThePrior(t *testing.T) {
+func TestEstimateReturnsToThePriorWithoutRatings(t *testing.T) {
 	s := newStore(true)
 	rate(t, s, "a", 0.2, 100)
 	at := func(age time.Duration) quality.Estimate { return s.Estimate("v", "quick", start.Add(age)) }
@@ -157,9 +157,11 @@
 	qt.Assert(t, allocs, qt.Equals, 0.0)
 }
 
-// TestHostileOrganisationChangesNothingAmongOthersThatAgree holds for any
-// number of ratings: the pull of the hostile one equals the pulls of all others
-// together, so it is the one that is left out.
+// TestHostileOrganisationChangesNothingAmongOthersThatAgree guards against a
+// single organisation that shifts an estimate. The others all rate at the prior,
+// so the shift of the mean is due to the hostile one alone, whose influence equals
+// that of all others together; it is therefore the one excluded, for any number of
+// ratings.
 func TestHostileOrganisationChangesNothingAmongOthersThatAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore(false)
