--- a/operator/ask.go
+++ b/operator/ask.go
@@ -10,22 +10,22 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// Faults of a daemon that gave no status.
+// Errors of a query to another daemon.
 var (
 	errNoAddress   = errors.New("address not known")
 	errWrongDaemon = errors.New("answered for another daemon")
 )
 
-// askPeers returns one status for each of the other daemons, in any order.
-func (s *Server) askPeers(ctx context.Context, engines bool) []*bronzeturnv1.DaemonStatus {
+// queryPeers returns one status for each of the other daemons, in any order.
+func (s *Server) queryPeers(ctx context.Context, engines bool) []*bronzeturnv1.DaemonStatus {
 	names := s.peers.Names()
 	answers := make([]*bronzeturnv1.DaemonStatus, len(names))
 	next := make(chan int)
 	var workers sync.WaitGroup
-	for range min(maxConcurrentAsks, len(names)) {
+	for range min(maxConcurrentQueries, len(names)) {
 		workers.Go(func() {
 			for i := range next {
-				answers[i] = s.askPeer(ctx, names[i], engines)
+				answers[i] = s.queryPeer(ctx, names[i], engines)
 			}
 		})
 	}
@@ -37,10 +37,10 @@
 	return answers
 }
 
-// askPeer returns the status of one daemon, or that it is unreachable. It
-// returns at once when ctx has ended.
-func (s *Server) askPeer(ctx context.Context, name string, engines bool) *bronzeturnv1.DaemonStatus {
-	status, err := s.fetch(ctx, name, engines)
+// queryPeer returns the status of one daemon, or a status with health unreachable
+// and the fault if the query fails. It returns immediately when ctx has ended.
+func (s *Server) queryPeer(ctx context.Context, name string, engines bool) *bronzeturnv1.DaemonStatus {
+	status, err := s.fetchStatus(ctx, name, engines)
 	if err != nil {
 		return &bronzeturnv1.DaemonStatus{
 			Name:   name,
@@ -51,7 +51,7 @@
 	return status
 }
 
-func (s *Server) fetch(ctx context.Context, name string, engines bool) (*bronzeturnv1.DaemonStatus, error) {
+func (s *Server) fetchStatus(ctx context.Context, name string, engines bool) (*bronzeturnv1.DaemonStatus, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	if !ok {
 		return nil, errNoAddress
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	client := bronzeturnv1connect.NewOperatorServiceClient(httpClient, baseURL, connect.WithReadMaxBytes(maxAnswerBytes))
 	request := &bronzeturnv1.StatusRequest{LocalOnly: true, Engines: engines}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,7 +1,7 @@
-// Package operator serves operators: the state of the fleet and what was
-// billed. An operator may ask any daemon; that daemon asks the others, a
-// bounded number at a time and for a bounded time, and reports those that do
-// not answer together with what their neighbours know about them.
+// Package operator implements the service for operators: the status of the fleet
+// and billing totals. An operator may query any daemon. That daemon queries the
+// others, with bounded concurrency and within a bounded time, and reports those
+// that do not answer together with what their neighbours know about them.
 package operator
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1/bronzeturnv1connect"
 )
 
-// Bounds of the questions to other daemons.
+// Limits of status queries.
 const (
-	// maxConcurrentAsks is the number of daemons asked at the same time.
-	maxConcurrentAsks = 32
-	// askTimeout bounds the question to one daemon.
-	askTimeout = time.Second
-	// fleetTimeout bounds a whole answer, however many daemons are silent.
+	// maxConcurrentQueries is the number of daemons queried at the same time.
+	maxConcurrentQueries = 32
+	// queryTimeout bounds the query to one daemon.
+	queryTimeout = time.Second
+	// fleetTimeout bounds the queries to all daemons, however many do not answer.
 	fleetTimeout = 5 * time.Second
 	// maxAnswerBytes bounds the answer of one daemon.
 	maxAnswerBytes = 1 << 20
-	// maxRequestBytes bounds a request of an operator.
+	// maxRequestBytes bounds a request from an operator or a peer.
 	maxRequestBytes = 64 << 10
 )
 
-// StatusSource tells the state of this daemon.
+// StatusSource provides the status of this daemon.
 type StatusSource interface {
-	// Status returns a new message that the caller may change. Engines are left
-	// out unless asked for. It must not block.
+	// Status returns a new message that the caller may modify. It includes
+	// engines only if requested. It must not block.
 	Status(engines bool) *bronzeturnv1.DaemonStatus
 }
 
 // Peers are the other daemons of the fleet.
 type Peers interface {
-	// Names returns the names of the other daemons known, leaving ones included.
+	// Names returns the names of the other known daemons, including leaving ones.
 	Names() []string
 	// Dial returns a client and the base URL of the named daemon, or false when
 	// its address is not known. It must not block.
@@ -46,8 +46,8 @@
 
 // Bills reads the ledger.
 type Bills interface {
-	// Totals returns the sums over the whole fleet that the request asks for. It
-	// fails rather than leave out a part.
+	// Totals returns the requested totals over the whole fleet. It fails rather
+	// than return incomplete totals.
 	Totals(ctx context.Context, request *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error)
 }
 
@@ -58,13 +58,13 @@
 	bills  Bills
 }
 
-// NewServer returns a Server over the parts of a daemon.
+// NewServer returns a Server that reports from the given sources.
 func NewServer(status StatusSource, peers Peers, bills Bills) *Server {
 	return &Server{status: status, peers: peers, bills: bills}
 }
 
 // Handler returns the path and the handler to serve, on the operators' listener
-// and on the one for peers. Authentication is the listener's.
+// and on the one for peers. The listener does the authentication.
 func (s *Server) Handler() (string, http.Handler) {
 	return bronzeturnv1connect.NewOperatorServiceHandler(s, connect.WithReadMaxBytes(maxRequestBytes))
 }
@@ -75,7 +75,7 @@
 	if !request.Msg.GetLocalOnly() {
 		ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 		defer cancel()
-		daemons = append(daemons, s.askPeers(ctx, request.Msg.GetEngines())...)
+		daemons = append(daemons, s.queryPeers(ctx, request.Msg.GetEngines())...)
 	}
 	return connect.NewResponse(summarise(daemons)), nil
 }
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -24,13 +24,13 @@
 	unreachable = bronzeturnv1.DaemonHealth_DAEMON_HEALTH_UNREACHABLE
 )
 
-// daemon is a fake of one daemon and of the way to it.
+// daemon is a fake of one daemon and of the HTTP client that reaches it.
 type daemon struct {
 	status *bronzeturnv1.DaemonStatus
 	fleet  *fleet
-	// silent keeps questions waiting for ever.
+	// silent leaves requests unanswered.
 	silent bool
-	// noAddress hides the address from the others.
+	// noAddress makes the daemon's address unknown to the others.
 	noAddress bool
 }
 
@@ -44,11 +44,11 @@
 
 // Do implements connect.HTTPClient on the daemon's handler.
 func (d *daemon) Do(request *http.Request) (*http.Response, error) {
-	now := d.fleet.asking.Add(1)
-	defer d.fleet.asking.Add(-1)
+	now := d.fleet.inFlight.Add(1)
+	defer d.fleet.inFlight.Add(-1)
 	for {
-		most := d.fleet.most.Load()
-		if now <= most || d.fleet.most.CompareAndSwap(most, now) {
+		most := d.fleet.maxInFlight.Load()
+		if now <= most || d.fleet.maxInFlight.CompareAndSwap(most, now) {
 			break
 		}
 	}
@@ -62,12 +62,12 @@
 	return w.Result(), nil
 }
 
-// fleet is a fake of the peers of its first daemon.
+// fleet is a fake of the peers and of the ledger of its first daemon.
 type fleet struct {
-	daemons      []*daemon
-	asking, most atomic.Int64
-	bills        []*bronzeturnv1.BillTotal
-	billsFault   error
+	daemons               []*daemon
+	inFlight, maxInFlight atomic.Int64
+	bills                 []*bronzeturnv1.BillTotal
+	billsFault            error
 }
 
 func (f *fleet) Names() []string {
@@ -91,7 +91,7 @@
 	return f.bills, f.billsFault
 }
 
-// newFleet returns n live daemons, all with generation 7.
+// newFleet returns n live daemons that all have generation 7 in force.
 func newFleet(n int) *fleet {
 	f := &fleet{}
 	for i := range n {
@@ -106,7 +106,7 @@
 	return f
 }
 
-// ask sends a request to the first daemon as an operator does.
+// ask sends a status request to the first daemon, as an operator does.
 func (f *fleet) ask(t *testing.T, request *bronzeturnv1.StatusRequest) *bronzeturnv1.StatusResponse {
 	t.Helper()
 	answer, err := NewClient(f.daemons[0], "http://first").Status(t.Context(), connect.NewRequest(request))
@@ -124,7 +124,7 @@
 		c.Check(d.GetEngines(), qt.HasLen, 1)
 	}
 	c.Check(ProgressText(answer.GetConfiguration()), qt.Equals, "in force")
-	c.Check(f.most.Load() <= maxConcurrentAsks+1, qt.IsTrue, qt.Commentf("%d questions at once", f.most.Load()))
+	c.Check(f.maxInFlight.Load() <= maxConcurrentQueries+1, qt.IsTrue, qt.Commentf("%d queries at once", f.maxInFlight.Load()))
 	local := f.ask(t, &bronzeturnv1.StatusRequest{LocalOnly: true})
 	c.Assert(local.GetDaemons(), qt.HasLen, 1)
 	c.Check(local.GetDaemons()[0].GetEngines(), qt.HasLen, 0)
@@ -138,7 +138,7 @@
 		f.daemons[1].status.Neighbours = []*bronzeturnv1.Sighting{{Observer: "h003", Name: "h002", Health: suspected}}
 		start := time.Now()
 		answer := f.ask(t, &bronzeturnv1.StatusRequest{})
-		c.Check(time.Since(start), qt.Equals, askTimeout)
+		c.Check(time.Since(start), qt.Equals, queryTimeout)
 		silent := answer.GetDaemons()[1]
 		c.Check(silent.GetName(), qt.Equals, "h002")
 		c.Check(silent.GetHealth(), qt.Equals, unreachable)
--- a/operator/summary.go
+++ b/operator/summary.go
@@ -11,11 +11,12 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// ErrDay reports a day that is not written 2006-01-02, or days in wrong order.
-var ErrDay = errors.New("days must be written 2006-01-02, the first one first")
+// ErrInvalidDays reports a day that is not in the form 2006-01-02, or a range whose
+// first day is after the last.
+var ErrInvalidDays = errors.New("days must be written 2006-01-02, the first one first")
 
-// summarise sorts the daemons, adds to the unreachable ones what others know,
-// and tells how far the newest configuration has come.
+// summarise sorts the daemons by name, adds the neighbours' sightings to the
+// unreachable ones, and computes the rollout progress of the newest configuration.
 func summarise(daemons []*bronzeturnv1.DaemonStatus) *bronzeturnv1.StatusResponse {
 	slices.SortFunc(daemons, func(a, b *bronzeturnv1.DaemonStatus) int {
 		return strings.Compare(a.GetName(), b.GetName())
@@ -38,9 +39,9 @@
 	}
 }
 
-// progress counts the daemons that have the newest generation in force.
-// Leaving daemons take no new work and don't count. An unreachable one counts
-// as not having it.
+// progress counts the daemons that have the newest generation in force. Leaving
+// daemons accept no new requests and are not counted. An unreachable daemon
+// counts as not having it.
 func progress(daemons []*bronzeturnv1.DaemonStatus) *bronzeturnv1.FleetConfiguration {
 	fleet := &bronzeturnv1.FleetConfiguration{}
 	for _, d := range daemons {
@@ -55,11 +56,11 @@
 			fleet.InForceOn++
 		}
 	}
-	fleet.Progress = progressOf(fleet)
+	fleet.Progress = progressStage(fleet)
 	return fleet
 }
 
-func progressOf(fleet *bronzeturnv1.FleetConfiguration) bronzeturnv1.ConfigurationProgress {
+func progressStage(fleet *bronzeturnv1.FleetConfiguration) bronzeturnv1.ConfigurationProgress {
 	switch {
 	case fleet.GetGeneration() == 0:
 		return bronzeturnv1.ConfigurationProgress_CONFIGURATION_PROGRESS_UNSPECIFIED
@@ -72,7 +73,7 @@
 	}
 }
 
-// ProgressText returns the progress in words: "accepted", "in force on 2 of 6",
+// ProgressText returns the progress as text: "accepted", "in force on 2 of 6",
 // "in force", or "none" without a configuration.
 func ProgressText(fleet *bronzeturnv1.FleetConfiguration) string {
 	switch fleet.GetProgress() {
@@ -87,7 +88,8 @@
 	}
 }
 
-// checkDays reports days that can't be meant.
+// checkDays returns ErrInvalidDays for days that cannot be parsed or are in the
+// wrong order.
 func checkDays(request *bronzeturnv1.BillsRequest) error {
 	from, through := request.GetFromDay(), request.GetThroughDay()
 	for _, day := range []string{from, through} {
@@ -95,11 +97,11 @@
 			continue
 		}
 		if _, err := time.Parse(time.DateOnly, day); err != nil {
-			return fmt.Errorf("%q: %w", day, ErrDay)
+			return fmt.Errorf("%q: %w", day, ErrInvalidDays)
 		}
 	}
 	if from != "" && through != "" && from > through {
-		return fmt.Errorf("%q to %q: %w", from, through, ErrDay)
+		return fmt.Errorf("%q to %q: %w", from, through, ErrInvalidDays)
 	}
 	return nil
 }
