--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure defines the typed errors that reach callers, operators and
-// peers. Every refusal carries a stable code, whether the request ran, and,
-// where it helps, when to come back.
+// Package failure defines the typed errors that are returned to callers, operators
+// and peers. Each error has a stable code, tells whether the request ran, and
+// gives a retry time where useful.
 package failure
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Code is a stable name of a failure. Callers may match on it.
+// Code is a stable identifier of a failure. Callers may match on it.
 type Code string
 
-// Codes of the failures that callers can meet.
+// Codes of the failures that callers can receive.
 const (
 	CodeUnauthenticated    Code = "unauthenticated"
 	CodeVersionNotAllowed  Code = "version_not_allowed"
@@ -42,10 +42,11 @@
 	CodeNotFound           Code = "not_found"
 	CodeCanceled           Code = "canceled"
 	CodeAnswerNotKept      Code = "answer_not_kept"
-	// CodeQuarantined refuses a request that crashes the engines that run it.
+	// CodeQuarantined is for a request that is refused because it crashes the
+	// engines that run it.
 	CodeQuarantined Code = "quarantined"
-	// CodeVersionStopped refuses a request whose session ran on a version that has stopped,
-	// until the session has lapsed.
+	// CodeVersionStopped is for a request whose session ran on a version that has
+	// stopped. Such requests are refused until the session expires.
 	CodeVersionStopped Code = "version_stopped"
 
 	CodeInternal Code = "internal"
@@ -54,21 +55,21 @@
 // Ran tells whether the request ran on a backend server.
 type Ran string
 
-// The values of Ran. RanNo is a promise: nothing was executed.
+// Values of Ran. RanNo guarantees that nothing was executed.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Error is a failure with a stable code. The zero RetryAfter means that the
-// caller gets no advice on when to come back.
+// Error is a failure with a stable code. A zero RetryAfter means that the caller
+// is not told when to retry.
 type Error struct {
 	Code       Code
 	Ran        Ran
 	Message    string
 	RetryAfter time.Duration
-	// Entries are addresses to use instead, if any.
+	// Entries are addresses of other daemons to use instead, if any.
 	Entries []string
 	cause   error
 }
@@ -78,14 +79,14 @@
 	return &Error{Code: code, Ran: ran, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error caused by err. The text of err is not shown to callers.
+// Wrap returns an Error with the cause err. The text of err is not sent to callers.
 func Wrap(err error, code Code, ran Ran, format string, args ...any) *Error {
 	e := New(code, ran, format, args...)
 	e.cause = err
 	return e
 }
 
-// WithRetryAfter sets when the caller should come back and returns e.
+// WithRetryAfter sets the time after which the caller should retry and returns e.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
@@ -102,8 +103,8 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// From returns err as an Error. An error without a type becomes CodeInternal
-// with an unknown outcome, the only safe reading of it.
+// From returns the *Error in err's chain. If there is none, it wraps err as
+// CodeInternal with RanUnknown, since it cannot tell whether the request ran.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -112,11 +113,11 @@
 	return Wrap(err, CodeInternal, RanUnknown, "internal error")
 }
 
-// statusClientClosedRequest is the usual status, outside the standard, for a
-// caller that went away.
+// statusClientClosedRequest is the customary non-standard status for a caller
+// that closed the connection before the response.
 const statusClientClosedRequest = 499
 
-// statuses gives the HTTP status of each code.
+// statuses maps codes to HTTP statuses.
 var statuses = map[Code]int{
 	CodeUnauthenticated:    http.StatusUnauthorized,
 	CodeVersionNotAllowed:  http.StatusForbidden,
@@ -150,7 +151,7 @@
 	CodeInternal:           http.StatusInternalServerError,
 }
 
-// HTTPStatus returns the HTTP status that goes with the code.
+// HTTPStatus returns the HTTP status of the code, or 500 for an unknown code.
 func (e *Error) HTTPStatus() int {
 	if s, ok := statuses[e.Code]; ok {
 		return s
