--- a/admission/group.go
+++ b/admission/group.go
@@ -49,7 +49,7 @@
 			return g.waitOutcome(<-it.ready, it)
 		}
 		return failure.New(failure.CodeNoCapacity, failure.RanNo, "no capacity became free in time").
-			After(g.retryAfter(time.Now(), it))
+			WithRetryAfter(g.retryAfter(time.Now(), it))
 	case <-ctx.Done():
 		if !g.cancelWait(it) && <-it.ready == resultStarted {
 			g.release(time.Now(), it, 0, 0)
@@ -63,7 +63,7 @@
 	if result == resultStarted {
 		return nil
 	}
-	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").After(g.retryAfter(time.Now(), it))
+	return failure.New(failure.CodeNoCapacity, failure.RanNo, "queue is full").WithRetryAfter(g.retryAfter(time.Now(), it))
 }
 
 // cancelWait removes a request from the queue. It reports false when the request
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -94,11 +94,11 @@
 func (g *Gateway) prepare(q *request, a *answer) *failure.Error {
 	q.deadline = q.received.Add(defaultTimeout)
 	if g.gate.closed.Load() {
-		return failure.New(failure.CodeLeaving, failure.RanNo, "the daemon is stopping").After(stoppingRetryAfter)
+		return failure.New(failure.CodeDaemonLeaving, failure.RanNo, "the daemon is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	q.tables = g.Tables()
 	if q.tables == nil || q.tables.Routes == nil {
-		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration yet").After(g.unreadyRetryAfter())
+		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration yet").WithRetryAfter(g.unreadyRetryAfter())
 	}
 	if f := g.findRoute(q); f != nil {
 		return f
@@ -107,7 +107,7 @@
 		return f
 	}
 	if q.route.Kind == route.Stream && g.gate.noStreams.Load() {
-		return failure.New(failure.CodeLeaving, failure.RanNo, "the daemon is stopping").After(stoppingRetryAfter)
+		return failure.New(failure.CodeDaemonLeaving, failure.RanNo, "the daemon is stopping").WithRetryAfter(stoppingRetryAfter)
 	}
 	q.setDeadline()
 	if f := q.readBody(a); f != nil {
@@ -149,7 +149,7 @@
 // configuration may be out of date, the refusal says so and invites a retry.
 func (g *Gateway) refuseUnknown(code failure.Code, text string) *failure.Error {
 	if g.Stale(time.Now()) {
-		return failure.New(failure.CodeConfigurationStale, failure.RanNo, "the configuration may be out of date").After(g.unreadyRetryAfter())
+		return failure.New(failure.CodeConfigurationStale, failure.RanNo, "the configuration may be out of date").WithRetryAfter(g.unreadyRetryAfter())
 	}
 	return failure.New(code, failure.RanNo, "%s", text)
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -42,7 +42,7 @@
 	if f := g.checkTimeLeft(ctx, t); f != nil {
 		return f
 	}
-	return failure.New(failure.CodeVersionStopped, failure.RanNo, "the version that the session ran on has stopped").After(lapse - hold)
+	return failure.New(failure.CodeVersionStopped, failure.RanNo, "the version that the session ran on has stopped").WithRetryAfter(lapse - hold)
 }
 
 // holdBeforeRetryAfter returns how long a request is held before it is refused, so that its
--- a/ledger/pin.go
+++ b/ledger/pin.go
@@ -45,7 +45,7 @@
 }
 
 func pinRefused(err error) error {
-	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the conversation's version could not be settled").After(retryAfter)
+	return failure.Wrap(err, failure.CodeLedgerUnavailable, failure.RanNo, "the conversation's version could not be settled").WithRetryAfter(retryAfter)
 }
 
 func pinRecord(fp fingerprint, nonce Nonce, version string, touch bool) *bronzeturnv1.LedgerRecord {
--- a/ledger/reserve.go
+++ b/ledger/reserve.go
@@ -39,7 +39,7 @@
 	defer o.mu.Unlock()
 	if o.exceedsLimits(recordsPerRequest, reservedBytes) {
 		l.metrics.full.Inc()
-		return nil, failure.New(failure.CodeLedgerUnavailable, failure.RanNo, "too many bills wait for the store").After(fullRetryAfter)
+		return nil, failure.New(failure.CodeLedgerUnavailable, failure.RanNo, "too many bills wait for the store").WithRetryAfter(fullRetryAfter)
 	}
 	o.reserved++
 	return &Reservation{outbox: o}, nil
--- a/router/log.go
+++ b/router/log.go
@@ -100,7 +100,7 @@
 // sampler.
 func (r *Router) reportAnswered(s *settlement) {
 	kind := s.call.kind.GetName()
-	r.Quality.Answered(quality.Answered{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
+	r.Quality.AddAnswer(quality.CompletedAnswer{Version: s.version, Kind: kind, CompletionTokens: s.completionTokens})
 	r.Sampler.Sample(AnswerSample{
 		RequestID:    s.call.requestID,
 		Organisation: s.call.organisation.GetName(),
--- a/router/serve.go
+++ b/router/serve.go
@@ -71,7 +71,7 @@
 func (r *Router) identify(req *http.Request, c *call) *failure.Error {
 	c.tables = r.Tables()
 	if c.tables == nil {
-		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").After(startupRetryAfter)
+		return failure.New(failure.CodeNoConfiguration, failure.RanNo, "no configuration is in force yet").WithRetryAfter(startupRetryAfter)
 	}
 	if f := r.staleFailure(failure.RanNo); f != nil {
 		return f
@@ -98,7 +98,7 @@
 // leavingFailure returns the refusal of a daemon that is shutting down, with the
 // addresses to use instead.
 func (r *Router) leavingFailure() *failure.Error {
-	f := failure.New(failure.CodeLeaving, failure.RanNo, "this address takes no new requests").After(leavingRetryAfter)
+	f := failure.New(failure.CodeDaemonLeaving, failure.RanNo, "this address takes no new requests").WithRetryAfter(leavingRetryAfter)
 	f.Entries, _ = r.otherEntries()
 	return f
 }
--- a/selection/choose.go
+++ b/selection/choose.go
@@ -268,7 +268,7 @@
 	first, lowest := none, chosen.cost
 	for _, v := range c.org.candidates {
 		cost := c.cost(v)
-		if cost+c.rows[v].accepted.Flagged()*chosen.cost >= lowest {
+		if cost+c.rows[v].accepted.FlaggedShare()*chosen.cost >= lowest {
 			continue
 		}
 		out, ok := c.expectCascade(v, cost, &chosen)
@@ -302,6 +302,6 @@
 func (c *choice) expectCascade(first int, cost float64, next *option) (cascade.Estimate, bool) {
 	cell := c.rows[first].accepted
 	accepted := cell.EstimateAt(c.nanos)
-	out := cascade.Expect(cost, accepted.Lower, cell.Flagged(), next.cost, next.estimate.Lower)
+	out := cascade.Expect(cost, accepted.Lower, cell.FlaggedShare(), next.cost, next.estimate.Lower)
 	return out, out.Quality >= c.kind.target
 }
--- a/selection/learning_test.go
+++ b/selection/learning_test.go
@@ -57,7 +57,7 @@
 
 type delayedRating struct {
 	due   int
-	event quality.Rated
+	event quality.Rating
 }
 
 func (s *simulation) run(t testing.TB) result {
@@ -108,7 +108,7 @@
 			if degraded {
 				res.ratings++
 			}
-			queue = append(queue, delayedRating{i + s.delay, quality.Rated{
+			queue = append(queue, delayedRating{i + s.delay, quality.Rating{
 				Organisation: r.Organisation, Version: d.Version, Kind: "report", Score: s.score(rng, trueQuality[v], organisation),
 			}})
 		}
--- a/selection/rollout_test.go
+++ b/selection/rollout_test.go
@@ -49,7 +49,7 @@
 func (f *fixture) rate(t *testing.T, version string, score float64, n int) {
 	t.Helper()
 	for i := range n {
-		change, err := f.policy.ObserveRating(quality.Rated{
+		change, err := f.policy.ObserveRating(quality.Rating{
 			Organisation: []string{"workshop", "depot"}[i%2], Version: version, Kind: "quick", Score: score, At: f.now,
 		})
 		qt.Assert(t, err, qt.IsNil)
@@ -156,7 +156,7 @@
 
 	rules.Kinds[0].BelowTarget = bronzeturnv1.BelowTarget_BELOW_TARGET_REFUSE
 	_, err = f.policy.Choose(selection.NewPlan(reg, rules), &r, f.now, nil)
-	qt.Assert(t, codeOf(err), qt.Equals, failure.CodeBelowTarget)
+	qt.Assert(t, codeOf(err), qt.Equals, failure.CodeTargetUnreachable)
 	qt.Assert(t, failure.From(err).RetryAfter > 0, qt.IsTrue)
 }
 
