--- a/entry/review.go
+++ b/entry/review.go
@@ -92,7 +92,7 @@
 
 // place returns this daemon's place in the order in which daemons write the state.
 func (i *introductions) place(service string) int {
-	return i.daemon.fleet.members.View().Place(canaryPrefix + service)
+	return i.daemon.fleet.members.View().Rank(canaryPrefix + service)
 }
 
 // write puts a state into the store.
--- a/membership/view.go
+++ b/membership/view.go
@@ -106,9 +106,9 @@
 // Top returns the n most preferred live daemons for a key, the owner first.
 func (v *View) Top(key string, n int) []string { return v.live.Top(key, n) }
 
-// Place returns this daemon's position in the ranking of the live daemons for a key: 0 for
+// Rank returns this daemon's position in the ranking of the live daemons for a key: 0 for
 // the owner, -1 if this daemon is not live.
-func (v *View) Place(key string) int { return slices.Index(v.Top(key, v.Live()), v.Self) }
+func (v *View) Rank(key string) int { return slices.Index(v.Top(key, v.Live()), v.Self) }
 
 // Live returns the number of live daemons.
 func (v *View) Live() int { return v.live.Len() }
