--- a/configuration.go
+++ b/configuration.go
@@ -170,8 +170,8 @@
 func (f *fleet) exchangeNews(ctx context.Context) error {
 	for backoff.Sleep(ctx, newsInterval) == nil {
 		status := f.provider.Status()
-		f.members.SetNews(status.Generation, status.StoreConfirmed)
-		if age, ok := f.members.News(); ok && status.Generation > 0 {
+		f.members.SetConfigNews(status.Generation, status.StoreConfirmed)
+		if age, ok := f.members.ConfigNewsAge(); ok && status.Generation > 0 {
 			f.provider.Confirm(status.Generation, age)
 		}
 	}
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -247,10 +247,10 @@
 	return heard
 }
 
-// News returns how long ago the store was known to hold no newer configuration
+// ConfigNewsAge returns how long ago the store was known to hold no newer configuration
 // than the one in force here, first hand or through neighbours. It reports
 // false when that was never known.
-func (m *Membership) News() (age time.Duration, ok bool) {
+func (m *Membership) ConfigNewsAge() (age time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.newsLocked(time.Now())
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -258,22 +258,22 @@
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 6)
-		_, ok := fleet[5].News()
+		_, ok := fleet[5].ConfigNewsAge()
 		qt.Check(t, ok, qt.IsFalse)
 		for _, m := range fleet {
-			m.SetNews(4, time.Time{})
+			m.SetConfigNews(4, time.Time{})
 		}
 		heard := time.Now()
-		fleet[0].SetNews(4, heard)
+		fleet[0].SetConfigNews(4, heard)
 		time.Sleep(5 * time.Second)
 		for _, m := range fleet {
-			age, ok := m.News()
+			age, ok := m.ConfigNewsAge()
 			qt.Check(t, ok, qt.IsTrue)
 			qt.Check(t, age >= time.Since(heard), qt.IsTrue, qt.Commentf("news look newer than they are: %v", age))
 			qt.Check(t, age < time.Since(heard)+time.Second, qt.IsTrue, qt.Commentf("%v", age))
 		}
-		fleet[1].SetNews(5, time.Time{})
-		age, ok := fleet[2].News()
+		fleet[1].SetConfigNews(5, time.Time{})
+		age, ok := fleet[2].ConfigNewsAge()
 		qt.Check(t, ok, qt.IsTrue)
 		qt.Check(t, age < 7*time.Second, qt.IsTrue)
 	})
--- a/membership/own.go
+++ b/membership/own.go
@@ -152,10 +152,10 @@
 	return band
 }
 
-// SetNews tells which generation of the configuration is in force here, and
+// SetConfigNews tells which generation of the configuration is in force here, and
 // when this daemon last heard from the store that none is newer. A zero time
 // leaves the latter as it was.
-func (m *Membership) SetNews(generation uint64, heardStore time.Time) {
+func (m *Membership) SetConfigNews(generation uint64, heardStore time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.generation = max(m.own.generation, generation)
