--- a/entry/pull.go
+++ b/entry/pull.go
@@ -36,7 +36,7 @@
 
 // pullFrom sends a pull request to the daemon at the address.
 func (f *fleet) pullFrom(ctx context.Context, address string, r *bronzeturnv1.PullRequest) (*follow.Pulled, error) {
-	client, base := f.directory.At(address)
+	client, base := f.directory.ClientAt(address)
 	service := bronzeturnv1connect.NewFollowServiceClient(client, base, peer.ClientOptions()...)
 	answer, err := service.Pull(ctx, connect.NewRequest(r))
 	if err != nil {
--- a/gossip/stream.go
+++ b/gossip/stream.go
@@ -20,7 +20,7 @@
 // DialLink implements Dialer. The connection is opened with the first frame,
 // so that a failure to connect shows when the link is used.
 func (d *StreamDialer) DialLink(ctx context.Context, target Target) (Link, error) {
-	client, base := d.Directory.At(target.Address)
+	client, base := d.Directory.ClientAt(target.Address)
 	ctx, cancel := context.WithCancel(ctx)
 	service := bronzeturnv1connect.NewPeerServiceClient(client, base, peer.ClientOptions()...)
 	return &clientLink{stream: service.Exchange(ctx), cancel: cancel}, nil
--- a/peer/directory.go
+++ b/peer/directory.go
@@ -86,12 +86,12 @@
 	if !ok {
 		return nil, "", false
 	}
-	client, base := d.At(address)
+	client, base := d.ClientAt(address)
 	return client, base, true
 }
 
-// At returns the client and the base URL for calls to a peer address.
-func (d *Directory) At(address string) (connect.HTTPClient, string) {
+// ClientAt returns the client and the base URL for calls to a peer address.
+func (d *Directory) ClientAt(address string) (connect.HTTPClient, string) {
 	return d.client, d.scheme + "://" + address
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -40,7 +40,7 @@
 }
 
 func call(ctx context.Context, d *Directory, address string) (string, error) {
-	client, base := d.At(address)
+	client, base := d.ClientAt(address)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/", strings.NewReader("question"))
 	if err != nil {
 		return "", err
--- a/tls_test.go
+++ b/tls_test.go
@@ -134,7 +134,7 @@
 	}
 	directory := peer.NewDirectory(nil, credentials, traffic)
 	defer directory.Close()
-	client, base := directory.At(address)
+	client, base := directory.ClientAt(address)
 	return status(operator.NewClient(client, base), true)
 }
 
