--- a/peer/directory.go
+++ b/peer/directory.go
@@ -142,7 +142,7 @@
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
 		c, err := dial(ctx, network, address)
-		if err == nil || IsDial(err) {
+		if err == nil || IsDialError(err) {
 			return c, err
 		}
 		return nil, &DialError{Address: address, Cause: err}
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -23,9 +23,9 @@
 // ConnectFailed tells dialers' failures from silence; it is always true.
 func (e *DialError) ConnectFailed() bool { return true }
 
-// IsDial tells whether err means that no connection could be opened, as
+// IsDialError tells whether err means that no connection could be opened, as
 // against one that opened and then gave no answer.
-func IsDial(err error) bool {
+func IsDialError(err error) bool {
 	var d *DialError
 	return errors.As(err, &d)
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -111,7 +111,7 @@
 	qt.Assert(t, listener.Close(), qt.IsNil)
 	d := NewDirectory(nil, nil, newTraffic(t))
 	_, err = call(t.Context(), d, address)
-	qt.Check(t, IsDial(err), qt.IsTrue, qt.Commentf("%v", err))
+	qt.Check(t, IsDialError(err), qt.IsTrue, qt.Commentf("%v", err))
 }
 
 // TestConnectionThatGoesSilentIsDropped has a relay that stops carrying bytes on
@@ -127,7 +127,7 @@
 	r.silence()
 	_, err = call(t.Context(), d, r.address)
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Check(t, IsDial(err), qt.IsFalse)
+	qt.Check(t, IsDialError(err), qt.IsFalse)
 	got, err := call(t.Context(), d, r.address)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.Equals, "HTTP/2.0 answer")
