--- a/gossip/keeper.go
+++ b/gossip/keeper.go
@@ -77,7 +77,7 @@
 		if name != "" {
 			failures = 0
 		}
-		n.options.Observer.Lost(Target{Name: orElse(k.target.Name, name), Address: k.target.Address}, err)
+		n.options.Observer.LinkLost(Target{Name: orElse(k.target.Name, name), Address: k.target.Address}, err)
 		failures++
 		k.sleep(n.backoff(failures))
 	}
@@ -97,7 +97,7 @@
 func (n *Node) Accept(stream Link) error {
 	name, err := n.run(stream, nil)
 	if name != "" {
-		n.options.Observer.Lost(Target{Name: name}, err)
+		n.options.Observer.LinkLost(Target{Name: name}, err)
 	}
 	return err
 }
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -104,9 +104,9 @@
 	lost []error
 }
 
-func (l *lostLog) Heard(string, *bronzeturnv1.Heartbeat) {}
+func (l *lostLog) HeartbeatReceived(string, *bronzeturnv1.Heartbeat) {}
 
-func (l *lostLog) Lost(_ Target, err error) {
+func (l *lostLog) LinkLost(_ Target, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = append(l.lost, err)
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -87,11 +87,11 @@
 // Observer hears what the links tell about neighbours. It is called from
 // several goroutines and must not block.
 type Observer interface {
-	// Heard reports a heartbeat.
-	Heard(name string, heartbeat *bronzeturnv1.Heartbeat)
-	// Lost reports that a link to the target ended, or could not be opened. The
+	// HeartbeatReceived reports a heartbeat.
+	HeartbeatReceived(name string, heartbeat *bronzeturnv1.Heartbeat)
+	// LinkLost reports that a link to the target ended, or could not be opened. The
 	// name is empty when it was never learnt.
-	Lost(target Target, err error)
+	LinkLost(target Target, err error)
 }
 
 // Options are the parts that a Node needs.
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -47,7 +47,7 @@
 		l.takeEntry(e)
 	}
 	if h := frame.GetHeartbeat(); h != nil {
-		l.node.options.Observer.Heard(name, h)
+		l.node.options.Observer.HeartbeatReceived(name, h)
 		if h.GetTableSize() > 0 {
 			l.node.compare(l, h)
 		}
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -65,8 +65,8 @@
 // observer takes in what the links tell.
 type observer Membership
 
-// Heard implements gossip.Observer.
-func (o *observer) Heard(name string, heartbeat *bronzeturnv1.Heartbeat) {
+// HeartbeatReceived implements gossip.Observer.
+func (o *observer) HeartbeatReceived(name string, heartbeat *bronzeturnv1.Heartbeat) {
 	m := (*Membership)(o)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,8 +76,8 @@
 	c.lost = nil
 }
 
-// Lost implements gossip.Observer.
-func (o *observer) Lost(target gossip.Target, err error) {
+// LinkLost implements gossip.Observer.
+func (o *observer) LinkLost(target gossip.Target, err error) {
 	m := (*Membership)(o)
 	if target.Name == "" {
 		m.log.Debug().Str("address", target.Address).Err(err).Msg("seed not reached")
