--- a/gossip/link.go
+++ b/gossip/link.go
@@ -71,7 +71,7 @@
 		return "", err
 	}
 	defer n.detach(l)
-	for _, key := range n.options.Greeting {
+	for _, key := range n.options.GreetingKeys {
 		l.mark(key)
 	}
 	l.silence = time.AfterFunc(SilenceTimeout, l.checkSilence)
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -104,13 +104,13 @@
 	Observer Observer
 	// Status returns this daemon's state for a new heartbeat.
 	Status func() *bronzeturnv1.Heartbeat
-	// Greeting are keys that are sent first on every new link, such as this
+	// GreetingKeys are keys that are sent first on every new link, such as this
 	// daemon's own entry.
-	Greeting []string
-	// Referral is the key prefix of daemon entries. A daemon refused at the link limit
+	GreetingKeys []string
+	// ReferralPrefix is the key prefix of daemon entries. A daemon refused at the link limit
 	// is sent a random selection of them, so that it can link to other daemons. If empty, no
 	// referrals are sent.
-	Referral string
+	ReferralPrefix string
 	// Random is used for jitter, under the node's own lock.
 	Random *rand.Rand
 	Log    zerolog.Logger
--- a/gossip/refer.go
+++ b/gossip/refer.go
@@ -8,7 +8,7 @@
 
 // sendReferral sends entries of known daemons on a stream refused at the link limit.
 func (n *Node) sendReferral(stream Link) {
-	if n.options.Referral == "" {
+	if n.options.ReferralPrefix == "" {
 		return
 	}
 	frame := &bronzeturnv1.Frame{}
@@ -30,7 +30,7 @@
 // keys so that the refused daemon also learns this daemon's entry.
 func (n *Node) referralKeys() []string {
 	var keys []string
-	n.Each(n.options.Referral, func(key string, _ uint64, value []byte) {
+	n.Each(n.options.ReferralPrefix, func(key string, _ uint64, value []byte) {
 		if len(value) > 0 {
 			keys = append(keys, key)
 		}
@@ -38,5 +38,5 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.random.Shuffle(len(keys), func(i, j int) { keys[i], keys[j] = keys[j], keys[i] })
-	return append(keys[:min(len(keys), maxReferralEntries)], n.options.Greeting...)
+	return append(keys[:min(len(keys), maxReferralEntries)], n.options.GreetingKeys...)
 }
