--- a/membership/build.go
+++ b/membership/build.go
@@ -40,7 +40,7 @@
 // buildView works out the view of the daemon self. It is a pure function, so
 // daemons with equal tables have equal views, but for their own state.
 func buildView(self string, r *records, keep time.Duration) *View {
-	v := &View{Self: self, Keep: keep, byName: make(map[string]int)}
+	v := &View{Self: self, EntriesTTL: keep, byName: make(map[string]int)}
 	for name, d := range r.daemons {
 		if name != self && r.hosts[hostOf(name, d)] == hostRemoved {
 			continue
@@ -83,7 +83,7 @@
 	}
 	switch {
 	case d.GetLeaving():
-		m.State, m.Reason = Leaving, ReasonItself
+		m.State, m.Reason = Leaving, ReasonAnnounced
 	case r.hosts[m.Host] == hostLeaving:
 		m.State, m.Reason = Leaving, ReasonHostList
 	}
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -82,7 +82,7 @@
 // too when no other has any. Callers are spread by load. random is used by this call only.
 func (m *Membership) Entries(callerDataCentre string, random *rand.Rand) (addresses []string, keep time.Duration) {
 	v := m.view.Load()
-	return v.Entries(callerDataCentre, random), v.Keep
+	return v.Entries(callerDataCentre, random), v.EntriesTTL
 }
 
 // Entries returns caller addresses of live daemons for a caller, best first.
--- a/membership/loopback_test.go
+++ b/membership/loopback_test.go
@@ -46,7 +46,7 @@
 	for _, m := range all {
 		waitView(t, m, "b leaves", func(v *View) bool {
 			member, _ := v.Member("b")
-			return member.State == Leaving && member.Reason == ReasonItself
+			return member.State == Leaving && member.Reason == ReasonAnnounced
 		})
 		addresses, _ := m.Entries("hall-porto", random)
 		c.Check(slices.Contains(addresses, "caller-b"), qt.IsFalse)
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -223,7 +223,7 @@
 	now := time.Now()
 	v := buildView(m.options.Self.Name, m.records, 0)
 	m.changes.add(now, membersChanged(old, v))
-	v.Keep = keepFor(m.changes.count(now), len(v.Members))
+	v.EntriesTTL = keepFor(m.changes.count(now), len(v.Members))
 	m.view.Store(v)
 	m.storeLeavingHostsLocked()
 	subs := slices.Clone(m.subs)
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -60,7 +60,7 @@
 		}
 	}
 	for i := range v.Members {
-		v.Members[i].Doubted = len(counted[v.Members[i].Name]) > 0
+		v.Members[i].PartlySuspected = len(counted[v.Members[i].Name]) > 0
 	}
 }
 
--- a/membership/view.go
+++ b/membership/view.go
@@ -42,8 +42,8 @@
 // The reasons of a member's state.
 const (
 	ReasonNone Reason = ""
-	// ReasonItself means that the daemon announced its own shutdown.
-	ReasonItself Reason = "announced"
+	// ReasonAnnounced means that the daemon announced its own shutdown.
+	ReasonAnnounced Reason = "announced"
 	// ReasonHostList means that the host list shows the host leaving or gone.
 	ReasonHostList Reason = "host_list"
 	// ReasonFrozen means that connections stand but nothing is answered.
@@ -64,9 +64,9 @@
 	Reason        Reason
 	// Load is coarse, 0 (idle) to MaxLoad (full).
 	Load int
-	// Doubted tells that a neighbour suspects the daemon, but not enough of them
+	// PartlySuspected tells that a neighbour suspects the daemon, but not enough of them
 	// to change its state: it may be cut off from some.
-	Doubted bool
+	PartlySuspected bool
 	// Capacity is what the host can carry for the fleet, compared with others.
 	Capacity float64
 }
@@ -82,8 +82,8 @@
 	Members []Member
 	// Watchers are the daemons that read the store and the host list.
 	Watchers []string
-	// Keep is how long callers may keep an answer to which addresses to use.
-	Keep time.Duration
+	// EntriesTTL is how long callers may keep an answer to which addresses to use.
+	EntriesTTL time.Duration
 
 	live   *rendezvous.Set
 	byName map[string]int
