--- a/gossip/keeper.go
+++ b/gossip/keeper.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// keeper keeps a link to one target.
-type keeper struct {
+// connector keeps a link to one target.
+type connector struct {
 	target Target
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -23,12 +23,12 @@
 	for _, t := range targets {
 		wanted[t] = struct{}{}
 		names[t.Name] = struct{}{}
-		n.addKeeperLocked(t)
+		n.addConnectorLocked(t)
 	}
-	for t, k := range n.keepers {
+	for t, k := range n.connectors {
 		if _, ok := wanted[t]; !ok {
 			k.cancel()
-			delete(n.keepers, t)
+			delete(n.connectors, t)
 		}
 	}
 	for l := range n.links {
@@ -43,34 +43,34 @@
 	}
 }
 
-func (n *Node) addKeeperLocked(t Target) {
-	if _, ok := n.keepers[t]; ok {
+func (n *Node) addConnectorLocked(t Target) {
+	if _, ok := n.connectors[t]; ok {
 		return
 	}
-	k := &keeper{target: t}
+	k := &connector{target: t}
 	k.ctx, k.cancel = context.WithCancel(n.tomb.Context(context.Background()))
-	if !n.spawnLocked(func() error { return n.keep(k) }) {
+	if !n.spawnLocked(func() error { return n.maintainLink(k) }) {
 		k.cancel()
 		return
 	}
-	n.keepers[t] = k
+	n.connectors[t] = k
 }
 
-// keep opens a link to the target whenever there is none, until the target is
+// maintainLink opens a link to the target whenever there is none, until the target is
 // no longer wanted.
-func (n *Node) keep(k *keeper) error {
+func (n *Node) maintainLink(k *connector) error {
 	failures := 0
 	if n.options.Name > k.target.Name && k.target.Name != "" {
 		// The smaller name dials first, so that two neighbours rarely open two links.
 		k.sleep(HeartbeatInterval)
 	}
 	for k.ctx.Err() == nil {
-		if k.target.Name != "" && n.linked(k.target.Name) {
+		if k.target.Name != "" && n.hasLink(k.target.Name) {
 			failures = 0
 			k.sleep(HeartbeatInterval)
 			continue
 		}
-		name, err := n.open(k)
+		name, err := n.dialAndRun(k)
 		if k.ctx.Err() != nil {
 			break
 		}
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// open dials the target and carries the link until it ends.
-func (n *Node) open(k *keeper) (name string, err error) {
+// dialAndRun dials the target and carries the link until it ends.
+func (n *Node) dialAndRun(k *connector) (name string, err error) {
 	stream, err := n.options.Dialer.DialLink(n.tomb.Context(context.Background()), k.target)
 	if err != nil {
 		return "", err
@@ -110,7 +110,7 @@
 }
 
 // sleep waits, or returns early when the target is no longer wanted.
-func (k *keeper) sleep(d time.Duration) {
+func (k *connector) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -31,9 +31,9 @@
 	queue   []string
 	queued  map[string]struct{}
 	control []*bronzeturnv1.Frame
-	// finishing is set when the link has to say goodbye, saidBye when it has.
-	finishing bool
-	saidBye   bool
+	// goodbyeRequested is set when the link has to say goodbye, goodbyeSent when it has.
+	goodbyeRequested bool
+	goodbyeSent      bool
 
 	wake    chan struct{}
 	done    chan struct{}
@@ -72,7 +72,7 @@
 	}
 	defer n.detach(l)
 	for _, key := range n.options.GreetingKeys {
-		l.mark(key)
+		l.enqueue(key)
 	}
 	l.silence = time.AfterFunc(SilenceTimeout, l.checkSilence)
 	defer l.silence.Stop()
@@ -125,8 +125,8 @@
 	return ""
 }
 
-// mark queues a key for sending.
-func (l *link) mark(key string) {
+// enqueue queues a key for sending.
+func (l *link) enqueue(key string) {
 	l.mu.Lock()
 	if _, ok := l.queued[key]; !ok {
 		l.queued[key] = struct{}{}
@@ -136,18 +136,18 @@
 	l.signal()
 }
 
-// unmark takes a key from the queue that the neighbour is known to hold.
-func (l *link) unmark(key string) {
+// dequeue takes a key from the queue that the neighbour is known to hold.
+func (l *link) dequeue(key string) {
 	l.mu.Lock()
 	delete(l.queued, key)
 	l.mu.Unlock()
 }
 
-// push queues an anti-entropy frame. Beyond the bound it is dropped; the next
+// enqueueControl queues an anti-entropy frame. Beyond the bound it is dropped; the next
 // exchange makes up for it.
-func (l *link) push(frames ...*bronzeturnv1.Frame) {
+func (l *link) enqueueControl(frames ...*bronzeturnv1.Frame) {
 	l.mu.Lock()
-	room := maxControl - len(l.control)
+	room := maxControlFrames - len(l.control)
 	l.control = append(l.control, frames[:max(0, min(room, len(frames)))]...)
 	l.mu.Unlock()
 	l.signal()
@@ -160,10 +160,10 @@
 	}
 }
 
-// finish makes the link say goodbye once its queue is sent.
-func (l *link) finish() {
+// requestGoodbye makes the link say goodbye once its queue is sent.
+func (l *link) requestGoodbye() {
 	l.mu.Lock()
-	l.finishing = true
+	l.goodbyeRequested = true
 	l.mu.Unlock()
 	l.signal()
 }
@@ -180,14 +180,14 @@
 	timer := time.NewTimer(backoff.UntilTick(HeartbeatInterval))
 	defer timer.Stop()
 	var flush <-chan time.Time
-	for beats := 1; ; {
+	for heartbeats := 1; ; {
 		select {
 		case <-l.done:
 			return nil
 		case <-timer.C:
 			timer.Reset(backoff.UntilTick(HeartbeatInterval))
-			frame := &bronzeturnv1.Frame{Heartbeat: l.node.heartbeat(beats%digestEvery == 0)}
-			beats++
+			frame := &bronzeturnv1.Frame{Heartbeat: l.node.heartbeat(heartbeats%heartbeatsPerDigest == 0)}
+			heartbeats++
 			if err := l.send(frame); err != nil {
 				return err
 			}
@@ -221,7 +221,7 @@
 	}
 	frame, size := l.takeBatch()
 	if size == 0 {
-		return 0, l.sayGoodbye()
+		return 0, l.sendGoodbye()
 	}
 	l.node.limiter.ReserveN(time.Now(), min(size, entryBurst))
 	l.node.metrics.entryBytes.Add(float64(size))
@@ -231,11 +231,11 @@
 	return batchDelay, nil
 }
 
-// sayGoodbye sends the last frame when the link is finishing.
-func (l *link) sayGoodbye() error {
+// sendGoodbye sends the last frame when the link is goodbyeRequested.
+func (l *link) sendGoodbye() error {
 	l.mu.Lock()
-	due := l.finishing && !l.saidBye
-	l.saidBye = l.saidBye || due
+	due := l.goodbyeRequested && !l.goodbyeSent
+	l.goodbyeSent = l.goodbyeSent || due
 	l.mu.Unlock()
 	if !due {
 		return nil
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -26,15 +26,15 @@
 	mu      sync.Mutex
 	stopped bool
 	// draining refuses new links.
-	draining bool
-	links    map[*link]struct{}
-	keepers  map[Target]*keeper
-	subs     []*subscription
-	random   *rand.Rand
+	draining   bool
+	links      map[*link]struct{}
+	connectors map[Target]*connector
+	subs       []*subscription
+	random     *rand.Rand
 
 	// syncMu guards the state of anti-entropy.
 	syncMu   sync.Mutex
-	pulled   time.Time
+	lastPull time.Time
 	pullLink *link
 	// pullTableSize is the number of entries that the neighbour of the last pull held.
 	pullTableSize int
@@ -51,14 +51,14 @@
 		return nil, err
 	}
 	return &Node{
-		options: options,
-		table:   newTable(options.Classes),
-		limiter: rate.NewLimiter(entryRate, entryBurst),
-		metrics: m,
-		log:     options.Log.With().Str("part", "gossip").Logger(),
-		links:   make(map[*link]struct{}),
-		keepers: make(map[Target]*keeper),
-		random:  options.Random,
+		options:    options,
+		table:      newTable(options.Classes),
+		limiter:    rate.NewLimiter(entryRate, entryBurst),
+		metrics:    m,
+		log:        options.Log.With().Str("part", "gossip").Logger(),
+		links:      make(map[*link]struct{}),
+		connectors: make(map[Target]*connector),
+		random:     options.Random,
 	}, nil
 }
 
@@ -114,7 +114,7 @@
 // entry that is not newer than the one held changes nothing. An entry outside
 // the bounds of its class fails with a RefusedError. The value is copied.
 func (n *Node) Publish(key string, version uint64, value []byte) error {
-	_, err := n.accept(nil, key, version, value, 0)
+	_, err := n.applyEntry(nil, key, version, value, 0)
 	return err
 }
 
@@ -162,7 +162,7 @@
 	n.mu.Lock()
 	n.draining = true
 	for l := range n.links {
-		l.finish()
+		l.requestGoodbye()
 	}
 	n.mu.Unlock()
 	ticker := time.NewTicker(batchDelay)
@@ -179,9 +179,9 @@
 	return nil
 }
 
-// accept puts an entry, and when it is new spreads it to all links but the one
+// applyEntry puts an entry, and when it is new spreads it to all links but the one
 // it came from, which is nil for an entry of this daemon.
-func (n *Node) accept(from *link, key string, version uint64, value []byte, age time.Duration) (bool, error) {
+func (n *Node) applyEntry(from *link, key string, version uint64, value []byte, age time.Duration) (bool, error) {
 	now := time.Now()
 	changed, err := n.table.put(key, version, value, age, now)
 	if err != nil || !changed {
@@ -190,18 +190,18 @@
 	n.syncMu.Lock()
 	n.lastChange = now
 	n.syncMu.Unlock()
-	n.spread(from, key)
+	n.enqueueExcept(from, key)
 	n.notify(key)
 	return true, nil
 }
 
-// spread marks the key for sending on all links but one.
-func (n *Node) spread(except *link, key string) {
+// enqueueExcept marks the key for sending on all links but one.
+func (n *Node) enqueueExcept(except *link, key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
 		if l != except {
-			l.mark(key)
+			l.enqueue(key)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	if n.stopped || n.draining {
 		return ErrStopped
 	}
-	if len(n.links) >= maxLinks || l.target == nil && n.exhausted() {
+	if len(n.links) >= maxLinks || l.target == nil && n.entryRateExhausted() {
 		return ErrTooManyLinks
 	}
 	n.links[l] = struct{}{}
@@ -221,10 +221,10 @@
 	return nil
 }
 
-// exhausted tells whether this daemon has many links and may not send its table to another
+// entryRateExhausted tells whether this daemon has many links and may not send its table to another
 // neighbour now: it would wait for seconds while others could serve it. The caller holds mu.
-func (n *Node) exhausted() bool {
-	return len(n.links) >= spareLinks && n.limiter.Tokens() < float64(n.table.size()*entryBytes)
+func (n *Node) entryRateExhausted() bool {
+	return len(n.links) >= guaranteedLinks && n.limiter.Tokens() < float64(n.table.size()*typicalEntryBytes)
 }
 
 func (n *Node) detach(l *link) {
@@ -234,14 +234,14 @@
 	n.mu.Unlock()
 	n.syncMu.Lock()
 	if n.pullLink == l {
-		n.pulled = time.Time{}
+		n.lastPull = time.Time{}
 		n.pullTableSize = 0
 	}
 	n.syncMu.Unlock()
 }
 
-// linked tells whether an open link to the named neighbour exists.
-func (n *Node) linked(name string) bool {
+// hasLink tells whether an open link to the named neighbour exists.
+func (n *Node) hasLink(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l := range n.links {
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -16,21 +16,21 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// wire connects nodes by links in memory and counts what passes.
-type wire struct {
-	mu      sync.Mutex
-	nodes   map[string]*Node
-	entries int
-	bytes   int
-	beats   int
-	largest int
-	// mute drops what acceptors send, so that only dialers find silence.
-	mute bool
+// memNetwork connects nodes by links in memory and counts what passes.
+type memNetwork struct {
+	mu         sync.Mutex
+	nodes      map[string]*Node
+	entries    int
+	bytes      int
+	heartbeats int
+	largest    int
+	// dropFromAcceptors drops what acceptors send, so that only dialers find silence.
+	dropFromAcceptors bool
 }
 
-// wireLink is one side of a link.
-type wireLink struct {
-	wire *wire
+// memLink is one side of a link.
+type memLink struct {
+	wire *memNetwork
 	in   chan *bronzeturnv1.Frame
 	out  chan *bronzeturnv1.Frame
 	done chan struct{}
@@ -41,7 +41,7 @@
 
 var errClosed = errors.New("closed")
 
-func (l *wireLink) Send(frame *bronzeturnv1.Frame) error {
+func (l *memLink) Send(frame *bronzeturnv1.Frame) error {
 	if !l.wire.count(frame, l.acceptor) {
 		return nil
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (l *wireLink) Receive() (*bronzeturnv1.Frame, error) {
+func (l *memLink) Receive() (*bronzeturnv1.Frame, error) {
 	select {
 	case frame := <-l.in:
 		return frame, nil
@@ -62,29 +62,29 @@
 	}
 }
 
-func (l *wireLink) Close() { l.once.Do(func() { close(l.done) }) }
+func (l *memLink) Close() { l.once.Do(func() { close(l.done) }) }
 
 // count notes a frame, and tells whether it gets through.
-func (w *wire) count(frame *bronzeturnv1.Frame, acceptor bool) bool {
+func (w *memNetwork) count(frame *bronzeturnv1.Frame, acceptor bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.entries += len(frame.GetEntries())
 	w.bytes += proto.Size(frame)
 	if frame.GetHeartbeat() != nil && frame.GetHello() == nil {
-		w.beats++
+		w.heartbeats++
 		w.largest = max(w.largest, proto.Size(frame))
 	}
-	return !w.mute || !acceptor
+	return !w.dropFromAcceptors || !acceptor
 }
 
-func (w *wire) reset() {
+func (w *memNetwork) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.entries, w.bytes, w.beats, w.largest = 0, 0, 0, 0
+	w.entries, w.bytes, w.heartbeats, w.largest = 0, 0, 0, 0
 }
 
 // DialLink implements Dialer.
-func (w *wire) DialLink(_ context.Context, target Target) (Link, error) {
+func (w *memNetwork) DialLink(_ context.Context, target Target) (Link, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	node := w.nodes[target.Name]
@@ -94,25 +94,25 @@
 	there, back := make(chan *bronzeturnv1.Frame, 100), make(chan *bronzeturnv1.Frame, 100)
 	done, once := make(chan struct{}), &sync.Once{}
 	go func() {
-		_ = node.Accept(&wireLink{wire: w, in: there, out: back, done: done, once: once, acceptor: true})
+		_ = node.Accept(&memLink{wire: w, in: there, out: back, done: done, once: once, acceptor: true})
 	}()
-	return &wireLink{wire: w, in: back, out: there, done: done, once: once}, nil
+	return &memLink{wire: w, in: back, out: there, done: done, once: once}, nil
 }
 
-type lostLog struct {
+type lossRecorder struct {
 	mu   sync.Mutex
 	lost []error
 }
 
-func (l *lostLog) HeartbeatReceived(string, *bronzeturnv1.Heartbeat) {}
+func (l *lossRecorder) HeartbeatReceived(string, *bronzeturnv1.Heartbeat) {}
 
-func (l *lostLog) LinkLost(_ Target, err error) {
+func (l *lossRecorder) LinkLost(_ Target, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = append(l.lost, err)
 }
 
-func (w *wire) start(t *testing.T, name string, observer Observer) *Node {
+func (w *memNetwork) start(t *testing.T, name string, observer Observer) *Node {
 	n, err := New(Options{
 		Name:     name,
 		Classes:  testClasses,
@@ -133,11 +133,11 @@
 }
 
 // startLine starts nodes of which each is linked with the one before.
-func startLine(t *testing.T, names ...string) (*wire, []*Node) {
-	w := &wire{nodes: make(map[string]*Node)}
+func startLine(t *testing.T, names ...string) (*memNetwork, []*Node) {
+	w := &memNetwork{nodes: make(map[string]*Node)}
 	var nodes []*Node
 	for i, name := range names {
-		n := w.start(t, name, &lostLog{})
+		n := w.start(t, name, &lossRecorder{})
 		if i > 0 {
 			n.SetTargets([]Target{{Name: names[i-1]}})
 		}
@@ -191,14 +191,14 @@
 func TestHeartbeatsAreFewAndSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, nodes := startLine(t, "a", "b")
-		// Between two beats, so that the count does not depend on the order of
+		// Between two heartbeats, so that the count does not depend on the order of
 		// events at one instant.
 		time.Sleep(HeartbeatInterval / 2)
 		w.reset()
 		time.Sleep(10 * time.Second)
 		w.mu.Lock()
 		// Both sides of the one link, two a second.
-		qt.Check(t, w.beats, qt.Equals, 40)
+		qt.Check(t, w.heartbeats, qt.Equals, 40)
 		qt.Check(t, w.largest <= 48, qt.IsTrue, qt.Commentf("%d bytes", w.largest))
 		w.mu.Unlock()
 		stopAll(t, nodes)
@@ -220,15 +220,15 @@
 
 func TestSilentLinkIsClosedAndOpenedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &wire{nodes: make(map[string]*Node)}
-		observer := &lostLog{}
-		a, b := w.start(t, "a", observer), w.start(t, "b", &lostLog{})
+		w := &memNetwork{nodes: make(map[string]*Node)}
+		observer := &lossRecorder{}
+		a, b := w.start(t, "a", observer), w.start(t, "b", &lossRecorder{})
 		a.SetTargets([]Target{{Name: "b"}})
 		time.Sleep(time.Second)
 		qt.Check(t, a.Links(), qt.DeepEquals, []string{"b"})
 
 		w.mu.Lock()
-		w.mute = true
+		w.dropFromAcceptors = true
 		w.mu.Unlock()
 		time.Sleep(SilenceTimeout + HeartbeatInterval)
 		qt.Check(t, a.Links(), qt.HasLen, 0)
@@ -237,7 +237,7 @@
 		observer.mu.Unlock()
 
 		w.mu.Lock()
-		w.mute = false
+		w.dropFromAcceptors = false
 		w.mu.Unlock()
 		time.Sleep(SilenceTimeout + 2*redialMax)
 		qt.Check(t, a.Links(), qt.DeepEquals, []string{"b"})
@@ -258,8 +258,8 @@
 
 func TestSubscribersSeeWhatIsThereAndWhatExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &wire{nodes: make(map[string]*Node)}
-		a := w.start(t, "a", &lostLog{})
+		w := &memNetwork{nodes: make(map[string]*Node)}
+		a := w.start(t, "a", &lossRecorder{})
 		qt.Assert(t, a.Publish("aged/x", 9, []byte("v")), qt.IsNil)
 		var seen []uint64
 		a.Subscribe("aged/", func(_ string, version uint64, _ []byte) { seen = append(seen, version) })
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -20,23 +20,23 @@
 	HeartbeatInterval = 500 * time.Millisecond
 	// SilenceTimeout is how long a link may carry nothing before it is closed.
 	SilenceTimeout = 4 * HeartbeatInterval
-	// digestEvery is how many heartbeats share one table digest.
-	digestEvery = 4
+	// heartbeatsPerDigest is how many heartbeats share one table digest.
+	heartbeatsPerDigest = 4
 	// batchDelay is how long a link gathers entries before it sends them.
 	batchDelay = 5 * time.Millisecond
 	// batchBytes bounds the entries of one frame.
 	batchBytes = 64 << 10
 	// summaryEntries bounds the versions of one summary frame.
 	summaryEntries = 1000
-	// maxControl bounds the anti-entropy frames waiting on one link.
-	maxControl = 64
+	// maxControlFrames bounds the anti-entropy frames waiting on one link.
+	maxControlFrames = 64
 	// maxLinks bounds the links of one daemon, both directions together.
 	maxLinks = 64
-	// spareLinks is how many links a daemon accepts whatever it may send: more than it has
+	// guaranteedLinks is how many links a daemon accepts whatever it may send: more than it has
 	// neighbours in the fleet.
-	spareLinks = 16
-	// entryBytes is the usual size of an entry.
-	entryBytes = 100
+	guaranteedLinks = 16
+	// typicalEntryBytes is the usual size of an entry.
+	typicalEntryBytes = 100
 	// maxReferralEntries bounds the random daemon entries in a referral. It is large enough
 	// for a refused daemon to find neighbours below their link limit while many daemons join.
 	maxReferralEntries = 24
@@ -46,13 +46,13 @@
 	entryBurst = 1 << 20
 	// rateRetry is how long a link waits when the rate is used up.
 	rateRetry = 50 * time.Millisecond
-	// quietPull and busyPull are the shortest times between two anti-entropy
+	// pullInterval and busyPullInterval are the shortest times between two anti-entropy
 	// exchanges while the table is quiet, and while changes are in flight.
-	quietPull = 1 * time.Second
-	busyPull  = 10 * time.Second
-	// manyMissing is how many entries a neighbour may hold more before this daemon
+	pullInterval     = 1 * time.Second
+	busyPullInterval = 10 * time.Second
+	// manyMissingEntries is how many entries a neighbour may hold more before this daemon
 	// fetches them at once although changes are in flight.
-	manyMissing = 8
+	manyMissingEntries = 8
 	// largerTableFactor is the least ratio of a neighbour's table size to that of the
 	// neighbour of the last pull at which the next pull starts without waiting.
 	largerTableFactor = 2
--- a/gossip/pull_test.go
+++ b/gossip/pull_test.go
@@ -14,8 +14,8 @@
 func TestHeartbeatOmitsDigestWhileRateUsedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		w := &wire{nodes: make(map[string]*Node)}
-		a := w.start(t, "a", &lostLog{})
+		w := &memNetwork{nodes: make(map[string]*Node)}
+		a := w.start(t, "a", &lossRecorder{})
 		c.Check(a.heartbeat(true).GetTableSize(), qt.Equals, uint32(1))
 		a.limiter.ReserveN(time.Now(), entryBurst)
 		c.Check(a.heartbeat(true).GetTableSize(), qt.Equals, uint32(0))
@@ -29,15 +29,15 @@
 // just after a pull from a neighbour that has itself just joined.
 func TestLargerTableIsPulledWithoutWaiting(t *testing.T) {
 	c := qt.New(t)
-	w := &wire{nodes: make(map[string]*Node)}
-	a := w.start(t, "a", &lostLog{})
+	w := &memNetwork{nodes: make(map[string]*Node)}
+	a := w.start(t, "a", &lossRecorder{})
 	small, large := &link{}, &link{}
 	now := time.Now()
 	c.Check(a.beginPull(small, 20, now), qt.IsTrue)
 	c.Check(a.beginPull(large, 39, now), qt.IsFalse)
 	c.Check(a.beginPull(large, 40, now), qt.IsTrue)
 	c.Check(a.pullLink, qt.Equals, large)
-	// A larger table is not pulled early if fewer than manyMissing entries are missing.
+	// A larger table is not pulled early if fewer than manyMissingEntries entries are missing.
 	for i := range 90 {
 		c.Assert(a.Publish(fmt.Sprintf("kept/%d", i), 1, nil), qt.IsNil)
 	}
@@ -51,8 +51,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const entries = 500
 		c := qt.New(t)
-		w := &wire{nodes: make(map[string]*Node)}
-		a, b := w.start(t, "a", &lostLog{}), w.start(t, "b", &lostLog{})
+		w := &memNetwork{nodes: make(map[string]*Node)}
+		a, b := w.start(t, "a", &lossRecorder{}), w.start(t, "b", &lossRecorder{})
 		size := 0
 		for i := range entries {
 			key, value := fmt.Sprintf("kept/front-hall-centro-%d", i), fmt.Appendf(nil, "10.1.0.%d:8200", i%250)
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -16,7 +16,7 @@
 	// A first frame with entries but no hello is a referral.
 	if frame.GetHello() == nil && len(frame.GetEntries()) > 0 {
 		for _, e := range frame.GetEntries() {
-			l.takeEntry(e)
+			l.receiveEntry(e)
 		}
 		return ErrReferred
 	}
@@ -44,35 +44,35 @@
 // handle takes in one frame.
 func (l *link) handle(name string, frame *bronzeturnv1.Frame) {
 	for _, e := range frame.GetEntries() {
-		l.takeEntry(e)
+		l.receiveEntry(e)
 	}
 	if h := frame.GetHeartbeat(); h != nil {
 		l.node.options.Observer.HeartbeatReceived(name, h)
 		if h.GetTableSize() > 0 {
-			l.node.compare(l, h)
+			l.node.pullIfDifferent(l, h)
 		}
 	}
 	if d := frame.GetDigest(); d != nil {
 		keys, summary := l.node.table.compareDigest(d)
 		for _, key := range keys {
-			l.mark(key)
+			l.enqueue(key)
 		}
-		l.push(splitSummary(summary)...)
+		l.enqueueControl(splitSummary(summary)...)
 	}
 	if s := frame.GetSummary(); s != nil {
 		if want := l.node.table.compareSummary(s); want != nil {
-			l.push(&bronzeturnv1.Frame{Want: want})
+			l.enqueueControl(&bronzeturnv1.Frame{Want: want})
 		}
 	}
 	for _, key := range frame.GetWant().GetKeys() {
-		l.mark(key)
+		l.enqueue(key)
 	}
 }
 
-// takeEntry takes in one entry. What is refused is counted and not passed on.
-func (l *link) takeEntry(e *bronzeturnv1.TableEntry) {
+// receiveEntry takes in one entry. What is refused is counted and not passed on.
+func (l *link) receiveEntry(e *bronzeturnv1.TableEntry) {
 	age := time.Duration(min(e.GetAgeMs(), maxAgeMillis)) * time.Millisecond
-	changed, err := l.node.accept(l, e.GetKey(), e.GetVersion(), e.GetValue(), age)
+	changed, err := l.node.applyEntry(l, e.GetKey(), e.GetVersion(), e.GetValue(), age)
 	var refused *RefusedError
 	if errors.As(err, &refused) {
 		l.node.metrics.refused.WithLabelValues(string(refused.Reason)).Inc()
@@ -83,16 +83,16 @@
 	}
 	held := l.node.table.get(e.GetKey())
 	if held != nil && held.hash == hashEntry(e.GetKey(), e.GetVersion(), e.GetValue()) {
-		l.unmark(e.GetKey())
+		l.dequeue(e.GetKey())
 	}
 }
 
 // maxAgeMillis bounds the age that a neighbour may state for an entry.
 const maxAgeMillis = uint64(30 * 24 * time.Hour / time.Millisecond)
 
-// compare starts an anti-entropy exchange when the neighbour's table differs
+// pullIfDifferent starts an anti-entropy exchange when the neighbour's table differs
 // and no exchange ran just before.
-func (n *Node) compare(l *link, theirs *bronzeturnv1.Heartbeat) {
+func (n *Node) pullIfDifferent(l *link, theirs *bronzeturnv1.Heartbeat) {
 	if theirs.GetTableDigest() == n.table.digest() {
 		return
 	}
@@ -101,7 +101,7 @@
 	}
 	n.metrics.pulls.Inc()
 	digest := &bronzeturnv1.TableDigest{Buckets: n.table.digests()}
-	l.push(&bronzeturnv1.Frame{Digest: digest})
+	l.enqueueControl(&bronzeturnv1.Frame{Digest: digest})
 }
 
 // beginPull lets one exchange run at a time, so that a starting daemon does
@@ -109,22 +109,22 @@
 // flight tables differ all the time, so exchanges are then rarer, unless many
 // entries are missing. neighbourSize is the number of entries in the neighbour's
 // table. If it is at least largerTableFactor times that of the last pull, and at least
-// manyMissing entries are missing, the exchange starts without waiting, because
+// manyMissingEntries entries are missing, the exchange starts without waiting, because
 // the neighbour of the last pull may itself have just joined.
 func (n *Node) beginPull(l *link, neighbourSize int, now time.Time) bool {
 	n.syncMu.Lock()
 	defer n.syncMu.Unlock()
 	missing := neighbourSize - n.table.size()
-	busy := now.Sub(n.lastChange) < quietPull && missing < manyMissing
-	wait := quietPull
+	busy := now.Sub(n.lastChange) < pullInterval && missing < manyMissingEntries
+	wait := pullInterval
 	if busy {
-		wait = busyPull
+		wait = busyPullInterval
 	}
-	larger := missing >= manyMissing && neighbourSize >= largerTableFactor*n.pullTableSize
-	if now.Sub(n.pulled) < wait && !larger {
+	larger := missing >= manyMissingEntries && neighbourSize >= largerTableFactor*n.pullTableSize
+	if now.Sub(n.lastPull) < wait && !larger {
 		return false
 	}
-	n.pulled = now
+	n.lastPull = now
 	n.pullLink = l
 	n.pullTableSize = neighbourSize
 	return true
--- a/gossip/subscribe.go
+++ b/gossip/subscribe.go
@@ -13,8 +13,8 @@
 // than states, so a slow subscriber skips states but never sees an older one
 // after a newer one.
 type subscription struct {
-	prefix string
-	call   Subscriber
+	prefix   string
+	callback Subscriber
 
 	mu     sync.Mutex
 	queue  []string
@@ -26,10 +26,10 @@
 // and after each change, one call at a time.
 func (n *Node) Subscribe(prefix string, f Subscriber) {
 	s := &subscription{
-		prefix: prefix,
-		call:   f,
-		queued: make(map[string]struct{}),
-		wake:   make(chan struct{}, 1),
+		prefix:   prefix,
+		callback: f,
+		queued:   make(map[string]struct{}),
+		wake:     make(chan struct{}, 1),
 	}
 	n.mu.Lock()
 	n.subs = append(n.subs, s)
@@ -68,10 +68,10 @@
 func (n *Node) deliver(s *subscription, key string) {
 	e := n.table.get(key)
 	if e == nil {
-		s.call(key, 0, nil)
+		s.callback(key, 0, nil)
 		return
 	}
-	s.call(key, e.version, e.value)
+	s.callback(key, e.version, e.value)
 }
 
 func (s *subscription) add(key string) {
--- a/gossip/table.go
+++ b/gossip/table.go
@@ -50,8 +50,8 @@
 	key     string
 	version uint64
 	value   []byte
-	// born is when the entry was published, by this daemon's monotonic clock.
-	born time.Time
+	// publishedAt is when the entry was published, by this daemon's monotonic clock.
+	publishedAt time.Time
 	// hash covers key, version and value.
 	hash uint64
 }
@@ -121,10 +121,10 @@
 	if old != nil && !newer(version, value, old) {
 		return false, nil
 	}
-	if old == nil && !c.take() {
+	if old == nil && !c.reserve() {
 		return false, &RefusedError{Key: key, Reason: ReasonFull}
 	}
-	e := &entry{key: key, version: version, value: bytes.Clone(value), born: now.Add(-age)}
+	e := &entry{key: key, version: version, value: bytes.Clone(value), publishedAt: now.Add(-age)}
 	e.hash = hashEntry(key, version, value)
 	if old != nil {
 		b.digest ^= old.hash
@@ -153,8 +153,8 @@
 	return c, nil
 }
 
-// take counts one more entry, unless the class is full.
-func (c *class) take() bool {
+// reserve counts one more entry, unless the class is full.
+func (c *class) reserve() bool {
 	if c.entries.Add(1) > int64(c.MaxEntries) {
 		c.entries.Add(-1)
 		return false
@@ -187,7 +187,7 @@
 		for key, e := range b.entries {
 			c := t.classOf(key)
 			ttl := c.ttl(e.value)
-			if ttl <= 0 || now.Sub(e.born) < ttl {
+			if ttl <= 0 || now.Sub(e.publishedAt) < ttl {
 				continue
 			}
 			delete(b.entries, key)
@@ -239,7 +239,7 @@
 func (t *table) message(e *entry, now time.Time) *bronzeturnv1.TableEntry {
 	m := &bronzeturnv1.TableEntry{Key: e.key, Version: e.version, Value: e.value}
 	if t.classOf(e.key).ttl(e.value) > 0 {
-		m.AgeMs = uint64(max(0, now.Sub(e.born).Milliseconds()))
+		m.AgeMs = uint64(max(0, now.Sub(e.publishedAt).Milliseconds()))
 	}
 	return m
 }
--- a/membership/build.go
+++ b/membership/build.go
@@ -24,23 +24,23 @@
 // records is the content of the table that the view is built from.
 type records struct {
 	daemons map[string]*bronzeturnv1.DaemonState
-	// claims are the suspicions by target and reporter.
-	claims map[string]map[string]claim
+	// suspicions are the suspicions by target and reporter.
+	suspicions map[string]map[string]suspicion
 	hosts  map[string]hostState
 }
 
 func newRecords() *records {
 	return &records{
 		daemons: make(map[string]*bronzeturnv1.DaemonState),
-		claims:  make(map[string]map[string]claim),
+		suspicions:  make(map[string]map[string]suspicion),
 		hosts:   make(map[string]hostState),
 	}
 }
 
 // buildView works out the view of the daemon self. It is a pure function, so
 // daemons with equal tables have equal views, but for their own state.
-func buildView(self string, r *records, keep time.Duration) *View {
-	v := &View{Self: self, EntriesTTL: keep, byName: make(map[string]int)}
+func buildView(self string, r *records, entriesTTL time.Duration) *View {
+	v := &View{Self: self, EntriesTTL: entriesTTL, byName: make(map[string]int)}
 	for name, d := range r.daemons {
 		if name != self && r.hosts[hostOf(name, d)] == hostRemoved {
 			continue
@@ -91,7 +91,7 @@
 }
 
 // maxCapacity bounds what a daemon may claim to carry, against a wrong entry that
-// would draw all duties.
+// would drawAddresses all duties.
 const maxCapacity = 1e9
 
 // capacityOf returns the capacity that a daemon states, 1 where it states none that can
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -12,11 +12,11 @@
 	// heardWithin is how old a heartbeat may be for the neighbour to count as
 	// heard.
 	heardWithin = suspectAfter
-	// newsHop is added to the age of news for each daemon it passed, since the
+	// newsHopDelay is added to the age of news for each daemon it passed, since the
 	// time on the wire cannot be seen.
-	newsHop = 100 * time.Millisecond
-	// forgetAfter is how long the contact to a former neighbour is kept.
-	forgetAfter = time.Minute
+	newsHopDelay = 100 * time.Millisecond
+	// contactRetention is how long the contact to a former neighbour is kept.
+	contactRetention = time.Minute
 )
 
 // contact is what this daemon knows first hand about another.
@@ -29,9 +29,9 @@
 	heartbeat *bronzeturnv1.Heartbeat
 	lost      error
 
-	claimed   bool
-	claim     claim
-	claimedAt time.Time
+	reported   bool
+	report     suspicion
+	reportedAt time.Time
 }
 
 // silent tells whether the neighbour has been silent for too long.
@@ -97,8 +97,8 @@
 	return c
 }
 
-// watchContacts sets which contacts are neighbours and forgets old ones.
-func (m *Membership) watchContacts(names []string, now time.Time) {
+// updateContacts sets which contacts are neighbours and forgets old ones.
+func (m *Membership) updateContacts(names []string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	wanted := make(map[string]struct{}, len(names))
@@ -115,7 +115,7 @@
 			continue
 		}
 		c.monitored = false
-		if now.Sub(c.heard) > forgetAfter && now.Sub(c.since) > forgetAfter {
+		if now.Sub(c.heard) > contactRetention && now.Sub(c.since) > contactRetention {
 			m.withdrawLocked(name, c)
 			delete(m.contacts, name)
 		}
@@ -127,29 +127,29 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pausedAfter {
-		m.freshStartLocked(now)
+		m.resetSilenceLocked(now)
 	}
 	m.lastTick = now
-	m.tendOwnLocked(now)
+	m.maintainOwnLocked(now)
 	for name, c := range m.contacts {
-		m.judgeLocked(name, c, now)
+		m.updateReportLocked(name, c, now)
 	}
-	if m.changes.decayed(now) {
-		m.signal()
+	if m.changes.anyExpired(now) {
+		m.requestRebuild()
 	}
 }
 
-// freshStartLocked forgives the neighbours' silence, since this daemon itself
+// resetSilenceLocked forgives the neighbours' silence, since this daemon itself
 // was paused.
-func (m *Membership) freshStartLocked(now time.Time) {
+func (m *Membership) resetSilenceLocked(now time.Time) {
 	m.log.Warn().Dur("gap", now.Sub(m.lastTick)).Msg("this daemon was paused")
 	for _, c := range m.contacts {
 		c.since = now
 	}
 }
 
-// judgeLocked reports a silent neighbour, or withdraws the report.
-func (m *Membership) judgeLocked(name string, c *contact, now time.Time) {
+// updateReportLocked reports a silent neighbour, or withdraws the report.
+func (m *Membership) updateReportLocked(name string, c *contact, now time.Time) {
 	if !c.silent(now) {
 		m.withdrawLocked(name, c)
 		return
@@ -158,34 +158,34 @@
 	if !c.monitored || d == nil || d.GetLeaving() {
 		return
 	}
-	next := claim{incarnation: d.GetIncarnation(), reason: c.reason()}
-	if c.claimed && !m.reclaim(name, c, next, now) {
+	next := suspicion{incarnation: d.GetIncarnation(), reason: c.reason()}
+	if c.reported && !m.reportDue(name, c, next, now) {
 		return
 	}
-	c.claimed, c.claim, c.claimedAt = true, next, now
+	c.reported, c.report, c.reportedAt = true, next, now
 	value := encode(&bronzeturnv1.Suspicion{Incarnation: next.incarnation, Reason: next.reason})
-	m.publish(suspectKey(name, m.options.Self.Name), m.own.version(), value)
+	m.publish(suspectKey(name, m.options.Self.Name), m.own.nextVersion(), value)
 	m.log.Warn().Str("daemon", name).Str("reason", next.reason.String()).AnErr("cause", c.lost).Msg("neighbour suspected")
 }
 
-// reclaim tells whether a report that stands has to be made again: with a more
+// reportDue tells whether a report that stands has to be made again: with a more
 // certain reason, to keep it from expiring, or after it was refuted. A refuted
 // one rests for a while, since this daemon may be the one that is cut off, but
 // not when another neighbour reports the daemon again.
-func (m *Membership) reclaim(name string, c *contact, next claim, now time.Time) bool {
-	age := now.Sub(c.claimedAt)
-	if next.incarnation != c.claim.incarnation {
-		return age > reclaimAfter || m.reportedByOther(name, next.incarnation)
+func (m *Membership) reportDue(name string, c *contact, next suspicion, now time.Time) bool {
+	age := now.Sub(c.reportedAt)
+	if next.incarnation != c.report.incarnation {
+		return age > refutedRetryAfter || m.suspectedByOther(name, next.incarnation)
 	}
-	if next.reason != c.claim.reason {
+	if next.reason != c.report.reason {
 		return next.reason == bronzeturnv1.SuspicionReason_SUSPICION_REASON_UNREACHABLE
 	}
 	return age > refreshSuspicion
 }
 
-// reportedByOther tells whether another daemon suspects this incarnation.
-func (m *Membership) reportedByOther(name string, incarnation uint64) bool {
-	for reporter, c := range m.records.claims[name] {
+// suspectedByOther tells whether another daemon suspects this incarnation.
+func (m *Membership) suspectedByOther(name string, incarnation uint64) bool {
+	for reporter, c := range m.records.suspicions[name] {
 		if reporter != m.options.Self.Name && c.incarnation >= incarnation {
 			return true
 		}
@@ -195,11 +195,11 @@
 
 // withdrawLocked takes back a report.
 func (m *Membership) withdrawLocked(name string, c *contact) {
-	if !c.claimed {
+	if !c.reported {
 		return
 	}
-	c.claimed = false
-	m.publish(suspectKey(name, m.options.Self.Name), m.own.version(), nil)
+	c.reported = false
+	m.publish(suspectKey(name, m.options.Self.Name), m.own.nextVersion(), nil)
 }
 
 // ownSampleLocked counts the neighbours expected and those heard.
@@ -253,19 +253,19 @@
 func (m *Membership) ConfigNewsAge() (age time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.newsLocked(time.Now())
+	return m.configNewsAgeLocked(time.Now())
 }
 
-func (m *Membership) newsLocked(now time.Time) (age time.Duration, ok bool) {
-	if !m.own.heardStore.IsZero() {
-		age, ok = now.Sub(m.own.heardStore), true
+func (m *Membership) configNewsAgeLocked(now time.Time) (age time.Duration, ok bool) {
+	if !m.own.storeConfirmed.IsZero() {
+		age, ok = now.Sub(m.own.storeConfirmed), true
 	}
 	for _, c := range m.contacts {
 		h := c.heartbeat
 		if h.GetNewsAgeMs() == 0 || h.GetConfigGeneration() > m.own.generation {
 			continue
 		}
-		relayed := now.Sub(c.heard) + time.Duration(h.GetNewsAgeMs())*time.Millisecond + newsHop
+		relayed := now.Sub(c.heard) + time.Duration(h.GetNewsAgeMs())*time.Millisecond + newsHopDelay
 		if !ok || relayed < age {
 			age, ok = relayed, true
 		}
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// keepMin and keepMax bound how long callers may keep an answer.
-	keepMin = 5 * time.Second
-	keepMax = 60 * time.Second
-	// keepShare is the share of daemons that may change while an answer is kept.
-	keepShare = 0.05
+	// minEntriesTTL and maxEntriesTTL bound how long callers may keep an answer.
+	minEntriesTTL = 5 * time.Second
+	maxEntriesTTL = 60 * time.Second
+	// maxChangedShare is the share of daemons that may change while an answer is kept.
+	maxChangedShare = 0.05
 	// changeWindow is the time over which changes are counted.
 	changeWindow = 5 * time.Minute
 	// maxChanges bounds the changes remembered.
 	maxChanges = 512
-	// entryCount is how many addresses an answer names at most, nearEntries how
+	// maxEntryAddresses is how many addresses an answer names at most, localEntryAddresses how
 	// many of them in the caller's own data centre.
-	entryCount  = 3
-	nearEntries = 2
+	maxEntryAddresses   = 3
+	localEntryAddresses = 2
 )
 
 // changeLog remembers when daemons came, went or changed their state.
 type changeLog struct {
-	times   []time.Time
-	counted int
+	times     []time.Time
+	lastCount int
 }
 
 // add notes n changes.
@@ -42,13 +42,13 @@
 	for len(c.times) > 0 && now.Sub(c.times[0]) > changeWindow {
 		c.times = c.times[1:]
 	}
-	c.counted = len(c.times)
-	return c.counted
+	c.lastCount = len(c.times)
+	return c.lastCount
 }
 
-// decayed tells whether changes have left the window since the last count.
-func (c *changeLog) decayed(now time.Time) bool {
-	return c.counted > 0 && len(c.times) > 0 && now.Sub(c.times[0]) > changeWindow
+// anyExpired tells whether changes have left the window since the last count.
+func (c *changeLog) anyExpired(now time.Time) bool {
+	return c.lastCount > 0 && len(c.times) > 0 && now.Sub(c.times[0]) > changeWindow
 }
 
 // membersChanged counts the daemons that stopped being live between two views.
@@ -66,14 +66,14 @@
 	return n
 }
 
-// keepFor returns how long an answer may be kept, such that at the recent rate
-// of changes at most keepShare of the daemons change meanwhile.
-func keepFor(changes, members int) time.Duration {
+// entriesTTLFor returns how long an answer may be kept, such that at the recent rate
+// of changes at most maxChangedShare of the daemons change meanwhile.
+func entriesTTLFor(changes, members int) time.Duration {
 	if changes == 0 {
-		return keepMax
+		return maxEntriesTTL
 	}
-	keep := time.Duration(keepShare * float64(members) * float64(changeWindow) / float64(changes))
-	return min(max(keep, keepMin), keepMax)
+	keep := time.Duration(maxChangedShare * float64(members) * float64(changeWindow) / float64(changes))
+	return min(max(keep, minEntriesTTL), maxEntriesTTL)
 }
 
 // Entries returns caller addresses of live daemons, best first, and how long
@@ -97,15 +97,15 @@
 			far = append(far, m)
 		}
 	}
-	addresses, near := draw(nil, near, nearEntries, random)
-	addresses, _ = draw(addresses, far, entryCount-len(addresses), random)
-	addresses, _ = draw(addresses, near, entryCount-len(addresses), random)
+	addresses, near := drawAddresses(nil, near, localEntryAddresses, random)
+	addresses, _ = drawAddresses(addresses, far, maxEntryAddresses-len(addresses), random)
+	addresses, _ = drawAddresses(addresses, near, maxEntryAddresses-len(addresses), random)
 	return addresses
 }
 
-// draw appends n addresses, drawn without replacement in proportion to the free
+// drawAddresses appends n addresses, drawn without replacement in proportion to the free
 // capacity that the coarse load leaves. It also returns the members left.
-func draw(addresses []string, members []Member, n int, random *rand.Rand) ([]string, []Member) {
+func drawAddresses(addresses []string, members []Member, n int, random *rand.Rand) ([]string, []Member) {
 	for ; n > 0 && len(members) > 0; n-- {
 		total := 0
 		for _, m := range members {
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -99,7 +99,7 @@
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 6)
-		neighbour := fleet[0].monitored(fleet[0].View())[0]
+		neighbour := fleet[0].neighbours(fleet[0].View())[0]
 		net.setCut("entry-0", neighbour, true)
 		time.Sleep(outTime)
 		for _, m := range fleet[1:] {
@@ -163,7 +163,7 @@
 		defer net.stopAll()
 		fleet := startFleet(t, net, 12)
 		lonely := fleet[7]
-		beside := lonely.monitored(lonely.View())
+		beside := lonely.neighbours(lonely.View())
 		for _, m := range fleet {
 			if m != lonely {
 				net.setCut("entry-7", m.options.Self.Name, true)
@@ -231,7 +231,7 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		for name, c := range m.contacts {
-			qt.Check(t, c.claimed, qt.IsFalse, qt.Commentf("%s", name))
+			qt.Check(t, c.reported, qt.IsFalse, qt.Commentf("%s", name))
 		}
 	})
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -124,7 +124,7 @@
 	var b strings.Builder
 	for name, c := range d.contacts {
 		fmt.Fprintf(&b, "\n%s: monitored %v, heard %v ago, lost %v, claimed %v %v, claims %v",
-			name, c.monitored, time.Since(c.heard), c.lost, c.claimed, c.claim, d.records.claims[name])
+			name, c.monitored, time.Since(c.heard), c.lost, c.reported, c.report, d.records.suspicions[name])
 	}
 	return b.String()
 }
--- a/membership/hosts.go
+++ b/membership/hosts.go
@@ -48,7 +48,7 @@
 func (m *Membership) watchHosts() error {
 	ticker := time.NewTicker(hostPoll)
 	defer ticker.Stop()
-	w := &hostWatch{membership: m}
+	w := &hostListReader{membership: m}
 	for {
 		select {
 		case <-m.tomb.Dying():
@@ -63,15 +63,15 @@
 	}
 }
 
-// hostWatch is the state of one watcher.
-type hostWatch struct {
-	membership *Membership
-	known      uint64
-	failed     bool
-	doubtSince time.Time
+// hostListReader is the state of one watcher.
+type hostListReader struct {
+	membership       *Membership
+	known            uint64
+	failed           bool
+	massRemovalSince time.Time
 }
 
-func (w *hostWatch) read(ctx context.Context) {
+func (w *hostListReader) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, hostTimeout)
 	defer cancel()
 	list, changed, err := w.membership.options.HostList.Hosts(ctx, w.known)
@@ -86,14 +86,14 @@
 	if !changed {
 		return
 	}
-	if w.take(list, time.Now()) {
+	if w.apply(list, time.Now()) {
 		w.known = list.Revision
 	}
 }
 
-// take floods what the list changed. It reports false when the list has to be
+// apply floods what the list changed. It reports false when the list has to be
 // read again.
-func (w *hostWatch) take(list Hosts, now time.Time) bool {
+func (w *hostListReader) apply(list Hosts, now time.Time) bool {
 	m := w.membership
 	listed := make(map[string]struct{}, len(list.Hosts))
 	for _, h := range list.Hosts {
@@ -105,15 +105,15 @@
 	}
 	known, missing := m.missingHosts(listed, list.Revision)
 	if float64(len(missing)) > massRemoval*float64(known) {
-		if w.doubtSince.IsZero() {
-			w.doubtSince = now
+		if w.massRemovalSince.IsZero() {
+			w.massRemovalSince = now
 			m.log.Warn().Int("missing", len(missing)).Int("known", known).Msg("host list lost most hosts, waiting")
 		}
-		if now.Sub(w.doubtSince) < massRemovalAfter {
+		if now.Sub(w.massRemovalSince) < massRemovalAfter {
 			return false
 		}
 	}
-	w.doubtSince = time.Time{}
+	w.massRemovalSince = time.Time{}
 	for _, name := range missing {
 		m.publish(hostPrefix+name, list.Revision, nil)
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -27,10 +27,10 @@
 	view         atomic.Pointer[View]
 	leavingHosts atomic.Pointer[map[string]struct{}]
 	changed      chan struct{}
-	// rebuilding keeps views in order; it is taken before mu.
-	rebuilding sync.Mutex
-	// targeting keeps targets in order; it is taken before mu.
-	targeting sync.Mutex
+	// rebuildMu keeps views in order; it is taken before mu.
+	rebuildMu sync.Mutex
+	// targetsMu keeps targets in order; it is taken before mu.
+	targetsMu sync.Mutex
 
 	// mu guards what follows.
 	mu       sync.Mutex
@@ -39,10 +39,10 @@
 	contacts map[string]*contact
 	changes  changeLog
 	lastTick time.Time
-	// probe counts the turns of probing, probed is the time of the last.
-	probe  int
-	probed time.Time
-	subs   []func(*View)
+	// probeIndex counts the turns of probing, probed is the time of the last.
+	probeIndex int
+	lastProbe  time.Time
+	subs       []func(*View)
 	// foundSeeds are peer addresses that were found after the start.
 	foundSeeds []string
 }
@@ -61,16 +61,16 @@
 		changed:  make(chan struct{}, 1),
 	}
 	node, err := gossip.New(gossip.Options{
-		Name:       options.Self.Name,
-		Classes:    append(classes(), options.Classes...),
-		Dialer:     options.Dialer,
-		Observer:   (*observer)(m),
-		Status:     m.heartbeat,
+		Name:           options.Self.Name,
+		Classes:        append(classes(), options.Classes...),
+		Dialer:         options.Dialer,
+		Observer:       (*observer)(m),
+		Status:         m.heartbeat,
 		GreetingKeys:   []string{daemonPrefix + options.Self.Name},
-		ReferralPrefix:   daemonPrefix,
-		Random:     rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
-		Log:        options.Log,
-		Registerer: options.Registerer,
+		ReferralPrefix: daemonPrefix,
+		Random:         rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
+		Log:            options.Log,
+		Registerer:     options.Registerer,
 	})
 	if err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	m.leavingHosts.Store(&map[string]struct{}{})
 	m.own.start(options.Self, time.Now())
 	m.records.daemons[options.Self.Name] = m.own.message()
-	m.view.Store(buildView(options.Self.Name, m.records, keepMax))
+	m.view.Store(buildView(options.Self.Name, m.records, maxEntriesTTL))
 	return m, nil
 }
 
@@ -139,8 +139,8 @@
 // Subscribe calls f with the view of now and after every change, one call at a
 // time. f must not block.
 func (m *Membership) Subscribe(f func(*View)) {
-	m.rebuilding.Lock()
-	defer m.rebuilding.Unlock()
+	m.rebuildMu.Lock()
+	defer m.rebuildMu.Unlock()
 	m.mu.Lock()
 	m.subs = append(m.subs, f)
 	m.mu.Unlock()
@@ -194,7 +194,7 @@
 			rebuild = nil
 			started := time.Now()
 			m.rebuild()
-			pause = max(rebuildDelay, rebuildRest*time.Since(started))
+			pause = max(rebuildDelay, rebuildPauseFactor*time.Since(started))
 		case <-timer.C:
 			timer.Reset(backoff.UntilTick(tickInterval))
 			now := time.Now()
@@ -206,8 +206,8 @@
 	}
 }
 
-// signal asks for a new view.
-func (m *Membership) signal() {
+// requestRebuild asks for a new view.
+func (m *Membership) requestRebuild() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
@@ -216,14 +216,14 @@
 
 // rebuild builds the view from the records and tells the subscribers.
 func (m *Membership) rebuild() {
-	m.rebuilding.Lock()
-	defer m.rebuilding.Unlock()
+	m.rebuildMu.Lock()
+	defer m.rebuildMu.Unlock()
 	m.mu.Lock()
 	old := m.view.Load()
 	now := time.Now()
 	v := buildView(m.options.Self.Name, m.records, 0)
 	m.changes.add(now, membersChanged(old, v))
-	v.EntriesTTL = keepFor(m.changes.count(now), len(v.Members))
+	v.EntriesTTL = entriesTTLFor(m.changes.count(now), len(v.Members))
 	m.view.Store(v)
 	m.storeLeavingHostsLocked()
 	subs := slices.Clone(m.subs)
@@ -235,9 +235,9 @@
 	m.setTargets()
 }
 
-// mostLines bounds the lines that one change of the view writes about daemons that are
+// maxJoinLines bounds the lines that one change of the view writes about daemons that are
 // new and live: when a whole fleet starts, one line names them all.
-const mostLines = 8
+const maxJoinLines = 8
 
 // logChanges writes one line for every daemon whose state changed.
 func (m *Membership) logChanges(old, v *View) {
@@ -252,7 +252,7 @@
 			changed = append(changed, member)
 		}
 	}
-	if len(joined) > mostLines {
+	if len(joined) > maxJoinLines {
 		names := make([]string, len(joined))
 		for i, member := range joined {
 			names[i] = member.Name
@@ -285,7 +285,7 @@
 		PeersKnown:       uint32(known),
 		PeersHeard:       uint32(heard),
 	}
-	if age, ok := m.newsLocked(now); ok {
+	if age, ok := m.configNewsAgeLocked(now); ok {
 		h.NewsAgeMs = uint64(max(1, age.Milliseconds()))
 	}
 	return h
--- a/membership/options.go
+++ b/membership/options.go
@@ -22,13 +22,13 @@
 	// pausedAfter is the gap between two ticks that tells this daemon that it was
 	// paused itself, and that its neighbours deserve a fresh start.
 	pausedAfter = 3 * tickInterval
-	// reclaimAfter is how long a refuted suspicion rests before this daemon
+	// refutedRetryAfter is how long a refuted suspicion rests before this daemon
 	// reports it again without having heard the neighbour in between.
-	reclaimAfter = 60 * time.Second
+	refutedRetryAfter = 60 * time.Second
 	// rebuildDelay gathers changes of the table before the view is built again.
 	rebuildDelay = 10 * time.Millisecond
-	// rebuildRest bounds the share of time spent building: one part in so many.
-	rebuildRest = 30
+	// rebuildPauseFactor bounds the share of time spent building: one part in so many.
+	rebuildPauseFactor = 30
 	// probeInterval is how long one suspected daemon is probed.
 	probeInterval = 5 * time.Second
 
--- a/membership/own.go
+++ b/membership/own.go
@@ -30,8 +30,8 @@
 	publishedLoad int
 	loadAt        time.Time
 
-	generation uint64
-	heardStore time.Time
+	generation     uint64
+	storeConfirmed time.Time
 }
 
 func (o *ownState) start(self Self, now time.Time) {
@@ -39,8 +39,8 @@
 	o.incarnation = uint64(max(1, now.UnixMilli()))
 }
 
-// version returns the next version of an entry of this daemon.
-func (o *ownState) version() uint64 {
+// nextVersion returns the next nextVersion of an entry of this daemon.
+func (o *ownState) nextVersion() uint64 {
 	o.counter++
 	if o.counter >= 1<<counterBits {
 		o.incarnation++
@@ -49,9 +49,9 @@
 	return o.incarnation<<counterBits | o.counter
 }
 
-// raise makes the incarnation greater than seen. It reports false when seen
+// raiseAbove makes the incarnation greater than seen. It reports false when seen
 // cannot be surpassed.
-func (o *ownState) raise(seen uint64) bool {
+func (o *ownState) raiseAbove(seen uint64) bool {
 	if seen >= maxIncarnation {
 		return false
 	}
@@ -76,7 +76,7 @@
 // publishOwnLocked floods the state of this daemon.
 func (m *Membership) publishOwnLocked() {
 	now := time.Now()
-	version := m.own.version()
+	version := m.own.nextVersion()
 	m.own.published = now
 	m.own.publishedLoad = m.own.load
 	m.own.loadAt = now
@@ -85,7 +85,7 @@
 
 // publishRemovalLocked takes this daemon out of the table.
 func (m *Membership) publishRemovalLocked() {
-	m.publish(daemonPrefix+m.options.Self.Name, m.own.version(), nil)
+	m.publish(daemonPrefix+m.options.Self.Name, m.own.nextVersion(), nil)
 }
 
 // publish puts an entry of this daemon into the table.
@@ -95,10 +95,10 @@
 	}
 }
 
-// tendOwnLocked answers suspicions of this daemon and refreshes its entry.
-func (m *Membership) tendOwnLocked(now time.Time) {
-	if seen := m.seenAgainstSelfLocked(); seen >= m.own.incarnation {
-		if !m.own.raise(seen) {
+// maintainOwnLocked answers suspicions of this daemon and refreshes its entry.
+func (m *Membership) maintainOwnLocked(now time.Time) {
+	if seen := m.conflictingIncarnationLocked(); seen >= m.own.incarnation {
+		if !m.own.raiseAbove(seen) {
 			return
 		}
 		m.publishOwnLocked()
@@ -111,11 +111,11 @@
 	}
 }
 
-// seenAgainstSelfLocked returns the greatest incarnation at which this daemon
+// conflictingIncarnationLocked returns the greatest incarnation at which this daemon
 // is suspected, or at which an entry of its name exists that it did not write.
-func (m *Membership) seenAgainstSelfLocked() uint64 {
+func (m *Membership) conflictingIncarnationLocked() uint64 {
 	var seen uint64
-	for _, c := range m.records.claims[m.options.Self.Name] {
+	for _, c := range m.records.suspicions[m.options.Self.Name] {
 		seen = max(seen, c.incarnation)
 	}
 	version, _, ok := m.node.Get(daemonPrefix + m.options.Self.Name)
@@ -155,12 +155,12 @@
 // SetConfigNews tells which generation of the configuration is in force here, and
 // when this daemon last heard from the store that none is newer. A zero time
 // leaves the latter as it was.
-func (m *Membership) SetConfigNews(generation uint64, heardStore time.Time) {
+func (m *Membership) SetConfigNews(generation uint64, storeConfirmed time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.generation = max(m.own.generation, generation)
-	if heardStore.After(m.own.heardStore) {
-		m.own.heardStore = heardStore
+	if storeConfirmed.After(m.own.storeConfirmed) {
+		m.own.storeConfirmed = storeConfirmed
 	}
 }
 
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -22,32 +22,32 @@
 // centreSeed is the seed of the ring of one data centre.
 const centreSeed = "centre/"
 
-// place is the position of a daemon on a ring.
-type place struct {
+// position is the position of a daemon on a ring.
+type position struct {
 	hash uint64
 	name string
 }
 
-func (p place) before(q place) bool {
+func (p position) before(q position) bool {
 	return p.hash < q.hash || p.hash == q.hash && p.name < q.name
 }
 
 // ring is a set of daemons in the order of their hashes.
 type ring struct {
-	seed   string
-	places []place
+	seed      string
+	positions []position
 }
 
-func placeOf(seed, name string) place {
-	return place{hash: xxhash.Sum64String(seed + name), name: name}
+func positionOf(seed, name string) position {
+	return position{hash: xxhash.Sum64String(seed + name), name: name}
 }
 
 func newRing(seed string, names []string) ring {
-	r := ring{seed: seed, places: make([]place, len(names))}
+	r := ring{seed: seed, positions: make([]position, len(names))}
 	for i, name := range names {
-		r.places[i] = placeOf(seed, name)
+		r.positions[i] = positionOf(seed, name)
 	}
-	slices.SortFunc(r.places, func(p, q place) int {
+	slices.SortFunc(r.positions, func(p, q position) int {
 		if p.before(q) {
 			return -1
 		}
@@ -56,20 +56,20 @@
 	return r
 }
 
-// beside appends the names just before and just after a name, which need not be
+// appendAdjacent appends the names just before and just after a name, which need not be
 // on the ring itself.
-func (r ring) beside(name string, to []string) []string {
-	n := len(r.places)
-	me := placeOf(r.seed, name)
-	at := sort.Search(n, func(i int) bool { return !r.places[i].before(me) })
+func (r ring) appendAdjacent(name string, to []string) []string {
+	n := len(r.positions)
+	me := positionOf(r.seed, name)
+	at := sort.Search(n, func(i int) bool { return !r.positions[i].before(me) })
 	next := at
-	if at < n && r.places[at].name == name {
+	if at < n && r.positions[at].name == name {
 		next++
 	}
 	if n == 0 || n == 1 && next == 1 {
 		return to
 	}
-	return append(to, r.places[(at+n-1)%n].name, r.places[next%n].name)
+	return append(to, r.positions[(at+n-1)%n].name, r.positions[next%n].name)
 }
 
 // rings are the rings of a set of daemons.
@@ -101,9 +101,9 @@
 // them are in its own data centre, one outside is added.
 func (r *rings) neighbours(name, dataCentre string) []string {
 	var chosen []string
-	chosen = r.centres[dataCentre].beside(name, chosen)
+	chosen = r.centres[dataCentre].appendAdjacent(name, chosen)
 	for _, fleet := range r.fleet {
-		chosen = fleet.beside(name, chosen)
+		chosen = fleet.appendAdjacent(name, chosen)
 	}
 	if outside := r.outside(dataCentre); len(outside) > 0 && !intersects(chosen, outside) {
 		chosen = append(chosen, rendezvous.Owner(name, outside))
--- a/membership/schedule_test.go
+++ b/membership/schedule_test.go
@@ -208,7 +208,7 @@
 			continue
 		}
 		addresses, keep := m.Entries("hall-centro", w.random)
-		if keep < keepMin || keep > keepMax {
+		if keep < minEntriesTTL || keep > maxEntriesTTL {
 			w.fault("entries may be kept for %v", keep)
 		}
 		for _, address := range addresses {
@@ -232,7 +232,7 @@
 		w.net.setPaused(w.name(i), false)
 	}
 	w.list.set(0, false)
-	time.Sleep(reclaimAfter + 30*time.Second)
+	time.Sleep(refutedRetryAfter + 30*time.Second)
 }
 
 // checkSettled checks that all live daemons agree with each other and with the
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -4,24 +4,24 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// enoughReporters is how many neighbours have to suspect a daemon before it
+// minReporters is how many neighbours have to suspect a daemon before it
 // counts as down.
-const enoughReporters = 2
+const minReporters = 2
 
-// claim is one neighbour's suspicion of a daemon.
-type claim struct {
+// suspicion is one neighbour's suspicion of a daemon.
+type suspicion struct {
 	incarnation uint64
 	reason      bronzeturnv1.SuspicionReason
 }
 
-// claims are the suspicions that count, by target and reporter.
-type claims map[string]map[string]claim
+// suspicions are the suspicions that count, by target and reporter.
+type suspicions map[string]map[string]suspicion
 
-// countedClaims returns the claims that count: the reporter is a known daemon
+// countedSuspicions returns the claims that count: the reporter is a known daemon
 // other than the target, and the target has not raised its incarnation since.
-func countedClaims(r *records) claims {
-	counted := make(claims)
-	for target, byReporter := range r.claims {
+func countedSuspicions(r *records) suspicions {
+	counted := make(suspicions)
+	for target, byReporter := range r.suspicions {
 		d := r.daemons[target]
 		if d == nil {
 			continue
@@ -31,7 +31,7 @@
 				continue
 			}
 			if counted[target] == nil {
-				counted[target] = make(map[string]claim)
+				counted[target] = make(map[string]suspicion)
 			}
 			counted[target][reporter] = c
 		}
@@ -43,7 +43,7 @@
 // The one suspected by most goes first, and its own claims then no longer count:
 // a daemon that was cut off suspects all its neighbours, and is wrong.
 func applySuspicions(v *View, r *records) {
-	counted := countedClaims(r)
+	counted := countedSuspicions(r)
 	out := make(map[string]struct{})
 	for {
 		i := mostSuspected(v, counted, out)
@@ -66,7 +66,7 @@
 
 // mostSuspected returns the index of the member with the most claims, among
 // those not yet out that have enough, or -1.
-func mostSuspected(v *View, counted claims, out map[string]struct{}) int {
+func mostSuspected(v *View, counted suspicions, out map[string]struct{}) int {
 	best := -1
 	for i, m := range v.Members {
 		n := len(counted[m.Name])
@@ -76,16 +76,16 @@
 		if best >= 0 && n <= len(counted[v.Members[best].Name]) {
 			continue
 		}
-		if n >= enoughReporters || n >= judges(v, m, counted, out) {
+		if n >= minReporters || n >= trustedNeighbours(v, m, counted, out) {
 			best = i
 		}
 	}
 	return best
 }
 
-// judges returns how many neighbours of a daemon can be trusted to judge it:
+// trustedNeighbours returns how many neighbours of a daemon can be trusted to judge it:
 // those that nobody else suspects.
-func judges(v *View, target Member, counted claims, out map[string]struct{}) int {
+func trustedNeighbours(v *View, target Member, counted suspicions, out map[string]struct{}) int {
 	n := 0
 	for _, name := range v.rings.neighbours(target.Name, target.DataCentre) {
 		if _, gone := out[name]; gone {
@@ -104,7 +104,7 @@
 
 // reasonOf sums up the claims: one neighbour that could open a connection is
 // enough to know that the daemon's host answers.
-func reasonOf(byReporter map[string]claim) Reason {
+func reasonOf(byReporter map[string]suspicion) Reason {
 	for _, c := range byReporter {
 		if c.reason == bronzeturnv1.SuspicionReason_SUSPICION_REASON_FROZEN {
 			return ReasonFrozen
--- a/membership/table.go
+++ b/membership/table.go
@@ -24,7 +24,7 @@
 	default:
 		m.records.daemons[name] = state
 	}
-	m.signal()
+	m.requestRebuild()
 }
 
 // suspicionChanged takes in an entry "suspect/TARGET/REPORTER".
@@ -38,17 +38,17 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if gone {
-		delete(m.records.claims[target], reporter)
-		if len(m.records.claims[target]) == 0 {
-			delete(m.records.claims, target)
+		delete(m.records.suspicions[target], reporter)
+		if len(m.records.suspicions[target]) == 0 {
+			delete(m.records.suspicions, target)
 		}
 	} else {
-		if m.records.claims[target] == nil {
-			m.records.claims[target] = make(map[string]claim)
+		if m.records.suspicions[target] == nil {
+			m.records.suspicions[target] = make(map[string]suspicion)
 		}
-		m.records.claims[target][reporter] = claim{incarnation: s.GetIncarnation(), reason: s.GetReason()}
+		m.records.suspicions[target][reporter] = suspicion{incarnation: s.GetIncarnation(), reason: s.GetReason()}
 	}
-	m.signal()
+	m.requestRebuild()
 }
 
 // hostChanged takes in an entry "host/NAME". A removal that has expired counts
@@ -74,7 +74,7 @@
 	} else {
 		m.records.hosts[host] = state
 	}
-	m.signal()
+	m.requestRebuild()
 }
 
 // storeLeavingHostsLocked publishes the set that BackendLeaving reads.
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -13,11 +13,11 @@
 // turn, since two parts of the fleet that were cut apart may have no neighbours
 // in each other.
 func (m *Membership) setTargets() {
-	m.targeting.Lock()
-	defer m.targeting.Unlock()
+	m.targetsMu.Lock()
+	defer m.targetsMu.Unlock()
 	v := m.view.Load()
-	names := m.monitored(v)
-	m.watchContacts(names, time.Now())
+	names := m.neighbours(v)
+	m.updateContacts(names, time.Now())
 	if probe := m.probeName(v); probe != "" && !slices.Contains(names, probe) {
 		names = append(names, probe)
 	}
@@ -43,12 +43,12 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return suspected[m.probe%len(suspected)]
+	return suspected[m.probeIndex%len(suspected)]
 }
 
-// monitored returns the names of the neighbours. Leaving daemons keep theirs,
+// neighbours returns the names of the neighbours. Leaving daemons keep theirs,
 // since they finish requests and have to hear the fleet until they stop.
-func (m *Membership) monitored(v *View) []string {
+func (m *Membership) neighbours(v *View) []string {
 	self := m.options.Self
 	names := v.rings.neighbours(self.Name, self.DataCentre)
 	var live []Member
@@ -101,10 +101,10 @@
 func (m *Membership) probeDue(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.probed) < probeInterval {
+	if now.Sub(m.lastProbe) < probeInterval {
 		return false
 	}
-	m.probed = now
-	m.probe = m.options.Random.IntN(maxDaemons)
+	m.lastProbe = now
+	m.probeIndex = m.options.Random.IntN(maxDaemons)
 	return true
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -116,10 +116,10 @@
 		r := fleetRecords(test.n, 1)
 		for _, c := range test.claims {
 			target := full(c[1])
-			if r.claims[target] == nil {
-				r.claims[target] = make(map[string]claim)
+			if r.suspicions[target] == nil {
+				r.suspicions[target] = make(map[string]suspicion)
 			}
-			r.claims[target][full(c[0])] = claim{incarnation: 1}
+			r.suspicions[target][full(c[0])] = suspicion{incarnation: 1}
 		}
 		var out []string
 		for _, m := range buildView("entry-000", r, 0).Members {
@@ -140,7 +140,7 @@
 		}
 		v := buildView("entry-000", r, 0)
 		addresses := v.Entries("centre-1", rand.New(rand.NewPCG(1, 1)))
-		if len(addresses) < min(nearEntries, v.Live()) || len(addresses) > entryCount {
+		if len(addresses) < min(localEntryAddresses, v.Live()) || len(addresses) > maxEntryAddresses {
 			t.Fatalf("%d addresses of %d live", len(addresses), v.Live())
 		}
 		for i, address := range addresses {
@@ -171,14 +171,14 @@
 		changes, members int
 		want             time.Duration
 	}{
-		{0, 6, keepMax},
-		{1, 6, keepMax},
+		{0, 6, maxEntriesTTL},
+		{1, 6, maxEntriesTTL},
 		{6, 6, 15 * time.Second},
-		{100, 6, keepMin},
-		{7, 410, keepMax},
+		{100, 6, minEntriesTTL},
+		{7, 410, maxEntriesTTL},
 	}
 	for _, test := range tests {
-		qt.Check(t, keepFor(test.changes, test.members), qt.Equals, test.want, qt.Commentf("%+v", test))
+		qt.Check(t, entriesTTLFor(test.changes, test.members), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
 
@@ -208,10 +208,10 @@
 			if near == far || !near {
 				continue
 			}
-			if r.claims[name] == nil {
-				r.claims[name] = make(map[string]claim)
+			if r.suspicions[name] == nil {
+				r.suspicions[name] = make(map[string]suspicion)
 			}
-			r.claims[name][m.Name] = claim{incarnation: 1}
+			r.suspicions[name][m.Name] = suspicion{incarnation: 1}
 		}
 	}
 	for b.Loop() {
--- a/peer/directory.go
+++ b/peer/directory.go
@@ -26,10 +26,10 @@
 	pingTimeout = 1 * time.Second
 	// idleTimeout closes connections that carry no call.
 	idleTimeout = 60 * time.Second
-	// maxCall bounds a unary call whose context has no deadline. It is longer
+	// unaryTimeout bounds a unary call whose context has no deadline. It is longer
 	// than pingAfter and pingTimeout together, so that the connection of a call
 	// that failed for silence is not used for the next one.
-	maxCall = 5 * time.Second
+	unaryTimeout = 5 * time.Second
 	// MaxMessageBytes bounds one message between daemons.
 	MaxMessageBytes = 2 << 20
 	// bufferBytes is the read and write buffer of one connection.
@@ -70,7 +70,7 @@
 	d.transport.HTTP2 = http2Config()
 	if credentials != nil {
 		d.scheme = "https"
-		d.transport.DialTLSContext = handshaker(d.transport.DialTLSContext)
+		d.transport.DialTLSContext = boundTLSDial(d.transport.DialTLSContext)
 	}
 	d.client = &boundedClient{client: &http.Client{Transport: d.transport}}
 	return d
@@ -135,9 +135,9 @@
 	}
 }
 
-// handshaker bounds the opening of an authenticated connection and gives its
+// boundTLSDial bounds the opening of an authenticated connection and gives its
 // failures the type of those of a plain one, since nothing was sent either.
-func handshaker(dial security.DialFunc) security.DialFunc {
+func boundTLSDial(dial security.DialFunc) security.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
@@ -161,7 +161,7 @@
 	if _, bounded := ctx.Deadline(); bounded || isStream(request) {
 		return b.client.Do(request)
 	}
-	ctx, cancel := context.WithTimeout(ctx, maxCall)
+	ctx, cancel := context.WithTimeout(ctx, unaryTimeout)
 	response, err := b.client.Do(request.WithContext(ctx))
 	if err != nil {
 		cancel()
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -84,7 +84,7 @@
 		Key:  filepath.Join(folder, "127.0.0.1-peer-key.pem"),
 		CA:   filepath.Join(folder, "peer-ca.pem"),
 	}
-	credentials := load(t, files)
+	credentials := loadCredentials(t, files)
 	s := startServer(t, answer, credentials.Server())
 	with := NewDirectory(nil, credentials, newTraffic(t))
 	defer with.Close()
@@ -92,13 +92,13 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.Equals, "HTTP/2.0 answer")
 
-	without := NewDirectory(nil, load(t, security.Files{CA: files.CA}), newTraffic(t))
+	without := NewDirectory(nil, loadCredentials(t, security.Files{CA: files.CA}), newTraffic(t))
 	defer without.Close()
 	_, err = call(t.Context(), without, s.Address())
 	qt.Check(t, err, qt.IsNotNil)
 }
 
-func load(t *testing.T, files security.Files) *security.Credentials {
+func loadCredentials(t *testing.T, files security.Files) *security.Credentials {
 	credentials, err := security.Load(files, nil)
 	qt.Assert(t, err, qt.IsNil)
 	return credentials
@@ -191,8 +191,8 @@
 			r.mu.Lock()
 			r.silent = append(r.silent, silent)
 			r.mu.Unlock()
-			go carry(client, server, silent)
-			go carry(server, client, silent)
+			go copyBytes(client, server, silent)
+			go copyBytes(server, client, silent)
 		}
 	}()
 	return r
@@ -208,7 +208,7 @@
 	r.silent = nil
 }
 
-func carry(from, to net.Conn, silent chan struct{}) {
+func copyBytes(from, to net.Conn, silent chan struct{}) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
