--- a/membership/build.go
+++ b/membership/build.go
@@ -9,10 +9,11 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// minWatchers is the least number of watchers in a fleet that large.
+// minWatchers is the minimum number of watchers in a fleet with at least that many live
+// daemons.
 const minWatchers = 3
 
-// hostState is what the host list says of a host.
+// hostState is the state of a host according to the host list.
 type hostState int
 
 const (
@@ -21,24 +22,25 @@
 	hostRemoved
 )
 
-// records is the content of the table that the view is built from.
+// records holds the decoded table entries from which the view is built.
 type records struct {
 	daemons map[string]*bronzeturnv1.DaemonState
-	// suspicions are the suspicions by target and reporter.
+	// suspicions maps a target and a reporter to the suspicion that the reporter published.
 	suspicions map[string]map[string]suspicion
-	hosts  map[string]hostState
+	hosts      map[string]hostState
 }
 
 func newRecords() *records {
 	return &records{
-		daemons: make(map[string]*bronzeturnv1.DaemonState),
-		suspicions:  make(map[string]map[string]suspicion),
-		hosts:   make(map[string]hostState),
+		daemons:    make(map[string]*bronzeturnv1.DaemonState),
+		suspicions: make(map[string]map[string]suspicion),
+		hosts:      make(map[string]hostState),
 	}
 }
 
-// buildView works out the view of the daemon self. It is a pure function, so
-// daemons with equal tables have equal views, but for their own state.
+// buildView computes the view of the daemon self from the records. It is a pure function, so
+// daemons with equal tables compute equal views except for their own state: a daemon always
+// lists itself and never marks itself as suspected.
 func buildView(self string, r *records, entriesTTL time.Duration) *View {
 	v := &View{Self: self, EntriesTTL: entriesTTL, byName: make(map[string]int)}
 	for name, d := range r.daemons {
@@ -69,7 +71,8 @@
 	return name
 }
 
-// member works out what the daemon itself and the host list say of a daemon.
+// member returns the daemon with the state given by its own entry and by the host list.
+// Suspicions are applied later.
 func member(name string, d *bronzeturnv1.DaemonState, r *records) Member {
 	m := Member{
 		Name:          name,
@@ -90,12 +93,12 @@
 	return m
 }
 
-// maxCapacity bounds what a daemon may claim to carry, against a wrong entry that
-// would drawAddresses all duties.
+// maxCapacity limits the capacity that a daemon may state, so that a single wrong entry cannot
+// attract all keys and watcher duties.
 const maxCapacity = 1e9
 
-// capacityOf returns the capacity that a daemon states, 1 where it states none that can
-// be used.
+// capacityOf returns the capacity that a daemon states, or 1 if it states none or an invalid
+// one.
 func capacityOf(d *bronzeturnv1.DaemonState) float64 {
 	if c := d.GetCapacity(); c > 0 && c <= maxCapacity {
 		return c
@@ -103,8 +106,8 @@
 	return 1
 }
 
-// chooseWatchers returns one live daemon of every data centre, and more up to
-// minWatchers, each by rendezvous hashing in proportion to the hosts' capacity.
+// chooseWatchers selects one live daemon in every data centre, plus further live daemons up to
+// minWatchers. Selection uses rendezvous hashing weighted by the daemons' capacity.
 func chooseWatchers(v *View) []string {
 	const key = "watchers"
 	byCentre := make(map[string]map[string]float64)
--- a/membership/capacity_test.go
+++ b/membership/capacity_test.go
@@ -10,9 +10,9 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// TestStrongHostsWatch has three of 59 hosts in each of five data centres carry forty
-// times what the others can, and counts how many of those that watch are strong ones.
-func TestStrongHostsWatch(t *testing.T) {
+// TestWatchersAreChosenByCapacity guards against choosing watchers regardless of capacity: three of the 59
+// hosts in each of five data centres have about forty times the capacity of the others.
+func TestWatchersAreChosenByCapacity(t *testing.T) {
 	c := qt.New(t)
 	strong, all := 0, 0
 	for round := range 40 {
@@ -36,11 +36,11 @@
 		}
 		c.Check(centres, qt.HasLen, 5)
 	}
-	// By their weights 3 x 160 of 3 x 160 + 56 x 3.84, which is 0.69.
+	// The expected share is 3 x 160 of 3 x 160 + 56 x 3.84, which is 0.69.
 	c.Check(float64(strong) >= 0.6*float64(all), qt.IsTrue, qt.Commentf("%d of %d", strong, all))
 }
 
-func TestCapacityThatCannotBeUsedCountsAsOne(t *testing.T) {
+func TestInvalidCapacityIsTreatedAsOne(t *testing.T) {
 	c := qt.New(t)
 	for stated, want := range map[float64]float64{0: 1, -3: 1, math.Inf(1): 1, 1e300: 1, 0.5: 0.5, 32: 32} {
 		c.Check(capacityOf(&bronzeturnv1.DaemonState{Capacity: stated}), qt.Equals, want)
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -9,32 +9,35 @@
 )
 
 const (
-	// heardWithin is how old a heartbeat may be for the neighbour to count as
-	// heard.
+	// heardWithin is the maximum age of the last heartbeat for a neighbour to count as heard.
 	heardWithin = suspectAfter
-	// newsHopDelay is added to the age of news for each daemon it passed, since the
-	// time on the wire cannot be seen.
+	// newsHopDelay is added to the age of configuration news for each daemon that relays it,
+	// because the transmission time cannot be measured. It keeps the reported age from being
+	// too low.
 	newsHopDelay = 100 * time.Millisecond
 	// contactRetention is how long the contact to a former neighbour is kept.
 	contactRetention = time.Minute
 )
 
-// contact is what this daemon knows first hand about another.
+// contact is what this daemon has observed directly about another daemon.
 type contact struct {
+	// monitored is whether the daemon is a neighbour at present.
 	monitored bool
-	// since is when the contact became a neighbour, or when this daemon gave all
-	// its neighbours a fresh start.
+	// since is when the daemon became a neighbour, or when this daemon last resumed from a
+	// pause of its own.
 	since     time.Time
 	heard     time.Time
 	heartbeat *bronzeturnv1.Heartbeat
 	lost      error
 
+	// reported is whether this daemon has published a suspicion that it has not withdrawn.
+	// report and reportedAt describe the last one published.
 	reported   bool
 	report     suspicion
 	reportedAt time.Time
 }
 
-// silent tells whether the neighbour has been silent for too long.
+// silent reports whether the neighbour has exceeded the silence limit that applies to it.
 func (c *contact) silent(now time.Time) bool {
 	if c.heard.IsZero() {
 		return now.Sub(c.since) > neverHeardAfter
@@ -45,8 +48,8 @@
 	return now.Sub(c.heard) > suspectAfter
 }
 
-// reason tells apart a neighbour that cannot be reached from one that can, but
-// does not answer.
+// reason distinguishes a neighbour to which no connection can be opened from one that accepts
+// connections but does not respond.
 func (c *contact) reason() bronzeturnv1.SuspicionReason {
 	var dial dialFailure
 	if errors.As(c.lost, &dial) && dial.ConnectFailed() {
@@ -55,14 +58,14 @@
 	return bronzeturnv1.SuspicionReason_SUSPICION_REASON_FROZEN
 }
 
-// dialFailure is an error of a dialer that tells whether no connection could be
+// dialFailure is implemented by dialer errors that report whether the connection could not be
 // opened.
 type dialFailure interface {
 	error
 	ConnectFailed() bool
 }
 
-// observer takes in what the links tell.
+// observer receives the events of the overlay links.
 type observer Membership
 
 // HeartbeatReceived implements gossip.Observer.
@@ -97,7 +100,8 @@
 	return c
 }
 
-// updateContacts sets which contacts are neighbours and forgets old ones.
+// updateContacts marks the named daemons as neighbours and deletes the contacts of former
+// neighbours after contactRetention.
 func (m *Membership) updateContacts(names []string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,7 +126,7 @@
 	}
 }
 
-// tick looks at the neighbours and at this daemon's own entry.
+// tick checks the neighbours for silence and maintains the entry of this daemon.
 func (m *Membership) tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,8 +143,8 @@
 	}
 }
 
-// resetSilenceLocked forgives the neighbours' silence, since this daemon itself
-// was paused.
+// resetSilenceLocked restarts the silence timers of all neighbours after this daemon itself was
+// paused, because it could not receive their heartbeats meanwhile.
 func (m *Membership) resetSilenceLocked(now time.Time) {
 	m.log.Warn().Dur("gap", now.Sub(m.lastTick)).Msg("this daemon was paused")
 	for _, c := range m.contacts {
@@ -148,7 +152,8 @@
 	}
 }
 
-// updateReportLocked reports a silent neighbour, or withdraws the report.
+// updateReportLocked publishes a suspicion of a silent neighbour, or withdraws it once the
+// neighbour is heard.
 func (m *Membership) updateReportLocked(name string, c *contact, now time.Time) {
 	if !c.silent(now) {
 		m.withdrawLocked(name, c)
@@ -168,10 +173,10 @@
 	m.log.Warn().Str("daemon", name).Str("reason", next.reason.String()).AnErr("cause", c.lost).Msg("neighbour suspected")
 }
 
-// reportDue tells whether a report that stands has to be made again: with a more
-// certain reason, to keep it from expiring, or after it was refuted. A refuted
-// one rests for a while, since this daemon may be the one that is cut off, but
-// not when another neighbour reports the daemon again.
+// reportDue reports whether a published suspicion must be published again: because the reason
+// has become UNREACHABLE, to keep the entry from expiring, or because the target refuted it. A
+// refuted suspicion is repeated only after refutedRetryAfter, since this daemon may be the one
+// that is cut off, or as soon as another neighbour suspects the new incarnation.
 func (m *Membership) reportDue(name string, c *contact, next suspicion, now time.Time) bool {
 	age := now.Sub(c.reportedAt)
 	if next.incarnation != c.report.incarnation {
@@ -183,7 +188,7 @@
 	return age > refreshSuspicion
 }
 
-// suspectedByOther tells whether another daemon suspects this incarnation.
+// suspectedByOther reports whether another daemon suspects this incarnation or a later one.
 func (m *Membership) suspectedByOther(name string, incarnation uint64) bool {
 	for reporter, c := range m.records.suspicions[name] {
 		if reporter != m.options.Self.Name && c.incarnation >= incarnation {
@@ -193,7 +198,7 @@
 	return false
 }
 
-// withdrawLocked takes back a report.
+// withdrawLocked removes the published suspicion of a neighbour.
 func (m *Membership) withdrawLocked(name string, c *contact) {
 	if !c.reported {
 		return
@@ -202,7 +207,7 @@
 	m.publish(suspectKey(name, m.options.Self.Name), m.own.nextVersion(), nil)
 }
 
-// ownSampleLocked counts the neighbours expected and those heard.
+// ownSampleLocked returns the number of neighbours and how many of them are heard.
 func (m *Membership) ownSampleLocked(now time.Time) (known, heard int) {
 	for _, c := range m.contacts {
 		if !c.monitored {
@@ -216,8 +221,8 @@
 	return known, heard
 }
 
-// sample adds up what this daemon and the neighbours that it hears say about
-// their neighbours.
+// sample adds the counts that the heard neighbours report in their heartbeats to those of this
+// daemon.
 func (m *Membership) sample() (known, heard int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -233,23 +238,23 @@
 	return known, heard
 }
 
-// PeersKnown returns the size of the sample behind PeersHeard: the neighbours
-// that this daemon and those it hears expect to hear. It is a sample of the
-// fleet, not a count of it.
+// PeersKnown returns the sum of the neighbour counts of this daemon and of the neighbours that
+// it hears. The same daemon may be counted several times, so the result is a sample of the
+// fleet, not its size.
 func (m *Membership) PeersKnown() int {
 	known, _ := m.sample()
 	return known
 }
 
-// PeersHeard returns how many of that sample are heard.
+// PeersHeard returns how many of the neighbours counted by PeersKnown are heard.
 func (m *Membership) PeersHeard() int {
 	_, heard := m.sample()
 	return heard
 }
 
-// ConfigNewsAge returns how long ago the store was known to hold no newer configuration
-// than the one in force here, first hand or through neighbours. It reports
-// false when that was never known.
+// ConfigNewsAge returns the time since the store was last known to hold no newer configuration
+// than the one in force on this daemon, either from the store itself or relayed by neighbours.
+// It returns false if this was never known.
 func (m *Membership) ConfigNewsAge() (age time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/entries.go
+++ b/membership/entries.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// minEntriesTTL and maxEntriesTTL bound how long callers may keep an answer.
+	// minEntriesTTL and maxEntriesTTL bound how long callers may cache a list of entry
+	// addresses.
 	minEntriesTTL = 5 * time.Second
 	maxEntriesTTL = 60 * time.Second
-	// maxChangedShare is the share of daemons that may change while an answer is kept.
+	// maxChangedShare is the share of the fleet that may stop being live while a list is
+	// cached.
 	maxChangedShare = 0.05
-	// changeWindow is the time over which changes are counted.
+	// changeWindow is the period over which changes are counted.
 	changeWindow = 5 * time.Minute
-	// maxChanges bounds the changes remembered.
+	// maxChanges limits the number of recorded changes.
 	maxChanges = 512
-	// maxEntryAddresses is how many addresses an answer names at most, localEntryAddresses how
-	// many of them in the caller's own data centre.
+	// maxEntryAddresses is the maximum number of addresses in a list, and localEntryAddresses
+	// how many of them come first from the caller's own data centre.
 	maxEntryAddresses   = 3
 	localEntryAddresses = 2
 )
 
-// changeLog remembers when daemons came, went or changed their state.
+// changeLog records when daemons stopped being live.
 type changeLog struct {
 	times     []time.Time
 	lastCount int
 }
 
-// add notes n changes.
+// add records n changes at the time now.
 func (c *changeLog) add(now time.Time, n int) {
 	for range min(n, maxChanges) {
 		c.times = append(c.times, now)
@@ -37,7 +39,7 @@
 	}
 }
 
-// count returns the changes within the window.
+// count returns the number of changes within changeWindow.
 func (c *changeLog) count(now time.Time) int {
 	for len(c.times) > 0 && now.Sub(c.times[0]) > changeWindow {
 		c.times = c.times[1:]
@@ -46,13 +48,13 @@
 	return c.lastCount
 }
 
-// anyExpired tells whether changes have left the window since the last count.
+// anyExpired reports whether changes have left the window since the last call of count.
 func (c *changeLog) anyExpired(now time.Time) bool {
 	return c.lastCount > 0 && len(c.times) > 0 && now.Sub(c.times[0]) > changeWindow
 }
 
-// membersChanged counts the daemons that stopped being live between two views.
-// A daemon that joins makes no kept answer wrong.
+// membersChanged counts the daemons that were live in the old view and are not in the new one.
+// A joining daemon is not counted, since it does not invalidate a cached list.
 func membersChanged(old, v *View) int {
 	n := 0
 	for _, before := range old.Members {
@@ -66,8 +68,8 @@
 	return n
 }
 
-// entriesTTLFor returns how long an answer may be kept, such that at the recent rate
-// of changes at most maxChangedShare of the daemons change meanwhile.
+// entriesTTLFor returns how long a list may be cached so that, at the recent rate of changes,
+// at most maxChangedShare of the daemons change during that time.
 func entriesTTLFor(changes, members int) time.Duration {
 	if changes == 0 {
 		return maxEntriesTTL
@@ -76,16 +78,17 @@
 	return min(max(keep, minEntriesTTL), maxEntriesTTL)
 }
 
-// Entries returns caller addresses of live daemons, best first, and how long
-// the caller may keep them. The first ones are in the caller's data centre when
-// it has any, the last one elsewhere, for when that data centre fails, or there
-// too when no other has any. Callers are spread by load. random is used by this call only.
+// Entries returns the caller addresses of up to three live daemons, in the order of preference,
+// and how long the caller may cache them. The first two are in the caller's data centre if it
+// has enough live daemons. The last is in another data centre, as a fallback when the caller's
+// own fails, or also in the caller's if no other has live daemons. Daemons are drawn at random,
+// weighted by free capacity. random is not used after the call returns.
 func (m *Membership) Entries(callerDataCentre string, random *rand.Rand) (addresses []string, keep time.Duration) {
 	v := m.view.Load()
 	return v.Entries(callerDataCentre, random), v.EntriesTTL
 }
 
-// Entries returns caller addresses of live daemons for a caller, best first.
+// Entries returns the caller addresses described at Membership.Entries.
 func (v *View) Entries(callerDataCentre string, random *rand.Rand) []string {
 	var near, far []Member
 	for _, m := range v.Members {
@@ -103,8 +106,8 @@
 	return addresses
 }
 
-// drawAddresses appends n addresses, drawn without replacement in proportion to the free
-// capacity that the coarse load leaves. It also returns the members left.
+// drawAddresses appends n addresses, drawn without replacement with a probability proportional
+// to the free capacity according to the coarse load. It also returns the members not drawn.
 func drawAddresses(addresses []string, members []Member, n int, random *rand.Rand) ([]string, []Member) {
 	for ; n > 0 && len(members) > 0; n-- {
 		total := 0
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// joinTime is enough virtual time for a small fleet to settle.
+	// joinTime is enough virtual time for a small fleet to join.
 	joinTime = 10 * time.Second
-	// outTime bounds how long a failed daemon stays in the view.
+	// outTime is the maximum time until a failed daemon is suspected by all others.
 	outTime = 6 * time.Second
 )
 
-// startFleet starts n daemons in three data centres.
+// startFleet starts n daemons in up to three data centres and waits until they have joined.
 func startFleet(t testing.TB, net *network, n int) []*Membership {
 	var fleet []*Membership
 	for i := range n {
@@ -39,7 +39,7 @@
 	return member.State, member.Reason
 }
 
-func TestCrashedDaemonIsTakenOutEverywhere(t *testing.T) {
+func TestCrashedDaemonIsSuspectedByAll(t *testing.T) {
 	for _, n := range []int{2, 3, 6} {
 		synctest.Test(t, func(t *testing.T) {
 			net := newNetwork(2 * time.Millisecond)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTwoCrashesOfThreeLeaveOneThatKnows(t *testing.T) {
+func TestSurvivorDetectsTwoCrashesOfThree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestFrozenDaemonIsToldApartAndComesBack(t *testing.T) {
+func TestFrozenDaemonIsReportedAsFrozenAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestCutFromOneIsDoubtedButStaysLive(t *testing.T) {
+func TestDaemonUnreachableFromOneNeighbourStaysLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -133,13 +133,13 @@
 	})
 }
 
-func TestDaemonThatDiesJustAfterItRefutedIsTakenOut(t *testing.T) {
+func TestCrashAfterRefutationIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 3)
-		// entry-1 hears nothing of entry-2 and goes on suspecting it, while entry-2
-		// refutes by way of entry-0; then entry-2 dies.
+		// entry-1 cannot reach entry-2 and keeps suspecting it, while entry-2 refutes the
+		// suspicion through entry-0. Then entry-2 crashes.
 		net.setCut("entry-1", "entry-2", true)
 		time.Sleep(outTime)
 		dying, _ := fleet[0].View().Member("entry-2")
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestPartsWithoutCommonNeighboursMeetAgain(t *testing.T) {
+func TestPartitionsWithoutCommonNeighboursRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -190,7 +190,7 @@
 	})
 }
 
-func TestRestartAfterTheClockWentBackIsSeen(t *testing.T) {
+func TestRestartWithEarlierClockIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestPausedDaemonDoesNotBlameItsNeighbours(t *testing.T) {
+func TestPausedDaemonDoesNotSuspectItsNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -236,7 +236,7 @@
 	})
 }
 
-func TestCutOffDaemonHearsFewOfItsPeers(t *testing.T) {
+func TestIsolatedDaemonHearsNoPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestNewsAgeTravelsAndGrows(t *testing.T) {
+func TestConfigNewsAgeIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -269,7 +269,7 @@
 		for _, m := range fleet {
 			age, ok := m.ConfigNewsAge()
 			qt.Check(t, ok, qt.IsTrue)
-			qt.Check(t, age >= time.Since(heard), qt.IsTrue, qt.Commentf("news look newer than they are: %v", age))
+			qt.Check(t, age >= time.Since(heard), qt.IsTrue, qt.Commentf("news age is too low: %v", age))
 			qt.Check(t, age < time.Since(heard)+time.Second, qt.IsTrue, qt.Commentf("%v", age))
 		}
 		fleet[1].SetConfigNews(5, time.Time{})
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -30,10 +30,10 @@
 	os.Exit(m.Run())
 }
 
-// waitLimit bounds waits for what has to happen; it is no measure of time.
+// waitLimit limits the wait for an expected event. It is far longer than the event takes.
 const waitLimit = 20 * time.Second
 
-// daemon is one membership over a real loopback listener.
+// daemon is a Membership that serves a loopback listener.
 type daemon struct {
 	*Membership
 	traffic *peer.Traffic
@@ -41,7 +41,7 @@
 	stop    func()
 }
 
-// startDaemon starts a daemon with the seeds given.
+// startDaemon starts a daemon with the given seeds.
 func startDaemon(t testing.TB, name, dataCentre string, list HostList, seeds ...string) *daemon {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 	select {
 	case <-met:
 	case <-time.After(waitLimit):
-		t.Fatalf("%s: no view where %s; %d daemons known, %d live%s", d.options.Self.Name, what, len(d.View().Members), d.View().Live(), contactsOf(d))
+		t.Fatalf("%s: no view in which %s; %d daemons known, %d live%s", d.options.Self.Name, what, len(d.View().Members), d.View().Live(), contactsOf(d))
 	}
 }
 
@@ -117,13 +117,13 @@
 	}
 }
 
-// contactsOf describes what a daemon knows first hand, for failures.
+// contactsOf describes a daemon's contacts for failure messages.
 func contactsOf(d *daemon) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var b strings.Builder
 	for name, c := range d.contacts {
-		fmt.Fprintf(&b, "\n%s: monitored %v, heard %v ago, lost %v, claimed %v %v, claims %v",
+		fmt.Fprintf(&b, "\n%s: monitored %v, heard %v ago, lost %v, reported %v %v, suspicions %v",
 			name, c.monitored, time.Since(c.heard), c.lost, c.reported, c.report, d.records.suspicions[name])
 	}
 	return b.String()
--- a/membership/hosts.go
+++ b/membership/hosts.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// hostPoll is the time between two readings of the host list.
+	// hostPoll is the interval between reads of the host list.
 	hostPoll = 500 * time.Millisecond
-	// hostTimeout bounds one reading.
+	// hostTimeout limits the duration of one read.
 	hostTimeout = 2 * time.Second
-	// massRemoval is the share of known hosts above which a list without them is
-	// believed only after massRemovalAfter.
+	// massRemoval is the share of known hosts that may disappear from the list at once. If more
+	// are missing, they are removed only after massRemovalAfter, since the list is then more
+	// likely to be incomplete than correct.
 	massRemoval      = 0.5
 	massRemovalAfter = 10 * time.Second
 )
 
-// HostList is the platform's list of hosts. An adapter converts it.
+// HostList reads the platform's list of hosts. Implementations adapt the platform's API.
 type HostList interface {
-	// Hosts returns the list. It may report false, and no list, when the
-	// revision is still the known one.
+	// Hosts returns the current list. If its revision is still the known one, it may return
+	// changed as false and no list.
 	Hosts(ctx context.Context, known uint64) (list Hosts, changed bool, err error)
 }
 
 // Hosts is the host list at one revision.
 type Hosts struct {
-	// Revision rises with every change of the list.
+	// Revision increases with every change of the list.
 	Revision uint64
 	Hosts    []Host
 }
@@ -37,14 +38,14 @@
 type Host struct {
 	Name       string
 	DataCentre string
-	// Entry tells the daemons' hosts from the backend servers'.
+	// Entry is true for hosts that run a daemon and false for backend servers.
 	Entry   bool
 	Leaving bool
-	// Revision is the one at which the host last changed.
+	// Revision is the revision of the list at which the host last changed.
 	Revision uint64
 }
 
-// watchHosts reads the host list while this daemon is a watcher.
+// watchHosts polls the host list as long as this daemon is a watcher.
 func (m *Membership) watchHosts() error {
 	ticker := time.NewTicker(hostPoll)
 	defer ticker.Stop()
@@ -63,7 +64,7 @@
 	}
 }
 
-// hostListReader is the state of one watcher.
+// hostListReader is the polling state of a watcher.
 type hostListReader struct {
 	membership       *Membership
 	known            uint64
@@ -91,8 +92,8 @@
 	}
 }
 
-// apply floods what the list changed. It reports false when the list has to be
-// read again.
+// apply publishes the differences between the list and the table. It returns false if the list
+// must be read again because too many hosts are missing from it.
 func (w *hostListReader) apply(list Hosts, now time.Time) bool {
 	m := w.membership
 	listed := make(map[string]struct{}, len(list.Hosts))
@@ -120,7 +121,8 @@
 	return true
 }
 
-// publishHost floods the state of one host when the table holds an older one.
+// publishHost publishes the state of a host unless the table holds the same or a later
+// revision.
 func (m *Membership) publishHost(h Host) {
 	key := hostPrefix + h.Name
 	if version, _, ok := m.node.Get(key); ok && version >= h.Revision {
@@ -133,8 +135,8 @@
 	}))
 }
 
-// missingHosts returns how many hosts the table holds, and those of them that a
-// list of this revision no longer has.
+// missingHosts returns the number of hosts in the table, and the names of those that are not
+// listed and whose entry is older than the revision of the list.
 func (m *Membership) missingHosts(listed map[string]struct{}, revision uint64) (known int, missing []string) {
 	m.node.Each(hostPrefix, func(key string, version uint64, value []byte) {
 		if len(value) == 0 {
--- a/membership/hosts_test.go
+++ b/membership/hosts_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// leavingBound is how soon a leaving host has to be known everywhere.
+// leavingBound is the maximum time until all daemons know that a host is leaving.
 const leavingBound = 2 * time.Second
 
-// startListed starts n daemons that read one host list.
+// startListed starts n daemons that read the same host list.
 func startListed(t *testing.T, net *network, list HostList, n int) []*Membership {
 	var fleet []*Membership
 	for i := range n {
@@ -23,7 +23,7 @@
 	return fleet
 }
 
-func TestLeavingBackendHostIsKnownEverywhereSoon(t *testing.T) {
+func TestLeavingBackendHostReachesAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(5 * time.Millisecond)
 		defer net.stopAll()
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestListThatLosesMostHostsIsNotBelievedAtOnce(t *testing.T) {
+func TestMassRemovalOfHostsIsDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(5 * time.Millisecond)
 		defer net.stopAll()
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestDaemonOnALeavingHostIsOutOfEntries(t *testing.T) {
+func TestDaemonOnLeavingHostIsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(5 * time.Millisecond)
 		defer net.stopAll()
--- a/membership/join_test.go
+++ b/membership/join_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestConcurrentJoinThroughOneSeed guards against slow convergence and repeated dials of the
-// seed when more daemons than its link limit start at once and know only that seed.
+// seed when more daemons than the seed's link limit start at once and know only that seed.
 func TestConcurrentJoinThroughOneSeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons, timeout, maxDials = 240, 5 * time.Second, 2 * 240
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/logging"
 )
 
-// Membership keeps the view of the fleet. It is safe for concurrent use.
+// Membership maintains the view of the fleet. It is safe for concurrent use.
 type Membership struct {
 	tomb    tomb.Tomb
 	options Options
@@ -27,28 +27,29 @@
 	view         atomic.Pointer[View]
 	leavingHosts atomic.Pointer[map[string]struct{}]
 	changed      chan struct{}
-	// rebuildMu keeps views in order; it is taken before mu.
+	// rebuildMu serializes rebuilds, so that views are stored and delivered in order. It is
+	// acquired before mu.
 	rebuildMu sync.Mutex
-	// targetsMu keeps targets in order; it is taken before mu.
+	// targetsMu serializes updates of the link targets. It is acquired before mu.
 	targetsMu sync.Mutex
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	records  *records
 	own      ownState
 	contacts map[string]*contact
 	changes  changeLog
 	lastTick time.Time
-	// probeIndex counts the turns of probing, probed is the time of the last.
+	// probeIndex selects the suspected daemon to probe, modulo their number. lastProbe is when
+	// it was last changed.
 	probeIndex int
 	lastProbe  time.Time
 	subs       []func(*View)
-	// foundSeeds are peer addresses that were found after the start.
+	// foundSeeds are seed addresses discovered after the start.
 	foundSeeds []string
 }
 
-// New returns a membership that is not yet started. Its view holds this daemon
-// alone.
+// New returns a membership that has not been started. Its view contains only this daemon.
 func New(options Options) (*Membership, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -99,9 +100,10 @@
 	}
 }
 
-// Leave announces that this daemon is shutting down: when it returns, this
-// daemon is out of its own answers and owns nothing; the others hear of it. It
-// must not be called by a subscriber.
+// Leave announces that this daemon is shutting down. When it returns, the local view no longer
+// counts this daemon as live: it owns no keys and is not in the lists of entry addresses. The
+// announcement is sent to the other daemons asynchronously. Leave must not be called by a
+// subscriber.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	m.own.leaving = true
@@ -112,8 +114,8 @@
 	m.log.Info().Msg("leaving announced")
 }
 
-// Stop takes this daemon out of the fleet and closes its links. Until ctx ends
-// it waits for pending entries to arrive.
+// Stop removes this daemon from the fleet and closes its links. It waits for the pending
+// entries to be delivered until ctx ends.
 func (m *Membership) Stop(ctx context.Context) error {
 	m.tomb.Kill(nil)
 	err := m.tomb.Wait()
@@ -130,14 +132,14 @@
 	return err
 }
 
-// Table is the flooded table, for the other users of the overlay.
+// Table returns the gossip node, for other components that publish entries through it.
 func (m *Membership) Table() *gossip.Node { return m.node }
 
-// View returns the newest view.
+// View returns the current view.
 func (m *Membership) View() *View { return m.view.Load() }
 
-// Subscribe calls f with the view of now and after every change, one call at a
-// time. f must not block.
+// Subscribe calls f with the current view and after every change, one call at a time. f must
+// not block.
 func (m *Membership) Subscribe(f func(*View)) {
 	m.rebuildMu.Lock()
 	defer m.rebuildMu.Unlock()
@@ -147,36 +149,35 @@
 	f(m.view.Load())
 }
 
-// Owner returns the preferred owner of a key, and whether it is this daemon.
-// Safety must not rest on it: two daemons may each believe to be the owner.
+// Owner returns the preferred owner of a key, and whether it is this daemon. Correctness must
+// not depend on it: two daemons with different views may both consider themselves the owner.
 func (m *Membership) Owner(key string) (name string, self bool) {
 	name = m.view.Load().Owner(key)
 	return name, name == m.options.Self.Name
 }
 
-// IsWatcher tells whether this daemon is one of the few that read the store and
-// the host list.
+// IsWatcher reports whether this daemon is one of the few that read the store and the host
+// list.
 func (m *Membership) IsWatcher() bool {
 	return m.view.Load().IsWatcher(m.options.Self.Name)
 }
 
-// BackendLeaving tells whether the host list shows the host leaving or gone. It
-// does not allocate.
+// BackendLeaving reports whether the host list shows the host as leaving or removed. It does
+// not allocate.
 func (m *Membership) BackendLeaving(host string) bool {
 	_, leaving := (*m.leavingHosts.Load())[host]
 	return leaving
 }
 
-// PeerAddress implements the resolver of package peer.
+// PeerAddress implements peer.Resolver.
 func (m *Membership) PeerAddress(name string) (address string, ok bool) {
 	member, ok := m.view.Load().Member(name)
 	return member.PeerAddress, ok && member.PeerAddress != ""
 }
 
-// run rebuilds the view after changes and looks at the neighbours.
-//
-// Building takes time in proportion to the fleet and to what fails in it, so the
-// pause before it grows with the time that the last one took.
+// run rebuilds the view after changes and checks the neighbours on every tick. The time that a
+// rebuild takes grows with the size of the fleet and the number of suspicions, so the delay
+// before the next rebuild grows with the duration of the last one.
 func (m *Membership) run() error {
 	timer := time.NewTimer(backoff.UntilTick(tickInterval))
 	defer timer.Stop()
@@ -206,7 +207,7 @@
 	}
 }
 
-// requestRebuild asks for a new view.
+// requestRebuild schedules a rebuild of the view.
 func (m *Membership) requestRebuild() {
 	select {
 	case m.changed <- struct{}{}:
@@ -214,7 +215,7 @@
 	}
 }
 
-// rebuild builds the view from the records and tells the subscribers.
+// rebuild builds the view from the records and delivers it to the subscribers.
 func (m *Membership) rebuild() {
 	m.rebuildMu.Lock()
 	defer m.rebuildMu.Unlock()
@@ -235,11 +236,11 @@
 	m.setTargets()
 }
 
-// maxJoinLines bounds the lines that one change of the view writes about daemons that are
-// new and live: when a whole fleet starts, one line names them all.
+// maxJoinLines limits the log lines about new live daemons for one change of the view. Beyond
+// it, for example when a whole fleet starts, a single line is written for all of them.
 const maxJoinLines = 8
 
-// logChanges writes one line for every daemon whose state changed.
+// logChanges logs every daemon whose state differs between the views.
 func (m *Membership) logChanges(old, v *View) {
 	var joined, changed []Member
 	for _, member := range v.Members {
@@ -271,7 +272,7 @@
 	}
 }
 
-// heartbeat returns the state that this daemon sends to its neighbours.
+// heartbeat returns the heartbeat that this daemon sends to its neighbours.
 func (m *Membership) heartbeat() *bronzeturnv1.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -15,9 +15,9 @@
 	"github.com/bronzeturn/bronzeturn/gossip"
 )
 
-// network joins daemons by links in memory, for tests in virtual time. A cut
-// holds all frames between two daemons, as a connection does whose path is
-// gone; a paused daemon neither sends nor receives, but accepts connections.
+// network connects daemons by in-memory links, for tests in virtual time. A cut holds back all
+// frames between two daemons without closing the connection, as on a lost network path. A
+// paused daemon neither sends nor receives, but accepts connections.
 type network struct {
 	mu      sync.Mutex
 	pipes   []*pipe
@@ -50,12 +50,12 @@
 func (dialError) Error() string       { return "no connection" }
 func (dialError) ConnectFailed() bool { return true }
 
-// idle returns a daemon that is not started.
+// idle returns a daemon that has not been started.
 func (n *network) idle(t testing.TB, name string) *Membership {
 	return n.create(t, name, "hall-centro", nil)
 }
 
-// start adds a daemon; its name is its address.
+// start starts a daemon whose address is its name.
 func (n *network) start(t testing.TB, name, dataCentre string, list HostList, seeds ...string) *Membership {
 	m := n.create(t, name, dataCentre, list, seeds...)
 	n.run(name, m)
@@ -85,7 +85,7 @@
 	m.Start()
 }
 
-// change alters the network and wakes every link.
+// change modifies the network and wakes all receivers.
 func (n *network) change(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// crash ends a daemon without a goodbye; its connections are reset.
+// crash stops a daemon without a goodbye frame; its connections are reset.
 func (n *network) crash(name string) {
 	var m *Membership
 	n.change(func() {
@@ -116,7 +116,7 @@
 			n.crash(name)
 		}
 	}
-	// Frames on their way arrive, so that no goroutine of the links is left.
+	// Let the frames in flight arrive, so that no goroutine of the links remains.
 	time.Sleep(time.Second)
 }
 
@@ -131,7 +131,7 @@
 	n.change(func() { n.paused[name] = paused })
 }
 
-// stuckLocked tells whether no frame may pass now.
+// stuckLocked reports whether frames between the daemons are held back.
 func (n *network) stuckLocked(from, to string) bool {
 	return n.cut[[2]string{from, to}] || n.paused[from] || n.paused[to]
 }
@@ -169,8 +169,8 @@
 type pipe struct {
 	network  *network
 	from, to string
-	// changed wakes the receiver. It belongs to the pipe alone: with one for the network, each
-	// frame would wake the receivers of all links.
+	// changed wakes the receiver. Each pipe has its own condition, because a shared one would
+	// wake the receivers of all links for each frame.
 	changed *sync.Cond
 	frames  []*bronzeturnv1.Frame
 	closed  bool
@@ -186,8 +186,8 @@
 
 type end struct {
 	in, out *pipe
-	// closed is set once this side has closed the link. It stops receiving, while the other
-	// side still receives frames in flight.
+	// closed is set when this side closes the link. It then stops receiving, while the other
+	// side still receives the frames in flight.
 	closed bool
 }
 
@@ -227,7 +227,7 @@
 	return frame, nil
 }
 
-// Close implements gossip.Link. The other side sees it once the network lets it.
+// Close implements gossip.Link. The other side notices it once frames may pass.
 func (e *end) Close() {
 	n := e.in.network
 	n.mu.Lock()
--- a/membership/options.go
+++ b/membership/options.go
@@ -13,39 +13,44 @@
 )
 
 const (
-	// tickInterval is the time between two looks at the neighbours.
+	// tickInterval is the interval between checks of the neighbours.
 	tickInterval = gossip.HeartbeatInterval
-	// suspectAfter is how long a neighbour heard before may be silent.
+	// suspectAfter is the silence after which a neighbour that was heard before is suspected.
 	suspectAfter = 2500 * time.Millisecond
-	// neverHeardAfter is how long a new neighbour may take to be heard first.
+	// neverHeardAfter is the time after which a new neighbour that was never heard is
+	// suspected.
 	neverHeardAfter = 4 * time.Second
-	// pausedAfter is the gap between two ticks that tells this daemon that it was
-	// paused itself, and that its neighbours deserve a fresh start.
+	// pausedAfter is the interval between two ticks above which this daemon concludes that it
+	// was paused itself and restarts its neighbours' silence timers.
 	pausedAfter = 3 * tickInterval
-	// refutedRetryAfter is how long a refuted suspicion rests before this daemon
-	// reports it again without having heard the neighbour in between.
+	// refutedRetryAfter is how long after a refuted suspicion this daemon publishes it again if
+	// it has not heard the neighbour since.
 	refutedRetryAfter = 60 * time.Second
-	// rebuildDelay gathers changes of the table before the view is built again.
+	// rebuildDelay is the minimum delay before a rebuild of the view, which batches table
+	// changes.
 	rebuildDelay = 10 * time.Millisecond
-	// rebuildPauseFactor bounds the share of time spent building: one part in so many.
+	// rebuildPauseFactor is the minimum ratio of the delay before a rebuild to the duration of
+	// the previous one. It limits the share of time spent on rebuilds.
 	rebuildPauseFactor = 30
-	// probeInterval is how long one suspected daemon is probed.
+	// probeInterval is how long a suspected daemon is probed before the next one is selected.
 	probeInterval = 5 * time.Second
 
-	// daemonTTL is the age at which the entry of a daemon that no longer
-	// refreshes it is dropped, refreshDaemon how often it is refreshed.
+	// daemonTTL is the age at which the entry of a daemon expires unless it is refreshed, and
+	// refreshDaemon the interval at which a daemon refreshes its own.
 	daemonTTL     = 30 * time.Minute
 	refreshDaemon = 10 * time.Minute
-	// suspicionTTL and refreshSuspicion are the same for suspicions.
+	// suspicionTTL and refreshSuspicion are the corresponding values for suspicions.
 	suspicionTTL     = 10 * time.Minute
 	refreshSuspicion = 4 * time.Minute
-	// removalTTL is how long a removal is remembered; removedHostTTL for hosts.
+	// removalTTL is how long the removal of an entry is retained, and removedHostTTL the same
+	// for entries of hosts.
 	removalTTL     = 10 * time.Minute
 	removedHostTTL = 6 * time.Hour
-	// loadInterval is the shortest time between two published changes of load.
+	// loadInterval is the minimum interval between two published changes of the load.
 	loadInterval = 2 * time.Minute
 
-	// maxDaemons and maxHosts bound the table.
+	// maxDaemons, maxHosts and maxSuspicions limit the number of table entries of each class,
+	// removals included.
 	maxDaemons     = 2048
 	maxHosts       = 16384
 	maxSuspicions  = 8192
@@ -58,36 +63,37 @@
 type Self struct {
 	// Name is unique in the fleet, at most 63 bytes, without a slash.
 	Name string
-	// Host is the name in the host list. Empty means Name.
+	// Host is the name of the host in the host list. It defaults to Name.
 	Host       string
 	DataCentre string
-	// PeerAddress and CallerAddress are the IP and port that others use.
+	// PeerAddress and CallerAddress are the IP addresses and ports at which other daemons and
+	// callers reach this daemon.
 	PeerAddress   string
 	CallerAddress string
-	// Capacity is what the host can carry for the fleet, compared with other hosts: a
-	// daemon of twice the capacity takes twice the duties. Zero counts as 1.
+	// Capacity is the capacity of the host relative to the other hosts of the fleet: a daemon
+	// with twice the capacity owns about twice as many keys. Zero is treated as 1.
 	Capacity float64
 }
 
-// Options are the parts that a Membership needs.
+// Options configures a Membership.
 type Options struct {
 	Self Self
-	// Seeds are peer addresses of other daemons, tried until the daemon at that
+	// Seeds are peer addresses of other daemons. Each is dialled until the daemon at that
 	// address is known by name.
 	Seeds []string
 	// Dialer opens the overlay links.
 	Dialer gossip.Dialer
 	// HostList is read while this daemon is a watcher. It may be nil.
 	HostList HostList
-	// Classes are further table classes, for the other users of Table.
+	// Classes are additional table classes for other users of Table.
 	Classes []gossip.Class
-	// Random is used for jitter, from one goroutine at a time.
+	// Random is used for jitter and probe selection, by one goroutine at a time.
 	Random     *rand.Rand
 	Log        zerolog.Logger
 	Registerer prometheus.Registerer
 }
 
-// OptionError reports a wrong option of New.
+// OptionError reports an invalid option passed to New.
 type OptionError struct {
 	Option string
 	Value  string
@@ -121,7 +127,7 @@
 	return name != "" && len(name) <= maxNameBytes && !strings.Contains(name, "/")
 }
 
-// classes returns the bounds of the entries that membership keeps.
+// classes returns the table classes of the entries that this package publishes.
 func classes() []gossip.Class {
 	return []gossip.Class{
 		{Prefix: daemonPrefix, MaxEntries: maxDaemons, MaxValueBytes: maxStateBytes, TTL: daemonTTL, RemovalTTL: removalTTL},
--- a/membership/own.go
+++ b/membership/own.go
@@ -9,16 +9,16 @@
 	"github.com/bronzeturn/bronzeturn/gossip"
 )
 
-// counterBits is the part of an entry's version that counts within one
+// counterBits is the number of low bits of a version that hold the counter within an
 // incarnation.
 const counterBits = 20
 
-// maxIncarnation is the greatest incarnation that fits a version.
+// maxIncarnation is the highest incarnation that fits into a version.
 const maxIncarnation = gossip.MaxVersion>>counterBits - 1
 
-// ownState is what this daemon tells about itself. An incarnation is the wall
-// clock at the start, in milliseconds; when the clock went back since the last
-// start, the first sight of the older entry raises it.
+// ownState is the state that this daemon publishes about itself. The incarnation is the wall
+// clock time of the start in milliseconds. If the clock was set back since the previous start,
+// the incarnation is raised above that of the older entry once that entry is received.
 type ownState struct {
 	self        Self
 	incarnation uint64
@@ -26,10 +26,14 @@
 	leaving     bool
 	load        int
 
+	// published is when the entry was last published and publishedLoad its load. loadAt is the
+	// time from which loadInterval is measured.
 	published     time.Time
 	publishedLoad int
 	loadAt        time.Time
 
+	// generation is the generation of the configuration in force, and storeConfirmed when the
+	// store last confirmed that none is newer.
 	generation     uint64
 	storeConfirmed time.Time
 }
@@ -39,7 +43,7 @@
 	o.incarnation = uint64(max(1, now.UnixMilli()))
 }
 
-// nextVersion returns the next nextVersion of an entry of this daemon.
+// nextVersion returns the next version for an entry of this daemon.
 func (o *ownState) nextVersion() uint64 {
 	o.counter++
 	if o.counter >= 1<<counterBits {
@@ -49,8 +53,8 @@
 	return o.incarnation<<counterBits | o.counter
 }
 
-// raiseAbove makes the incarnation greater than seen. It reports false when seen
-// cannot be surpassed.
+// raiseAbove makes the incarnation greater than seen. It returns false if seen is already the
+// highest possible incarnation.
 func (o *ownState) raiseAbove(seen uint64) bool {
 	if seen >= maxIncarnation {
 		return false
@@ -73,7 +77,7 @@
 	}
 }
 
-// publishOwnLocked floods the state of this daemon.
+// publishOwnLocked publishes the entry of this daemon.
 func (m *Membership) publishOwnLocked() {
 	now := time.Now()
 	version := m.own.nextVersion()
@@ -83,19 +87,20 @@
 	m.publish(daemonPrefix+m.options.Self.Name, version, encode(m.own.message()))
 }
 
-// publishRemovalLocked takes this daemon out of the table.
+// publishRemovalLocked removes the entry of this daemon from the table.
 func (m *Membership) publishRemovalLocked() {
 	m.publish(daemonPrefix+m.options.Self.Name, m.own.nextVersion(), nil)
 }
 
-// publish puts an entry of this daemon into the table.
+// publish puts an entry into the table and logs a failure.
 func (m *Membership) publish(key string, version uint64, value []byte) {
 	if err := m.node.Publish(key, version, value); err != nil {
 		m.log.Warn().Err(err).Str("key", key).Msg("entry not published")
 	}
 }
 
-// maintainOwnLocked answers suspicions of this daemon and refreshes its entry.
+// maintainOwnLocked refutes suspicions of this daemon, and publishes its entry when a load
+// change or a refresh is due.
 func (m *Membership) maintainOwnLocked(now time.Time) {
 	if seen := m.conflictingIncarnationLocked(); seen >= m.own.incarnation {
 		if !m.own.raiseAbove(seen) {
@@ -111,8 +116,9 @@
 	}
 }
 
-// conflictingIncarnationLocked returns the greatest incarnation at which this daemon
-// is suspected, or at which an entry of its name exists that it did not write.
+// conflictingIncarnationLocked returns the highest incarnation for which this daemon is
+// suspected, or of an entry under its name that it did not publish. It returns 0 if there is
+// none.
 func (m *Membership) conflictingIncarnationLocked() uint64 {
 	var seen uint64
 	for _, c := range m.records.suspicions[m.options.Self.Name] {
@@ -125,16 +131,15 @@
 	return seen
 }
 
-// SetLoad sets the coarse load of this daemon from the share of its capacity in
-// use, 0 to 1.
+// SetLoad sets the coarse load of this daemon from the share of its capacity in use, 0 to 1.
 func (m *Membership) SetLoad(share float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.own.load = loadBand(share, m.own.load)
 }
 
-// loadBand returns the coarse load of a share, with hysteresis so that a share
-// near a border does not change the band each time.
+// loadBand returns the coarse load for a share. Hysteresis keeps a share close to a band limit
+// from changing the load repeatedly.
 func loadBand(share float64, current int) int {
 	const slack = 0.05
 	borders := [MaxLoad]float64{0.25, 0.5, 0.75}
@@ -152,9 +157,8 @@
 	return band
 }
 
-// SetConfigNews tells which generation of the configuration is in force here, and
-// when this daemon last heard from the store that none is newer. A zero time
-// leaves the latter as it was.
+// SetConfigNews sets the generation of the configuration in force on this daemon, and when the
+// store last confirmed that there is no newer one. A zero time keeps the previous confirmation.
 func (m *Membership) SetConfigNews(generation uint64, storeConfirmed time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,11 +168,11 @@
 	}
 }
 
-// encode returns the bytes of a message, the same for the same message.
+// encode returns the deterministic encoding of a message.
 func encode(message proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		// Messages of this package hold valid UTF-8 only; validate keeps it so.
+		// Marshalling fails only if a string of the message is not valid UTF-8.
 		return nil
 	}
 	return b
--- a/membership/process_test.go
+++ b/membership/process_test.go
@@ -19,12 +19,11 @@
 	"github.com/bronzeturn/bronzeturn/peer"
 )
 
-// processSeed is the environment variable that makes the test binary run as one
-// daemon, joining at the seed that it names.
+// processSeed is the environment variable that makes the test binary run as a single daemon,
+// which joins the fleet through the seed address in its value.
 const processSeed = "BRONZETURN_TEST_MEMBERSHIP_SEED"
 
-// runProcess is one daemon in a process of its own. It ends when its standard
-// input does.
+// runProcess runs a daemon in a process of its own until its standard input ends.
 func runProcess(seed string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/membership/propagation_test.go
+++ b/membership/propagation_test.go
@@ -17,7 +17,7 @@
 	changeRate   = 10
 )
 
-// arrivals notes when each daemon first had each version or a newer one.
+// arrivals records when each version, or a newer one, first reached each daemon.
 type arrivals struct {
 	mu        sync.Mutex
 	published []time.Time
@@ -39,7 +39,7 @@
 	return a
 }
 
-// watch notes the arrivals at one daemon.
+// watch records the arrivals at one daemon.
 func (a *arrivals) watch(d *daemon) {
 	next := 0
 	d.Table().Subscribe("test/change", func(_ string, version uint64, _ []byte) {
@@ -63,7 +63,7 @@
 	qt.Assert(b, d.Table().Publish("test/change", uint64(i+1), make([]byte, 100)), qt.IsNil)
 }
 
-// usage is what the process has used so far.
+// usage is the cumulative resource usage of the process.
 type usage struct {
 	at      time.Time
 	cpu     time.Duration
@@ -82,7 +82,7 @@
 	return u
 }
 
-// report adds the use per daemon and second between two measurements.
+// report reports the usage per daemon and second between two measurements.
 func report(b *testing.B, name string, before, after usage, n int) {
 	seconds := after.at.Sub(before.at).Seconds() * float64(n)
 	b.ReportMetric(float64(after.in-before.in)/seconds, name+"_in_B/s")
@@ -90,10 +90,10 @@
 	b.ReportMetric(100*(after.cpu-before.cpu).Seconds()/seconds, name+"_cpu_%")
 }
 
-// BenchmarkPropagation measures whole daemons' overlays in one process over
-// loopback connections: the time from Publish until every daemon's subscriber
-// has the change, and bytes, processor time and memory per daemon, idle and at
-// ten changes a second. One iteration is one measurement.
+// BenchmarkPropagation runs the overlays of all daemons in one process over loopback
+// connections. It measures the time from Publish until the subscribers of all daemons receive
+// the change, and the bytes, processor time and memory per daemon, both idle and at ten changes
+// a second. One iteration is one measurement.
 func BenchmarkPropagation(b *testing.B) {
 	for _, n := range []int{6, 48, 200, 410} {
 		b.Run(fmt.Sprint("daemons=", n), func(b *testing.B) {
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -10,16 +10,16 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// The neighbours of a daemon are the ones beside it on three rings: one of its
-// own data centre, and two of the whole fleet in different orders. So every
-// daemon has at most six neighbours and as many watch it, the fleet is
-// connected by construction, and a daemon that comes or goes changes only the
-// neighbours beside it.
+// The neighbours of a daemon are its predecessor and successor on three rings: one of the
+// daemons in its data centre, and two of the whole fleet in different orders. Every daemon thus
+// has at most six neighbours and is monitored by as many, the overlay is connected by
+// construction, and a daemon that joins or leaves changes only the neighbours of the daemons
+// next to it. A daemon whose neighbours are all in its own data centre gets one more.
 
-// fleetSeeds are the seeds of the rings of the whole fleet.
+// fleetSeeds are the hash seeds of the fleet-wide rings.
 var fleetSeeds = []string{"fleet-1/", "fleet-2/"}
 
-// centreSeed is the seed of the ring of one data centre.
+// centreSeed is the hash seed of the ring of each data centre.
 const centreSeed = "centre/"
 
 // position is the position of a daemon on a ring.
@@ -32,7 +32,7 @@
 	return p.hash < q.hash || p.hash == q.hash && p.name < q.name
 }
 
-// ring is a set of daemons in the order of their hashes.
+// ring is a set of daemons ordered by the hash of seed and name.
 type ring struct {
 	seed      string
 	positions []position
@@ -56,8 +56,8 @@
 	return r
 }
 
-// appendAdjacent appends the names just before and just after a name, which need not be
-// on the ring itself.
+// appendAdjacent appends to the list the predecessor and the successor of a name on the ring.
+// The name itself need not be on the ring.
 func (r ring) appendAdjacent(name string, to []string) []string {
 	n := len(r.positions)
 	me := positionOf(r.seed, name)
@@ -72,11 +72,11 @@
 	return append(to, r.positions[(at+n-1)%n].name, r.positions[next%n].name)
 }
 
-// rings are the rings of a set of daemons.
+// rings holds the rings of a set of daemons.
 type rings struct {
 	fleet   []ring
 	centres map[string]ring
-	// members are in the order of their names.
+	// members are sorted by name.
 	members []Member
 }
 
@@ -97,8 +97,8 @@
 	return r
 }
 
-// neighbours returns the names that a daemon keeps links to, sorted. When all of
-// them are in its own data centre, one outside is added.
+// neighbours returns the sorted names of the daemons that the named daemon keeps links to. If
+// all of them are in its own data centre, one in another data centre is added.
 func (r *rings) neighbours(name, dataCentre string) []string {
 	var chosen []string
 	chosen = r.centres[dataCentre].appendAdjacent(name, chosen)
@@ -112,7 +112,7 @@
 	return slices.Compact(chosen)
 }
 
-// outside returns the names of the daemons in other data centres.
+// outside returns the sorted names of the daemons in other data centres.
 func (r *rings) outside(dataCentre string) []string {
 	var names []string
 	for _, m := range r.members {
@@ -130,19 +130,19 @@
 	})
 }
 
-// key parts of the table.
+// Key prefixes of the table.
 const (
 	daemonPrefix  = "daemon/"
 	hostPrefix    = "host/"
 	suspectPrefix = "suspect/"
 )
 
-// suspectKey returns the key of a suspicion.
+// suspectKey returns the table key of a suspicion.
 func suspectKey(target, reporter string) string {
 	return suspectPrefix + target + "/" + reporter
 }
 
-// parseSuspectKey returns the target and the reporter of a suspicion.
+// parseSuspectKey returns the target and the reporter from the table key of a suspicion.
 func parseSuspectKey(key string) (target, reporter string, ok bool) {
 	return strings.Cut(strings.TrimPrefix(key, suspectPrefix), "/")
 }
--- a/membership/schedule_test.go
+++ b/membership/schedule_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// step is one drawn event of a schedule.
+// step is one event of a generated schedule.
 type step struct {
 	kind  string
 	a, b  int
@@ -37,7 +37,7 @@
 	}), 5, 25).Draw(t, "schedule")
 }
 
-// fakeHostList is a host list whose readers may see an older revision.
+// fakeHostList is a host list that may return an older revision.
 type fakeHostList struct {
 	mu      sync.Mutex
 	history []Hosts
@@ -53,7 +53,7 @@
 	return &fakeHostList{history: []Hosts{list}}
 }
 
-// Hosts implements HostList. Every second reading lags.
+// Hosts implements HostList. It returns the revision that is lag revisions behind the newest.
 func (f *fakeHostList) Hosts(_ context.Context, known uint64) (Hosts, bool, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,8 +89,8 @@
 	return slices.IndexFunc(hosts, func(h Host) bool { return h.Name == name })
 }
 
-// world runs a schedule and collects what went wrong.
-type world struct {
+// scheduleRun runs a schedule and collects the violations that it finds.
+type scheduleRun struct {
 	t       *testing.T
 	net     *network
 	list    *fakeHostList
@@ -103,16 +103,16 @@
 	faults []string
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *scheduleRun) fault(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = append(w.faults, fmt.Sprintf(format, args...))
 }
 
-func (w *world) name(i int) string { return fmt.Sprintf("entry-%d", i) }
+func (w *scheduleRun) name(i int) string { return fmt.Sprintf("entry-%d", i) }
 
-// start starts a daemon and checks the history of every key that it sees.
-func (w *world) start(i int) {
+// start starts a daemon and checks that the version of no key decreases in its table.
+func (w *scheduleRun) start(i int) {
 	centre := []string{"hall-centro", "hall-porto"}[i%2]
 	m := w.net.start(w.t, w.name(i), centre, w.list, "entry-0", "entry-1", "entry-2")
 	seen := make(map[string]uint64)
@@ -124,19 +124,19 @@
 	})
 }
 
-func (w *world) up(name string) bool {
+func (w *scheduleRun) up(name string) bool {
 	w.net.mu.Lock()
 	defer w.net.mu.Unlock()
 	return !w.net.down[name]
 }
 
-func (w *world) daemon(name string) *Membership {
+func (w *scheduleRun) daemon(name string) *Membership {
 	w.net.mu.Lock()
 	defer w.net.mu.Unlock()
 	return w.net.daemons[name]
 }
 
-func (w *world) apply(s step) {
+func (w *scheduleRun) apply(s step) {
 	a, b := w.name(s.a), w.name(s.b)
 	backend := fmt.Sprintf("backend-%d", s.a)
 	switch s.kind {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (w *world) applyHost(kind, backend string, lag int) {
+func (w *scheduleRun) applyHost(kind, backend string, lag int) {
 	switch kind {
 	case "host-leaves":
 		w.list.edit(func(hosts []Host, revision uint64) []Host {
@@ -200,8 +200,8 @@
 	}
 }
 
-// checkAlways checks what holds at any moment.
-func (w *world) checkAlways() {
+// checkAlways checks the invariants that must hold at any time.
+func (w *scheduleRun) checkAlways() {
 	for i := range 6 {
 		m := w.daemon(w.name(i))
 		if m == nil || !w.up(w.name(i)) {
@@ -223,8 +223,8 @@
 	}
 }
 
-// settle heals everything and lets the fleet come to rest.
-func (w *world) settle() {
+// settle ends all failures and waits until the fleet has converged.
+func (w *scheduleRun) settle() {
 	for cut := range w.cuts {
 		w.net.setCut(cut[0], cut[1], false)
 	}
@@ -235,9 +235,8 @@
 	time.Sleep(refutedRetryAfter + 30*time.Second)
 }
 
-// checkSettled checks that all live daemons agree with each other and with the
-// host list.
-func (w *world) checkSettled() {
+// checkSettled checks that all running daemons agree with each other and with the host list.
+func (w *scheduleRun) checkSettled() {
 	var first *Membership
 	running, live := 0, 0
 	for i := range 6 {
@@ -270,7 +269,7 @@
 	}
 }
 
-func (w *world) checkHosts(m *Membership, newest Hosts) {
+func (w *scheduleRun) checkHosts(m *Membership, newest Hosts) {
 	for i := range 6 {
 		name := fmt.Sprint("backend-", i)
 		listed := hostIndex(newest.Hosts, name)
@@ -284,7 +283,7 @@
 func runSchedule(t *testing.T, steps []step) []string {
 	var faults []string
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{
+		w := &scheduleRun{
 			t:      t,
 			net:    newNetwork(20 * time.Millisecond),
 			list:   newFakeHostList(6),
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -4,21 +4,21 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// minReporters is how many neighbours have to suspect a daemon before it
-// counts as down.
+// minReporters is the number of neighbours whose suspicions mark a daemon as suspected. Fewer
+// suffice if the daemon has fewer trusted neighbours.
 const minReporters = 2
 
-// suspicion is one neighbour's suspicion of a daemon.
+// suspicion is the report of one neighbour that a daemon is down.
 type suspicion struct {
 	incarnation uint64
 	reason      bronzeturnv1.SuspicionReason
 }
 
-// suspicions are the suspicions that count, by target and reporter.
+// suspicions maps a target and a reporter to a valid suspicion.
 type suspicions map[string]map[string]suspicion
 
-// countedSuspicions returns the claims that count: the reporter is a known daemon
-// other than the target, and the target has not raised its incarnation since.
+// countedSuspicions returns the valid suspicions: the reporter is a known daemon other than the
+// target, and the target has not raised its incarnation since the report.
 func countedSuspicions(r *records) suspicions {
 	counted := make(suspicions)
 	for target, byReporter := range r.suspicions {
@@ -39,9 +39,9 @@
 	return counted
 }
 
-// applySuspicions sets the state of the members that enough neighbours suspect.
-// The one suspected by most goes first, and its own claims then no longer count:
-// a daemon that was cut off suspects all its neighbours, and is wrong.
+// applySuspicions marks the members that enough neighbours suspect. It processes the member
+// with the most suspicions first and then discards the suspicions that this member reported: a
+// daemon that is cut off from the network wrongly suspects all its neighbours.
 func applySuspicions(v *View, r *records) {
 	counted := countedSuspicions(r)
 	out := make(map[string]struct{})
@@ -64,8 +64,8 @@
 	}
 }
 
-// mostSuspected returns the index of the member with the most claims, among
-// those not yet out that have enough, or -1.
+// mostSuspected returns the index of the member with the most suspicions, among those not yet
+// in out that have enough of them, or -1.
 func mostSuspected(v *View, counted suspicions, out map[string]struct{}) int {
 	best := -1
 	for i, m := range v.Members {
@@ -83,8 +83,8 @@
 	return best
 }
 
-// trustedNeighbours returns how many neighbours of a daemon can be trusted to judge it:
-// those that nobody else suspects.
+// trustedNeighbours returns the number of neighbours of the target whose reports can be
+// trusted: those not in out that no daemon other than the target suspects.
 func trustedNeighbours(v *View, target Member, counted suspicions, out map[string]struct{}) int {
 	n := 0
 	for _, name := range v.rings.neighbours(target.Name, target.DataCentre) {
@@ -102,8 +102,8 @@
 	return n
 }
 
-// reasonOf sums up the claims: one neighbour that could open a connection is
-// enough to know that the daemon's host answers.
+// reasonOf combines the reasons of several reports. A single report of FROZEN takes precedence,
+// because that reporter found the daemon reachable.
 func reasonOf(byReporter map[string]suspicion) Reason {
 	for _, c := range byReporter {
 		if c.reason == bronzeturnv1.SuspicionReason_SUSPICION_REASON_FROZEN {
--- a/membership/table.go
+++ b/membership/table.go
@@ -8,8 +8,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// daemonChanged takes in an entry "daemon/NAME". An entry that cannot be read
-// counts as absent.
+// daemonChanged processes a change of the entry "daemon/NAME". An entry that cannot be decoded
+// is treated as absent.
 func (m *Membership) daemonChanged(key string, _ uint64, value []byte) {
 	name := strings.TrimPrefix(key, daemonPrefix)
 	state := &bronzeturnv1.DaemonState{}
@@ -27,7 +27,7 @@
 	m.requestRebuild()
 }
 
-// suspicionChanged takes in an entry "suspect/TARGET/REPORTER".
+// suspicionChanged processes a change of the entry "suspect/TARGET/REPORTER".
 func (m *Membership) suspicionChanged(key string, _ uint64, value []byte) {
 	target, reporter, ok := parseSuspectKey(key)
 	if !ok {
@@ -51,8 +51,8 @@
 	m.requestRebuild()
 }
 
-// hostChanged takes in an entry "host/NAME". A removal that has expired counts
-// like a host that was never listed.
+// hostChanged processes a change of the entry "host/NAME". An expired removal has version zero;
+// the host is then treated as one that was never listed.
 func (m *Membership) hostChanged(key string, version uint64, value []byte) {
 	host := strings.TrimPrefix(key, hostPrefix)
 	state := hostLive
@@ -77,7 +77,7 @@
 	m.requestRebuild()
 }
 
-// storeLeavingHostsLocked publishes the set that BackendLeaving reads.
+// storeLeavingHostsLocked updates the set that BackendLeaving reads.
 func (m *Membership) storeLeavingHostsLocked() {
 	old := *m.leavingHosts.Load()
 	same := len(old) == len(m.records.hosts)
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -7,11 +7,11 @@
 	"github.com/bronzeturn/bronzeturn/gossip"
 )
 
-// setTargets keeps links to the neighbours among all daemons, so that one that
-// was cut off is found again, and among the live ones, so that the overlay
-// stays connected meanwhile. One daemon that is not live is probed besides, in
-// turn, since two parts of the fleet that were cut apart may have no neighbours
-// in each other.
+// setTargets updates the daemons that the overlay keeps links to: the neighbours among all
+// daemons, so that a daemon that was cut off is found again, and the neighbours among the live
+// daemons, so that the overlay stays connected meanwhile. In addition, one suspected daemon at
+// a time is probed, because two partitions of the fleet may contain no neighbours of each
+// other.
 func (m *Membership) setTargets() {
 	m.targetsMu.Lock()
 	defer m.targetsMu.Unlock()
@@ -30,7 +30,7 @@
 	m.node.SetTargets(targets)
 }
 
-// probeName returns the suspected daemon whose turn it is to be probed.
+// probeName returns the suspected daemon to probe, or "" if there is none.
 func (m *Membership) probeName(v *View) string {
 	var suspected []string
 	for _, member := range v.Members {
@@ -46,8 +46,8 @@
 	return suspected[m.probeIndex%len(suspected)]
 }
 
-// neighbours returns the names of the neighbours. Leaving daemons keep theirs,
-// since they finish requests and have to hear the fleet until they stop.
+// neighbours returns the names of the neighbours. Leaving daemons stay neighbours, since they
+// finish their requests and must receive updates until they stop.
 func (m *Membership) neighbours(v *View) []string {
 	self := m.options.Self
 	names := v.rings.neighbours(self.Name, self.DataCentre)
@@ -65,7 +65,7 @@
 	return slices.Compact(names)
 }
 
-// seedTargets returns the seeds at which no daemon is known yet.
+// seedTargets returns targets for the seed addresses at which no daemon is known yet.
 func (m *Membership) seedTargets(v *View) []gossip.Target {
 	known := make(map[string]struct{}, len(v.Members)+1)
 	known[m.options.Self.PeerAddress] = struct{}{}
@@ -81,15 +81,15 @@
 	return targets
 }
 
-// seeds are those of the options and the ones found since.
+// seeds returns the configured and the discovered seed addresses.
 func (m *Membership) seeds() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Concat(m.options.Seeds, m.foundSeeds)
 }
 
-// SetFoundSeeds replaces the peer addresses, beside those of the options, that
-// are tried until the daemons behind them are known by name.
+// SetFoundSeeds replaces the discovered seed addresses. Like the configured ones, each is
+// dialled until the daemon at that address is known by name.
 func (m *Membership) SetFoundSeeds(addresses []string) {
 	m.mu.Lock()
 	m.foundSeeds = slices.Clone(addresses)
@@ -97,7 +97,8 @@
 	m.setTargets()
 }
 
-// probeDue tells whether the next suspected daemon has to be probed.
+// probeDue reports whether probeInterval has passed, and if so selects another suspected daemon
+// at random.
 func (m *Membership) probeDue(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,7 +1,7 @@
-// Package membership keeps this daemon's view of the fleet: which daemons are
-// live, leaving or suspected, which backend hosts are leaving, who prefers to
-// own a key, and which addresses callers should use. The view is a matter of
-// speed and of good choices; no promise to callers rests on it.
+// Package membership maintains this daemon's view of the fleet: which daemons are live, leaving
+// or suspected, which backend hosts are leaving, which daemon is the preferred owner of a key,
+// and which addresses callers should use. Views of different daemons may differ, so the view
+// serves performance and load distribution only; no guarantee to callers depends on it.
 package membership
 
 import (
@@ -11,16 +11,16 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// State is what a daemon counts as.
+// State is the state of a daemon in the view.
 type State int
 
 // The states of a daemon.
 const (
-	// Live daemons own keys and are named to callers.
+	// Live daemons own keys and are offered to callers.
 	Live State = iota
-	// Leaving daemons finish what they have and get nothing new.
+	// Leaving daemons finish their requests and receive no new ones.
 	Leaving
-	// Suspected daemons are believed to be down by enough of their neighbours.
+	// Suspected daemons are reported as down by enough of their neighbours.
 	Suspected
 )
 
@@ -44,11 +44,11 @@
 	ReasonNone Reason = ""
 	// ReasonAnnounced means that the daemon announced its own shutdown.
 	ReasonAnnounced Reason = "announced"
-	// ReasonHostList means that the host list shows the host leaving or gone.
+	// ReasonHostList means that the host list shows the host as leaving or removed.
 	ReasonHostList Reason = "host_list"
-	// ReasonFrozen means that connections stand but nothing is answered.
+	// ReasonFrozen means that the daemon accepts connections but does not respond.
 	ReasonFrozen Reason = "frozen"
-	// ReasonUnreachable means that no connection can be opened.
+	// ReasonUnreachable means that no connection to the daemon can be opened.
 	ReasonUnreachable Reason = "unreachable"
 )
 
@@ -62,27 +62,28 @@
 	Incarnation   uint64
 	State         State
 	Reason        Reason
-	// Load is coarse, 0 (idle) to MaxLoad (full).
+	// Load is the coarse load, from 0 (idle) to MaxLoad (full).
 	Load int
-	// PartlySuspected tells that a neighbour suspects the daemon, but not enough of them
-	// to change its state: it may be cut off from some.
+	// PartlySuspected is true if valid suspicions of the daemon remain after the suspected
+	// daemons were determined. For a live daemon it means that too few neighbours suspect it to
+	// change its state; it may be cut off from some of them.
 	PartlySuspected bool
-	// Capacity is what the host can carry for the fleet, compared with others.
+	// Capacity is the capacity of the host relative to the other hosts of the fleet.
 	Capacity float64
 }
 
-// MaxLoad is the highest coarse load.
+// MaxLoad is the highest value of Member.Load.
 const MaxLoad = 3
 
-// View is an immutable state of the fleet as this daemon sees it.
+// View is an immutable snapshot of the fleet as seen by this daemon.
 type View struct {
 	// Self is the name of this daemon.
 	Self string
-	// Members are all known daemons in the order of their names.
+	// Members are all known daemons, sorted by name.
 	Members []Member
 	// Watchers are the daemons that read the store and the host list.
 	Watchers []string
-	// EntriesTTL is how long callers may keep an answer to which addresses to use.
+	// EntriesTTL is how long callers may cache a list of entry addresses.
 	EntriesTTL time.Duration
 
 	live   *rendezvous.Set
@@ -90,7 +91,7 @@
 	rings  *rings
 }
 
-// Member returns the named daemon.
+// Member returns the named daemon, and whether it is known.
 func (v *View) Member(name string) (Member, bool) {
 	i, ok := v.byName[name]
 	if !ok {
@@ -99,21 +100,20 @@
 	return v.Members[i], true
 }
 
-// Owner returns the preferred owner of a key among the live daemons, or "" when
-// there is none.
+// Owner returns the preferred owner of a key among the live daemons, or "" if there are none.
 func (v *View) Owner(key string) string { return v.live.Owner(key) }
 
 // Top returns the n most preferred live daemons for a key, the owner first.
 func (v *View) Top(key string, n int) []string { return v.live.Top(key, n) }
 
-// Rank returns this daemon's position in the ranking of the live daemons for a key: 0 for
-// the owner, -1 if this daemon is not live.
+// Rank returns this daemon's position in the ranking of the live daemons for a key: 0 for the
+// owner, -1 if this daemon is not live.
 func (v *View) Rank(key string) int { return slices.Index(v.Top(key, v.Live()), v.Self) }
 
 // Live returns the number of live daemons.
 func (v *View) Live() int { return v.live.Len() }
 
-// IsWatcher tells whether the named daemon is a watcher.
+// IsWatcher reports whether the named daemon is a watcher.
 func (v *View) IsWatcher(name string) bool {
 	for _, w := range v.Watchers {
 		if w == name {
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -13,7 +13,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// fleetRecords returns n daemons spread over data centres.
+// fleetRecords returns the records of n daemons distributed over the data centres.
 func fleetRecords(n, centres int) *records {
 	r := newRecords()
 	for i := range n {
@@ -50,7 +50,7 @@
 			}
 			qt.Check(t, outside, qt.IsTrue, qt.Commentf("%s of %d", m.Name, n))
 		}
-		// Only the added neighbour outside the data centre is one-sided.
+		// Only the neighbour added in another data centre may be one-sided.
 		qt.Check(t, extra <= n/50, qt.IsTrue, qt.Commentf("%d of %d", extra, n))
 		qt.Check(t, reached(chosen, "entry-000"), qt.Equals, n)
 	}
@@ -69,7 +69,7 @@
 	return len(seen)
 }
 
-func TestADaemonThatGoesChangesFewNeighbours(t *testing.T) {
+func TestRemovedDaemonChangesFewNeighbours(t *testing.T) {
 	r := fleetRecords(100, 4)
 	before := buildView("entry-000", r, 0)
 	delete(r.daemons, "entry-050")
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestSuspicionsAreJudged(t *testing.T) {
+func TestApplySuspicions(t *testing.T) {
 	tests := []struct {
 		name   string
 		n      int
@@ -104,7 +104,7 @@
 		{"two cut from each other", 3, [][2]string{{"1", "2"}, {"2", "1"}}, nil},
 		{"the last one of three", 3, [][2]string{{"0", "1"}, {"0", "2"}}, []string{"1", "2"}},
 		{
-			"one that was cut off and blames all", 4,
+			"one that is cut off and suspects all", 4,
 			[][2]string{{"3", "0"}, {"3", "1"}, {"3", "2"}, {"0", "3"}, {"1", "3"}, {"2", "3"}},
 			[]string{"3"},
 		},
@@ -161,12 +161,12 @@
 	for range 13000 {
 		first[v.Entries("centre-0", random)[0]]++
 	}
-	// Weights 4, 4, 4 and 1 of 13; four standard deviations.
+	// The weights are 4, 4, 4 and 1. The limits are four standard deviations.
 	qt.Check(t, first["entry-003"] > 880 && first["entry-003"] < 1120, qt.IsTrue, qt.Commentf("%v", first))
 	qt.Check(t, first["entry-000"] > 3790 && first["entry-000"] < 4210, qt.IsTrue, qt.Commentf("%v", first))
 }
 
-func TestAnswersAreKeptShorterWhenDaemonsChange(t *testing.T) {
+func TestEntriesTTLDecreasesWithChanges(t *testing.T) {
 	tests := []struct {
 		changes, members int
 		want             time.Duration
@@ -197,7 +197,8 @@
 	}
 }
 
-// BenchmarkBuildViewRegionCut has half of the fleet suspected by the other half.
+// BenchmarkBuildViewRegionCut builds a view in which daemons of one half of the fleet suspect
+// their neighbours in the other half.
 func BenchmarkBuildViewRegionCut(b *testing.B) {
 	r := fleetRecords(410, 4)
 	v := buildView("entry-000", r, 0)
