--- a/gossip/anti_entropy.go
+++ b/gossip/anti_entropy.go
@@ -4,14 +4,14 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Anti-entropy works by pulling. A daemon whose table differs from a
-// neighbour's sends its bucket digests; the neighbour answers with the
-// versions it holds in the buckets that differ; the daemon asks for the keys
-// that it lacks or holds older. A bucket that is empty on the asking side is
-// sent at once.
+// Anti-entropy is pull-based. A daemon whose table differs from a neighbour's sends its bucket
+// digests. The neighbour answers with the versions that it holds in the buckets that differ, and
+// the daemon requests the keys that it lacks or holds in an older version. The entries of a
+// bucket that is empty on the requesting side are sent without this extra round trip.
 
-// compareDigest answers a neighbour's digest: the keys to send at once, and
-// the summary of the other buckets that differ.
+// compareDigest compares a neighbour's bucket digests with those of this table. It returns the
+// keys to send immediately, from buckets that are empty at the neighbour, and a summary of the
+// other buckets that differ.
 func (t *table) compareDigest(d *bronzeturnv1.TableDigest) (keys []string, summary *bronzeturnv1.TableSummary) {
 	if len(d.GetBuckets()) != buckets {
 		return nil, nil
@@ -38,8 +38,9 @@
 	return &bronzeturnv1.EntryVersion{Key: e.key, Version: e.version, ValueHash: e.hash}
 }
 
-// compareSummary returns the keys that this table lacks or holds older. Two
-// values of one version are asked for too; the greater one wins on arrival.
+// compareSummary returns the keys in the summary that this table lacks or holds in an older
+// version. Keys with a different value of the same version are included too, since the greater
+// value takes precedence.
 func (t *table) compareSummary(s *bronzeturnv1.TableSummary) *bronzeturnv1.TableWant {
 	want := &bronzeturnv1.TableWant{}
 	for _, theirs := range s.GetEntries() {
@@ -58,7 +59,7 @@
 	return want
 }
 
-// splitSummary cuts a summary into frames of bounded size.
+// splitSummary splits a summary into frames of at most summaryEntries entries.
 func splitSummary(s *bronzeturnv1.TableSummary) []*bronzeturnv1.Frame {
 	var frames []*bronzeturnv1.Frame
 	for entries := s.GetEntries(); len(entries) > 0; {
--- a/gossip/errors.go
+++ b/gossip/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Reason says why an entry was refused.
+// Reason is why an entry was refused.
 type Reason string
 
 // The reasons of a RefusedError.
@@ -18,8 +18,8 @@
 	ReasonExpired      Reason = "expired"
 )
 
-// RefusedError reports an entry outside the bounds of its class. Nothing was
-// changed.
+// RefusedError reports an entry that exceeds the limits of the table or of its class. The table
+// is unchanged.
 type RefusedError struct {
 	Key    string
 	Reason Reason
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("table entry %.64q refused: %s", e.Key, e.Reason)
 }
 
-// OptionError reports a wrong option of New.
+// OptionError reports an invalid option passed to New.
 type OptionError struct {
 	Option string
 }
@@ -38,7 +38,7 @@
 // Error implements error.
 func (e *OptionError) Error() string { return fmt.Sprintf("gossip option %s is not valid", e.Option) }
 
-// HelloError reports a stream whose first frame names no usable sender.
+// HelloError reports a stream whose first frame contains no valid sender name.
 type HelloError struct {
 	Name string
 }
@@ -48,21 +48,21 @@
 	return fmt.Sprintf("overlay stream names no usable sender: %.64q", e.Name)
 }
 
-// Reasons why a link ended.
+// Errors that end a link.
 var (
-	// ErrSilent reports a link that carried nothing for the silence timeout.
+	// ErrSilent reports a link on which no frame arrived for SilenceTimeout.
 	ErrSilent = errors.New("overlay link went silent")
-	// ErrStopped reports that this daemon's overlay has stopped.
+	// ErrStopped reports that the local node has stopped or is draining.
 	ErrStopped = errors.New("overlay stopped")
-	// ErrGoodbye reports a link whose neighbour has stopped in good order.
+	// ErrGoodbye reports that the neighbour shut down in an orderly way.
 	ErrGoodbye = errors.New("overlay neighbour stopped")
-	// ErrReplaced reports a link given up for another to the same neighbour.
+	// ErrReplaced reports a link closed in favour of another link to the same neighbour.
 	ErrReplaced = errors.New("overlay link replaced")
-	// ErrNotWanted reports a link to a neighbour that is no longer chosen.
+	// ErrNotWanted reports a link to a daemon that is no longer a target.
 	ErrNotWanted = errors.New("overlay link not wanted")
 	// ErrReferred reports that a neighbour at its link limit refused the link and sent
 	// entries of other daemons.
 	ErrReferred = errors.New("overlay neighbour at link limit sent referral")
-	// ErrTooManyLinks reports that the bound on links is reached.
+	// ErrTooManyLinks reports that this daemon accepts no further links at present.
 	ErrTooManyLinks = errors.New("too many overlay links")
 )
--- a/gossip/keeper.go
+++ b/gossip/keeper.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// connector keeps a link to one target.
+// connector maintains the link to one target.
 type connector struct {
 	target Target
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// SetTargets replaces the neighbours to keep links to. Links to others that
-// this daemon opened are closed; a link that was opened to an address stays when
-// the daemon there is now wanted by name.
+// SetTargets replaces the daemons to maintain links to. Outbound links to other daemons are
+// closed. A link that was opened to a bare address stays open if the daemon at that address is
+// now a target by name.
 func (n *Node) SetTargets(targets []Target) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,12 +56,12 @@
 	n.connectors[t] = k
 }
 
-// maintainLink opens a link to the target whenever there is none, until the target is
-// no longer wanted.
+// maintainLink opens a link to the target whenever there is none, until the target is removed.
 func (n *Node) maintainLink(k *connector) error {
 	failures := 0
 	if n.options.Name > k.target.Name && k.target.Name != "" {
-		// The smaller name dials first, so that two neighbours rarely open two links.
+		// The daemon with the smaller name dials first, so that two neighbours rarely dial each
+		// other at the same time.
 		k.sleep(HeartbeatInterval)
 	}
 	for k.ctx.Err() == nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// dialAndRun dials the target and carries the link until it ends.
+// dialAndRun dials the target and runs the link until it ends.
 func (n *Node) dialAndRun(k *connector) (name string, err error) {
 	stream, err := n.options.Dialer.DialLink(n.tomb.Context(context.Background()), k.target)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return n.run(stream, &k.target)
 }
 
-// Accept carries a link that a neighbour opened, until it ends.
+// Accept runs a link opened by a neighbour until it ends.
 func (n *Node) Accept(stream Link) error {
 	name, err := n.run(stream, nil)
 	if name != "" {
@@ -102,14 +102,14 @@
 	return err
 }
 
-// backoff returns how long to wait after so many failures in a row: full
-// jitter over a doubling limit.
+// backoff returns the delay after the given number of consecutive failures: half of redialMin
+// plus a random time up to a limit that doubles with every failure.
 func (n *Node) backoff(failures int) time.Duration {
 	limit := min(redialMin<<min(failures, 8), redialMax)
 	return redialMin/2 + n.jitter(limit)
 }
 
-// sleep waits, or returns early when the target is no longer wanted.
+// sleep waits for d, or until the target is removed.
 func (k *connector) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -14,13 +14,12 @@
 	"github.com/bronzeturn/bronzeturn/peer"
 )
 
-// link runs one overlay stream. Its queue holds keys, not entries: what is
-// sent is the newest state at that time, and the queue never holds more keys
-// than the table.
+// link runs one overlay stream. Its queue holds keys, not entries: each key is sent with the
+// newest state at the time of sending, and the queue never holds more keys than the table.
 type link struct {
 	node   *Node
 	stream Link
-	// target is what was dialled, nil for a link that the neighbour opened.
+	// target is the dialled target, or nil for an inbound link.
 	target *Target
 	name   atomic.Pointer[string]
 	// acceptsCompressed reports whether the neighbour's hello declared support for compressed
@@ -31,7 +30,8 @@
 	queue   []string
 	queued  map[string]struct{}
 	control []*bronzeturnv1.Frame
-	// goodbyeRequested is set when the link has to say goodbye, goodbyeSent when it has.
+	// goodbyeRequested is set when the link must send a goodbye frame after its queue,
+	// goodbyeSent once it has.
 	goodbyeRequested bool
 	goodbyeSent      bool
 
@@ -42,8 +42,8 @@
 	silence *time.Timer
 	// opened is when the link was opened.
 	opened time.Time
-	// lastReceived is when the last frame arrived, in nanoseconds since opened. The monotonic
-	// clock keeps steps of the wall clock from closing links.
+	// lastReceived is when the last frame arrived, in nanoseconds since opened. It is based on
+	// the monotonic clock, so that steps of the wall clock do not close links.
 	lastReceived atomic.Int64
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// run carries the stream until it ends, and returns why. The target is nil for a
-// stream that the neighbour opened.
+// run runs a stream until it ends and returns the name of the neighbour, if known, and the
+// cause of the end. The target is nil for a stream that the neighbour opened.
 func (n *Node) run(stream Link, target *Target) (name string, err error) {
 	l := newLink(n, stream, target)
 	if err := n.attach(l); err != nil {
@@ -83,8 +83,8 @@
 		if !errors.Is(err, io.EOF) {
 			l.close(err)
 		}
-		// The end of the stream only says that the reader gets the cause, which
-		// tells a failed connection from a silent one.
+		// On io.EOF the cause is left to the reader, whose error distinguishes a failed
+		// connection from a silent one.
 		return nil
 	})
 	if !started {
@@ -96,7 +96,7 @@
 	return l.peerName(), l.cause
 }
 
-// close ends the link. The first cause counts.
+// close ends the link. Only the cause of the first call is recorded.
 func (l *link) close(cause error) {
 	l.once.Do(func() {
 		l.cause = cause
@@ -117,7 +117,7 @@
 	l.silence.Reset(backoff.UntilLastTickWithin(HeartbeatInterval, remaining))
 }
 
-// peerName returns the neighbour's name, or "" before its hello.
+// peerName returns the neighbour's name, or "" before its hello was received.
 func (l *link) peerName() string {
 	if name := l.name.Load(); name != nil {
 		return *name
@@ -125,7 +125,7 @@
 	return ""
 }
 
-// enqueue queues a key for sending.
+// enqueue adds a key to the send queue.
 func (l *link) enqueue(key string) {
 	l.mu.Lock()
 	if _, ok := l.queued[key]; !ok {
@@ -136,15 +136,15 @@
 	l.signal()
 }
 
-// dequeue takes a key from the queue that the neighbour is known to hold.
+// dequeue removes a key from the send queue because the neighbour already holds its state.
 func (l *link) dequeue(key string) {
 	l.mu.Lock()
 	delete(l.queued, key)
 	l.mu.Unlock()
 }
 
-// enqueueControl queues an anti-entropy frame. Beyond the bound it is dropped; the next
-// exchange makes up for it.
+// enqueueControl queues anti-entropy frames. Frames beyond maxControlFrames are dropped; a
+// later exchange compensates for them.
 func (l *link) enqueueControl(frames ...*bronzeturnv1.Frame) {
 	l.mu.Lock()
 	room := maxControlFrames - len(l.control)
@@ -160,7 +160,7 @@
 	}
 }
 
-// requestGoodbye makes the link say goodbye once its queue is sent.
+// requestGoodbye makes the link send a goodbye frame once its queue is empty.
 func (l *link) requestGoodbye() {
 	l.mu.Lock()
 	l.goodbyeRequested = true
@@ -168,7 +168,7 @@
 	l.signal()
 }
 
-// write sends heartbeats and what is queued until the link ends.
+// write sends heartbeats and queued entries and frames until the link ends.
 func (l *link) write() error {
 	hello := &bronzeturnv1.Frame{
 		Hello:     &bronzeturnv1.Hello{Name: l.node.options.Name, Compressed: true},
@@ -208,8 +208,8 @@
 	}
 }
 
-// flush sends what is queued. It returns how long to wait before the rest may
-// be sent, or zero when nothing is left.
+// flush sends the queued control frames and one batch of entries. It returns the delay before
+// the next flush, or zero if the queue is empty.
 func (l *link) flush() (time.Duration, error) {
 	for _, frame := range l.takeControl() {
 		if err := l.send(frame); err != nil {
@@ -231,7 +231,7 @@
 	return batchDelay, nil
 }
 
-// sendGoodbye sends the last frame when the link is goodbyeRequested.
+// sendGoodbye sends the goodbye frame if it was requested and has not been sent.
 func (l *link) sendGoodbye() error {
 	l.mu.Lock()
 	due := l.goodbyeRequested && !l.goodbyeSent
@@ -279,7 +279,8 @@
 	return frames
 }
 
-// takeBatch returns a frame of queued entries and its size in bytes.
+// takeBatch removes keys from the queue and returns a frame with their entries and its size in
+// bytes.
 func (l *link) takeBatch() (frame *bronzeturnv1.Frame, size int) {
 	frame = &bronzeturnv1.Frame{}
 	now := time.Now()
@@ -288,8 +289,8 @@
 		if !ok {
 			break
 		}
-		// The key leaves the queue before its state is read, so that a change
-		// after the reading queues it again.
+		// The key is removed from the queue before its state is read, so that a later change
+		// queues it again.
 		e := l.node.table.get(key)
 		if e == nil {
 			continue
@@ -301,7 +302,7 @@
 	return frame, size
 }
 
-// next takes the first key from the queue.
+// next removes the first key from the queue.
 func (l *link) next() (key string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gossip/metrics.go
+++ b/gossip/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the counters of one node.
+// metrics holds the metrics of one node.
 type metrics struct {
 	links      prometheus.Gauge
 	refused    *prometheus.CounterVec
@@ -29,15 +29,15 @@
 	m := &metrics{
 		links: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "bronzeturn_gossip_links",
-			Help: "Open overlay links, both directions.",
+			Help: "Open overlay links, inbound and outbound.",
 		}),
 		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bronzeturn_gossip_refused_entries_total",
-			Help: "Table entries from neighbours outside the bounds, by reason.",
+			Help: "Table entries received from neighbours and refused, by reason.",
 		}, []string{"reason"}),
 		pulls: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bronzeturn_gossip_pulls_total",
-			Help: "Anti-entropy exchanges begun by this daemon.",
+			Help: "Anti-entropy exchanges started by this daemon.",
 		}),
 		entryBytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "bronzeturn_gossip_sent_entry_bytes_total",
--- a/gossip/node.go
+++ b/gossip/node.go
@@ -14,7 +14,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Node is this daemon's part of the overlay. It is safe for concurrent use.
+// Node is this daemon's endpoint of the overlay. It is safe for concurrent use.
 type Node struct {
 	tomb    tomb.Tomb
 	options Options
@@ -25,14 +25,14 @@
 
 	mu      sync.Mutex
 	stopped bool
-	// draining refuses new links.
+	// draining is set by Drain; new links are then refused.
 	draining   bool
 	links      map[*link]struct{}
 	connectors map[Target]*connector
 	subs       []*subscription
 	random     *rand.Rand
 
-	// syncMu guards the state of anti-entropy.
+	// syncMu guards the anti-entropy state below.
 	syncMu   sync.Mutex
 	lastPull time.Time
 	pullLink *link
@@ -41,7 +41,7 @@
 	lastChange    time.Time
 }
 
-// New returns a node that is not yet started.
+// New returns a node that has not been started.
 func New(options Options) (*Node, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -62,12 +62,12 @@
 	}, nil
 }
 
-// Start begins to accept and to dial links.
+// Start starts the removal of expired entries. SetTargets and Accept create the links.
 func (n *Node) Start() {
 	n.tomb.Go(n.maintain)
 }
 
-// Stop closes all links. Use Drain before to let pending entries arrive.
+// Stop closes all links. Call Drain first to deliver pending entries.
 func (n *Node) Stop() error {
 	n.mu.Lock()
 	n.stopped = true
@@ -79,7 +79,7 @@
 	return n.tomb.Wait()
 }
 
-// spawn runs f under the tomb, unless the node has stopped.
+// spawn runs f in a goroutine of the tomb. It returns false if the node has stopped.
 func (n *Node) spawn(f func() error) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,7 +94,7 @@
 	return true
 }
 
-// maintain drops expired entries until the node stops.
+// maintain removes expired entries until the node stops.
 func (n *Node) maintain() error {
 	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
@@ -110,16 +110,16 @@
 	}
 }
 
-// Publish puts an entry into the table and sends it to all neighbours. An
-// entry that is not newer than the one held changes nothing. An entry outside
-// the bounds of its class fails with a RefusedError. The value is copied.
+// Publish stores an entry in the table and sends it to all neighbours. An entry that is not
+// newer than the one held is ignored. An entry that exceeds the limits of its class fails with
+// a RefusedError. The value is copied.
 func (n *Node) Publish(key string, version uint64, value []byte) error {
 	_, err := n.applyEntry(nil, key, version, value, 0)
 	return err
 }
 
-// Get returns the newest known state of a key. An empty value is a removal.
-// The value must not be changed.
+// Get returns the newest known state of a key. An empty value represents a removal. The value
+// must not be modified.
 func (n *Node) Get(key string) (version uint64, value []byte, ok bool) {
 	e := n.table.get(key)
 	if e == nil {
@@ -128,7 +128,7 @@
 	return e.version, e.value, true
 }
 
-// Each calls f for every key with the prefix, in no order.
+// Each calls f for every key with the prefix, in unspecified order.
 func (n *Node) Each(prefix string, f func(key string, version uint64, value []byte)) {
 	for i := range buckets {
 		n.table.each(i, func(e *entry) {
@@ -139,8 +139,7 @@
 	}
 }
 
-// Digest returns a hash of the whole table. Two tables with equal digests hold
-// the same entries.
+// Digest returns a hash of the whole table. Tables with the same entries have the same digest.
 func (n *Node) Digest() uint64 { return n.table.digest() }
 
 // Links returns the names of the neighbours with an open link.
@@ -156,8 +155,8 @@
 	return names
 }
 
-// Drain says goodbye to all neighbours after what is pending, and waits until
-// they have received it or ctx ends. No link is opened or accepted any more.
+// Drain sends the pending entries and then a goodbye frame to all neighbours, and waits until
+// they have closed their links or ctx ends. From then on no link is opened or accepted.
 func (n *Node) Drain(ctx context.Context) error {
 	n.mu.Lock()
 	n.draining = true
@@ -179,8 +178,8 @@
 	return nil
 }
 
-// applyEntry puts an entry, and when it is new spreads it to all links but the one
-// it came from, which is nil for an entry of this daemon.
+// applyEntry stores an entry. If it is newer than the one held, it is also queued on all links
+// except the one it came from, which is nil for an entry published by this daemon.
 func (n *Node) applyEntry(from *link, key string, version uint64, value []byte, age time.Duration) (bool, error) {
 	now := time.Now()
 	changed, err := n.table.put(key, version, value, age, now)
@@ -195,7 +194,7 @@
 	return true, nil
 }
 
-// enqueueExcept marks the key for sending on all links but one.
+// enqueueExcept queues the key on all links except one.
 func (n *Node) enqueueExcept(except *link, key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,7 +205,8 @@
 	}
 }
 
-// attach adds a link, unless the node stopped or holds too many.
+// attach registers a link. It fails if the node has stopped or is draining, or if there are too
+// many links.
 func (n *Node) attach(l *link) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -221,8 +221,9 @@
 	return nil
 }
 
-// entryRateExhausted tells whether this daemon has many links and may not send its table to another
-// neighbour now: it would wait for seconds while others could serve it. The caller holds mu.
+// entryRateExhausted reports whether this daemon has at least guaranteedLinks links and not
+// enough tokens left to send its table to another neighbour, which would then wait for seconds
+// while other daemons could serve it. The caller holds mu.
 func (n *Node) entryRateExhausted() bool {
 	return len(n.links) >= guaranteedLinks && n.limiter.Tokens() < float64(n.table.size()*typicalEntryBytes)
 }
@@ -240,7 +241,7 @@
 	n.syncMu.Unlock()
 }
 
-// hasLink tells whether an open link to the named neighbour exists.
+// hasLink reports whether there is an open link to the named neighbour.
 func (n *Node) hasLink(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -252,8 +253,8 @@
 	return false
 }
 
-// resolveDuplicate closes one of two links between the same daemons: the one
-// that the daemon with the greater name opened. Only its opener closes it.
+// resolveDuplicate closes one of two links between the same daemons: the one opened by the
+// daemon with the greater name. Only the daemon that opened it closes it.
 func (n *Node) resolveDuplicate(name string) {
 	if n.options.Name < name {
 		return
@@ -276,15 +277,15 @@
 	}
 }
 
-// jitter returns a random time up to limit.
+// jitter returns a random duration below limit.
 func (n *Node) jitter(limit time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return time.Duration(n.random.Int64N(int64(limit)))
 }
 
-// heartbeat returns this daemon's next heartbeat. The digest is left out while the
-// entry rate is used up, so that neighbours pull the table from other daemons.
+// heartbeat returns this daemon's next heartbeat. The digest is omitted while the entry rate is
+// used up, so that neighbours pull the table from other daemons.
 func (n *Node) heartbeat(withDigest bool) *bronzeturnv1.Heartbeat {
 	h := n.options.Status()
 	if withDigest && n.limiter.Tokens() >= 1 {
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -16,7 +16,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// memNetwork connects nodes by links in memory and counts what passes.
+// memNetwork connects nodes by in-memory links and counts the frames sent.
 type memNetwork struct {
 	mu         sync.Mutex
 	nodes      map[string]*Node
@@ -24,7 +24,8 @@
 	bytes      int
 	heartbeats int
 	largest    int
-	// dropFromAcceptors drops what acceptors send, so that only dialers find silence.
+	// dropFromAcceptors drops the frames sent by the accepting side, so that only the dialling
+	// side experiences silence.
 	dropFromAcceptors bool
 }
 
@@ -35,7 +36,7 @@
 	out  chan *bronzeturnv1.Frame
 	done chan struct{}
 	once *sync.Once
-	// acceptor is the side that did not dial.
+	// acceptor is set on the side that did not dial.
 	acceptor bool
 }
 
@@ -64,7 +65,7 @@
 
 func (l *memLink) Close() { l.once.Do(func() { close(l.done) }) }
 
-// count notes a frame, and tells whether it gets through.
+// count counts a frame and reports whether it is delivered.
 func (w *memNetwork) count(frame *bronzeturnv1.Frame, acceptor bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,7 +133,7 @@
 	return n
 }
 
-// startLine starts nodes of which each is linked with the one before.
+// startLine starts nodes, each of which has a link to the previous one.
 func startLine(t *testing.T, names ...string) (*memNetwork, []*Node) {
 	w := &memNetwork{nodes: make(map[string]*Node)}
 	var nodes []*Node
@@ -154,7 +155,7 @@
 	time.Sleep(time.Second)
 }
 
-func TestChangePassesEachLinkOnce(t *testing.T) {
+func TestChangeIsSentOncePerLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, nodes := startLine(t, "a", "b", "c", "d")
 		w.reset()
@@ -171,7 +172,7 @@
 	})
 }
 
-func TestManyChangesOfOneKeyAreGathered(t *testing.T) {
+func TestChangesOfOneKeyAreCoalesced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, nodes := startLine(t, "a", "b")
 		w.reset()
@@ -191,13 +192,13 @@
 func TestHeartbeatsAreFewAndSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, nodes := startLine(t, "a", "b")
-		// Between two heartbeats, so that the count does not depend on the order of
-		// events at one instant.
+		// Start and end between two heartbeats, so that the count does not depend on the order
+		// of simultaneous events.
 		time.Sleep(HeartbeatInterval / 2)
 		w.reset()
 		time.Sleep(10 * time.Second)
 		w.mu.Lock()
-		// Both sides of the one link, two a second.
+		// Each side of the link sends two a second.
 		qt.Check(t, w.heartbeats, qt.Equals, 40)
 		qt.Check(t, w.largest <= 48, qt.IsTrue, qt.Commentf("%d bytes", w.largest))
 		w.mu.Unlock()
@@ -208,7 +209,7 @@
 func TestMissedEntriesAreRepaired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, nodes := startLine(t, "a", "b", "c")
-		// Behind the links' back, as after a frame that was lost with its link.
+		// Bypass the links, as if a frame had been lost together with its link.
 		_, err := nodes[0].table.put("kept/lost", 3, []byte("v"), 0, time.Now())
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(5 * time.Second)
@@ -245,7 +246,7 @@
 	})
 }
 
-func TestTwoLinksBetweenTwoBecomeOne(t *testing.T) {
+func TestDuplicateLinkIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, nodes := startLine(t, "a", "b")
 		nodes[0].SetTargets([]Target{{Address: "b", Name: "b"}})
@@ -256,7 +257,7 @@
 	})
 }
 
-func TestSubscribersSeeWhatIsThereAndWhatExpires(t *testing.T) {
+func TestSubscribersReceiveHeldAndExpiredEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &memNetwork{nodes: make(map[string]*Node)}
 		a := w.start(t, "a", &lossRecorder{})
@@ -271,7 +272,7 @@
 	})
 }
 
-func TestDrainDeliversWhatIsPending(t *testing.T) {
+func TestDrainDeliversPendingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, nodes := startLine(t, "a", "b")
 		qt.Assert(t, nodes[0].Publish("kept/last", 1, []byte("v")), qt.IsNil)
@@ -284,7 +285,7 @@
 	})
 }
 
-func TestWrongOptionsAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRefused(t *testing.T) {
 	_, err := New(Options{})
 	var wrong *OptionError
 	qt.Check(t, errors.As(err, &wrong), qt.IsTrue)
--- a/gossip/pull_test.go
+++ b/gossip/pull_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestHeartbeatOmitsDigestWhileRateUsedUp guards against a joining daemon pulling the table from
-// a daemon whose entry rate is used up, which would take seconds to send it.
+// TestHeartbeatOmitsDigestWhileRateUsedUp guards against a joining daemon pulling the table
+// from a daemon whose entry rate is used up, which would take seconds to send it.
 func TestHeartbeatOmitsDigestWhileRateUsedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -37,7 +37,7 @@
 	c.Check(a.beginPull(large, 39, now), qt.IsFalse)
 	c.Check(a.beginPull(large, 40, now), qt.IsTrue)
 	c.Check(a.pullLink, qt.Equals, large)
-	// A larger table is not pulled early if fewer than manyMissingEntries entries are missing.
+	// A larger table is not pulled early if fewer than manyMissingEntries are missing.
 	for i := range 90 {
 		c.Assert(a.Publish(fmt.Sprintf("kept/%d", i), 1, nil), qt.IsNil)
 	}
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -7,7 +7,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// read handles the neighbour's frames until the link ends.
+// read processes the neighbour's frames until the link ends.
 func (l *link) read() error {
 	frame, err := l.receive()
 	if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// handle takes in one frame.
+// handle processes one frame.
 func (l *link) handle(name string, frame *bronzeturnv1.Frame) {
 	for _, e := range frame.GetEntries() {
 		l.receiveEntry(e)
@@ -69,7 +69,7 @@
 	}
 }
 
-// receiveEntry takes in one entry. What is refused is counted and not passed on.
+// receiveEntry processes one received entry. A refused entry is counted and not forwarded.
 func (l *link) receiveEntry(e *bronzeturnv1.TableEntry) {
 	age := time.Duration(min(e.GetAgeMs(), maxAgeMillis)) * time.Millisecond
 	changed, err := l.node.applyEntry(l, e.GetKey(), e.GetVersion(), e.GetValue(), age)
@@ -87,11 +87,11 @@
 	}
 }
 
-// maxAgeMillis bounds the age that a neighbour may state for an entry.
+// maxAgeMillis limits the age of an entry stated by a neighbour.
 const maxAgeMillis = uint64(30 * 24 * time.Hour / time.Millisecond)
 
-// pullIfDifferent starts an anti-entropy exchange when the neighbour's table differs
-// and no exchange ran just before.
+// pullIfDifferent starts an anti-entropy exchange if the neighbour's table differs and
+// beginPull permits it.
 func (n *Node) pullIfDifferent(l *link, theirs *bronzeturnv1.Heartbeat) {
 	if theirs.GetTableDigest() == n.table.digest() {
 		return
@@ -104,12 +104,12 @@
 	l.enqueueControl(&bronzeturnv1.Frame{Digest: digest})
 }
 
-// beginPull lets one exchange run at a time, so that a starting daemon does
-// not fetch the whole table from every neighbour at once. While changes are in
-// flight tables differ all the time, so exchanges are then rarer, unless many
-// entries are missing. neighbourSize is the number of entries in the neighbour's
-// table. If it is at least largerTableFactor times that of the last pull, and at least
-// manyMissingEntries entries are missing, the exchange starts without waiting, because
+// beginPull reports whether an exchange may start now, and records it if so. At most one
+// exchange starts per interval, so that a starting daemon does not fetch the whole table from
+// every neighbour at once. While the table is changing, tables always differ, so the interval
+// is longer unless many entries are missing. neighbourSize is the number of entries in the
+// neighbour's table. If it is at least largerTableFactor times that of the last pull, and at
+// least manyMissingEntries entries are missing, the exchange starts without waiting, because
 // the neighbour of the last pull may itself have just joined.
 func (n *Node) beginPull(l *link, neighbourSize int, now time.Time) bool {
 	n.syncMu.Lock()
--- a/gossip/refer.go
+++ b/gossip/refer.go
@@ -6,7 +6,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// sendReferral sends entries of known daemons on a stream refused at the link limit.
+// sendReferral sends entries of known daemons on a stream that is refused at the link limit.
 func (n *Node) sendReferral(stream Link) {
 	if n.options.ReferralPrefix == "" {
 		return
--- a/gossip/stream.go
+++ b/gossip/stream.go
@@ -12,13 +12,13 @@
 	"github.com/bronzeturn/bronzeturn/peer"
 )
 
-// StreamDialer opens links as connect streams over a peer directory.
+// StreamDialer opens links as Connect streams through a peer directory.
 type StreamDialer struct {
 	Directory *peer.Directory
 }
 
-// DialLink implements Dialer. The connection is opened with the first frame,
-// so that a failure to connect shows when the link is used.
+// DialLink implements Dialer. The connection is opened when the first frame is sent, so a
+// connection failure is reported by Send or Receive.
 func (d *StreamDialer) DialLink(ctx context.Context, target Target) (Link, error) {
 	client, base := d.Directory.ClientAt(target.Address)
 	ctx, cancel := context.WithCancel(ctx)
@@ -45,28 +45,27 @@
 	return response.GetFrame(), nil
 }
 
-// Close implements Link. Ending the request wakes the transport, which may be
-// waiting for its next frame and then would not see the cancellation.
+// Close implements Link. CloseRequest wakes up the transport, which may be waiting for the next
+// frame to send and would then not notice the cancellation.
 func (c *clientLink) Close() {
 	c.cancel()
 	_ = c.stream.CloseRequest()
 }
 
-// NewHandler returns the path and the handler of the overlay streams that
-// neighbours open to the node.
+// NewHandler returns the path and the handler of the overlay streams that neighbours open.
 func NewHandler(n *Node) (string, http.Handler) {
 	path, handler := bronzeturnv1connect.NewPeerServiceHandler(&service{node: n}, peer.HandlerOptions()...)
 	return path, withController(handler)
 }
 
-// closeGrace is how long a blocked write may hold up the end of a stream.
+// closeGrace is how long a blocked write may delay the end of a stream.
 const closeGrace = 500 * time.Millisecond
 
 // controllerKey is the context key of the response controller of a stream.
 type controllerKey struct{}
 
-// withController keeps the response controller of each request at hand, since
-// only its deadlines can end a blocked read or write of a stream.
+// withController stores the response controller in the context of each request. Its deadlines
+// are the only means to end a blocked read or write of a stream.
 func withController(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx := context.WithValue(r.Context(), controllerKey{}, http.NewResponseController(w))
@@ -78,7 +77,7 @@
 	node *Node
 }
 
-// Exchange implements the service.
+// Exchange implements the Exchange method of the peer service.
 func (s *service) Exchange(ctx context.Context, stream *connect.BidiStream[bronzeturnv1.ExchangeRequest, bronzeturnv1.ExchangeResponse]) error {
 	controller, _ := ctx.Value(controllerKey{}).(*http.ResponseController)
 	err := s.node.Accept(&serverLink{stream: stream, controller: controller})
@@ -107,8 +106,8 @@
 	return request.GetFrame(), nil
 }
 
-// Close implements Link. A write in progress gets a short grace, since a stream
-// whose write deadline has passed cannot tell the neighbour that it has ended.
+// Close implements Link. A write in progress gets a short grace period, since a stream whose
+// write deadline has passed cannot notify the neighbour of its end.
 func (s *serverLink) Close() {
 	now := time.Now()
 	_ = s.controller.SetReadDeadline(now)
--- a/gossip/subscribe.go
+++ b/gossip/subscribe.go
@@ -5,13 +5,12 @@
 	"sync"
 )
 
-// Subscriber is called with the newest state of a key. An empty value marks a
-// removal. Version zero, with no value, means that the entry has expired.
+// Subscriber is called with the newest state of a key. An empty value represents a removal.
+// Version zero with an empty value means that the entry has expired.
 type Subscriber func(key string, version uint64, value []byte)
 
-// subscription calls one subscriber from one goroutine. It queues keys rather
-// than states, so a slow subscriber skips states but never sees an older one
-// after a newer one.
+// subscription calls one subscriber from one goroutine. It queues keys, not states, so a slow
+// subscriber may miss intermediate states but never sees an older state after a newer one.
 type subscription struct {
 	prefix   string
 	callback Subscriber
@@ -22,8 +21,8 @@
 	wake   chan struct{}
 }
 
-// Subscribe calls f for every key with the prefix, with what is held already
-// and after each change, one call at a time.
+// Subscribe calls f for every key with the prefix, first with the states already held and then
+// after each change, one call at a time.
 func (n *Node) Subscribe(prefix string, f Subscriber) {
 	s := &subscription{
 		prefix:   prefix,
@@ -40,7 +39,7 @@
 	}
 }
 
-// notify tells the subscriptions that a key changed.
+// notify queues a changed key on the matching subscriptions.
 func (n *Node) notify(key string) {
 	n.mu.Lock()
 	subs := n.subs
@@ -64,7 +63,7 @@
 	}
 }
 
-// deliver calls the subscriber with the state held now.
+// deliver calls the subscriber with the current state of the key.
 func (n *Node) deliver(s *subscription, key string) {
 	e := n.table.get(key)
 	if e == nil {
--- a/gossip/table.go
+++ b/gossip/table.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// buckets is the number of shards of the table; each has its own lock and
-	// its own digest.
+	// buckets is the number of shards of the table. Each has its own lock and digest.
 	buckets = 128
-	// MaxKeyBytes bounds a key.
+	// MaxKeyBytes is the maximum length of a key.
 	MaxKeyBytes = 200
-	// MaxVersion bounds a version, so that one wrong entry cannot block a key
-	// for good by an unsurpassable version.
+	// MaxVersion is the maximum version. Without a limit, a single wrong entry could block a
+	// key permanently with a version that cannot be exceeded.
 	MaxVersion = uint64(1) << 62
 )
 
-// Class bounds the entries whose keys begin with Prefix.
+// Class defines the limits of the entries whose keys begin with Prefix. If several prefixes
+// match, the longest applies.
 type Class struct {
 	Prefix string
-	// MaxEntries bounds the entries held, removals included.
+	// MaxEntries is the maximum number of entries, removals included.
 	MaxEntries int
-	// MaxValueBytes bounds one value.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes int
-	// TTL is the age at which an entry is dropped. Zero keeps it for good.
+	// TTL is the age at which an entry expires. Zero means never.
 	TTL time.Duration
-	// RemovalTTL is the age at which a removal (an empty value) is dropped.
+	// RemovalTTL is the age at which a removal (an empty value) expires.
 	RemovalTTL time.Duration
 }
 
-// ttl returns the age at which an entry with the value is dropped, or zero.
+// ttl returns the age at which an entry with the value expires, or zero if it does not.
 func (c *Class) ttl(value []byte) time.Duration {
 	if len(value) == 0 {
 		return c.RemovalTTL
@@ -50,13 +50,13 @@
 	key     string
 	version uint64
 	value   []byte
-	// publishedAt is when the entry was published, by this daemon's monotonic clock.
+	// publishedAt is when the entry was published, on this daemon's monotonic clock.
 	publishedAt time.Time
 	// hash covers key, version and value.
 	hash uint64
 }
 
-// class keeps the count of a Class.
+// class is a Class with the number of its entries.
 type class struct {
 	Class
 	entries atomic.Int64
@@ -70,8 +70,8 @@
 	digest uint64
 }
 
-// table holds the newest known state of every key. It is safe for concurrent
-// use. Given the same set of entries in any order, any two tables end equal.
+// table holds the newest known state of every key. It is safe for concurrent use. Tables that
+// receive the same set of entries, in any order, end up equal.
 type table struct {
 	classes []*class
 	buckets [buckets]bucket
@@ -107,8 +107,8 @@
 	return int(xxhash.Sum64String(key) % buckets)
 }
 
-// put stores the entry if it is newer than what is held, and tells whether it
-// did. An entry outside the bounds fails with a RefusedError.
+// put stores the entry if it is newer than the one held, and reports whether it did. An entry
+// that exceeds the limits fails with a RefusedError.
 func (t *table) put(key string, version uint64, value []byte, age time.Duration, now time.Time) (bool, error) {
 	c, err := t.admit(key, version, value, age)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return true, nil
 }
 
-// admit checks the bounds that do not depend on what is held.
+// admit checks the limits that do not depend on the content of the table.
 func (t *table) admit(key string, version uint64, value []byte, age time.Duration) (*class, error) {
 	c := t.classOf(key)
 	switch {
@@ -153,7 +153,7 @@
 	return c, nil
 }
 
-// reserve counts one more entry, unless the class is full.
+// reserve counts one more entry. It returns false if the class is full.
 func (c *class) reserve() bool {
 	if c.entries.Add(1) > int64(c.MaxEntries) {
 		c.entries.Add(-1)
@@ -162,7 +162,8 @@
 	return true
 }
 
-// newer tells whether (version, value) wins over the entry held.
+// newer reports whether a version and value take precedence over the entry held. Of two values
+// with the same version, the greater one does.
 func newer(version uint64, value []byte, held *entry) bool {
 	if version != held.version {
 		return version > held.version
@@ -178,7 +179,7 @@
 	return b.entries[key]
 }
 
-// expire drops the entries past their age and returns them.
+// expire removes the expired entries and returns them.
 func (t *table) expire(now time.Time) []*entry {
 	var dropped []*entry
 	for i := range t.buckets {
@@ -200,7 +201,7 @@
 	return dropped
 }
 
-// each calls f for the entries of one bucket, in no order.
+// each calls f for the entries of one bucket, in unspecified order.
 func (t *table) each(index int, f func(*entry)) {
 	b := &t.buckets[index]
 	b.mu.Lock()
@@ -235,7 +236,8 @@
 	return xxhash.Sum64(words[:])
 }
 
-// message returns the entry as sent to a neighbour at the time now.
+// message returns the entry in the form sent to a neighbour at the time now. Its age is
+// included only if the entry can expire.
 func (t *table) message(e *entry, now time.Time) *bronzeturnv1.TableEntry {
 	m := &bronzeturnv1.TableEntry{Key: e.key, Version: e.version, Value: e.value}
 	if t.classOf(e.key).ttl(e.value) > 0 {
--- a/gossip/table_bench_test.go
+++ b/gossip/table_bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkTableAtTarget fills a table as large as at the target (410 daemons,
-// 5,300 hosts) and measures memory per entry and the time of one digest.
-func BenchmarkTableAtTarget(b *testing.B) {
+// BenchmarkTable fills a table with the entries of a fleet of 410 daemons and 5,300
+// hosts. It measures the memory per entry and the time of one digest.
+func BenchmarkTable(b *testing.B) {
 	const entries = 5710
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/gossip/table_test.go
+++ b/gossip/table_test.go
@@ -44,7 +44,7 @@
 	}), 0, 30).Draw(t, "updates")
 }
 
-func TestTablesEndEqualInAnyOrder(t *testing.T) {
+func TestTablesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := drawUpdates(t)
 		one, other := newTable(testClasses), newTable(testClasses)
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestOneExchangeEachWayMakesTablesEqual(t *testing.T) {
+func TestAntiEntropyInBothDirectionsMakesTablesEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := newTable(testClasses), newTable(testClasses)
 		for _, u := range drawUpdates(t) {
@@ -81,7 +81,7 @@
 	})
 }
 
-// exchange lets asker fetch what it lacks from the holder.
+// exchange makes asker fetch the entries that it lacks from holder.
 func exchange(asker, holder *table) {
 	keys, summary := holder.compareDigest(&bronzeturnv1.TableDigest{Buckets: asker.digests()})
 	for _, frame := range splitSummary(summary) {
