--- a/peer/directory.go
+++ b/peer/directory.go
@@ -1,6 +1,6 @@
-// Package peer connects daemons with each other: one shared HTTP/2 client, the
-// listener's server, and the count of bytes between them. Both use mutual TLS
-// when given certificates, and plain text HTTP/2 otherwise.
+// Package peer connects daemons with each other. It provides a shared HTTP/2 client, the server
+// for the peer listener, and a count of the bytes transferred. Client and server use mutual TLS
+// if they are given certificates, and plaintext HTTP/2 otherwise.
 package peer
 
 import (
@@ -17,40 +17,39 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout limits the time to open a connection, including the TLS handshake.
 	dialTimeout = 1500 * time.Millisecond
-	// pingAfter is how long a connection may receive nothing before it is pinged.
+	// pingAfter is the time without received data after which a connection is pinged.
 	pingAfter = 2 * time.Second
-	// pingTimeout is how long an answer to a ping may take before the
-	// connection counts as silent and is closed.
+	// pingTimeout is the time to wait for the response to a ping before the connection is
+	// closed.
 	pingTimeout = 1 * time.Second
-	// idleTimeout closes connections that carry no call.
+	// idleTimeout is the time after which a connection without calls is closed.
 	idleTimeout = 60 * time.Second
-	// unaryTimeout bounds a unary call whose context has no deadline. It is longer
-	// than pingAfter and pingTimeout together, so that the connection of a call
-	// that failed for silence is not used for the next one.
+	// unaryTimeout limits a unary call whose context has no deadline. It is longer than
+	// pingAfter and pingTimeout together, so that a connection on which a call got no response
+	// is closed by the ping before the next call could use it.
 	unaryTimeout = 5 * time.Second
-	// MaxMessageBytes bounds one message between daemons.
+	// MaxMessageBytes is the maximum size of a message between daemons.
 	MaxMessageBytes = 2 << 20
-	// bufferBytes is the read and write buffer of one connection.
+	// bufferBytes is the size of the read and the write buffer of a connection.
 	bufferBytes = 4 << 10
 )
 
-// Resolver knows the peer addresses of daemons.
+// Resolver looks up the peer addresses of daemons.
 type Resolver interface {
-	// PeerAddress returns the address, IP and port, of the named daemon's peer
-	// listener.
+	// PeerAddress returns the IP address and port of the named daemon's peer listener.
 	PeerAddress(name string) (address string, ok bool)
 }
 
-// ResolverFunc is a Resolver in one function.
+// ResolverFunc is a function that implements Resolver.
 type ResolverFunc func(name string) (address string, ok bool)
 
 // PeerAddress implements Resolver.
 func (f ResolverFunc) PeerAddress(name string) (address string, ok bool) { return f(name) }
 
-// Directory opens calls to other daemons over one shared client. It is safe
-// for concurrent use.
+// Directory provides clients for calls to other daemons, which share one HTTP transport. It is
+// safe for concurrent use.
 type Directory struct {
 	resolver  Resolver
 	scheme    string
@@ -58,9 +57,9 @@
 	client    connect.HTTPClient
 }
 
-// NewDirectory returns a directory. Nil credentials mean plain text HTTP/2;
-// otherwise each new connection presents the certificate that the files hold
-// then. The resolver may be nil when only At is used.
+// NewDirectory returns a directory. If credentials is nil, connections use plaintext HTTP/2.
+// Otherwise each new connection presents the certificate that the credential files contain at
+// that time. The resolver may be nil if only ClientAt is used.
 func NewDirectory(resolver Resolver, credentials *security.Credentials, traffic *Traffic) *Directory {
 	d := &Directory{resolver: resolver, scheme: "http", transport: security.NewTransport(credentials, dialer(traffic))}
 	d.transport.DisableCompression = true
@@ -76,8 +75,8 @@
 	return d
 }
 
-// Dial returns the client and the base URL for calls to the named daemon. It
-// reports false when the daemon's address is not known.
+// Dial returns the client and the base URL for calls to the named daemon. It returns false if
+// the address of the daemon is not known. It does not open a connection.
 func (d *Directory) Dial(name string) (connect.HTTPClient, string, bool) {
 	if d.resolver == nil {
 		return nil, "", false
@@ -95,13 +94,13 @@
 	return d.client, d.scheme + "://" + address
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (d *Directory) Close() {
 	d.transport.CloseIdleConnections()
 }
 
-// ClientOptions returns the options that connect clients between daemons use:
-// no compression, bounded messages.
+// ClientOptions returns the options of Connect clients for calls between daemons: no
+// compression, and a limit on the message size.
 func ClientOptions() []connect.ClientOption {
 	return []connect.ClientOption{
 		connect.WithAcceptCompression("gzip", nil, nil),
@@ -109,7 +108,7 @@
 	}
 }
 
-// HandlerOptions returns the options that connect handlers between daemons use.
+// HandlerOptions returns the corresponding options of Connect handlers.
 func HandlerOptions() []connect.HandlerOption {
 	return []connect.HandlerOption{
 		connect.WithCompression("gzip", nil, nil),
@@ -135,8 +134,8 @@
 	}
 }
 
-// boundTLSDial bounds the opening of an authenticated connection and gives its
-// failures the type of those of a plain one, since nothing was sent either.
+// boundTLSDial limits the duration of a TLS dial and wraps its failures in a DialError like
+// those of a plaintext dial, since no request was sent in either case.
 func boundTLSDial(dial security.DialFunc) security.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -149,8 +148,8 @@
 	}
 }
 
-// boundedClient gives every unary call a deadline. Streams live until they are
-// ended or their connection is found silent.
+// boundedClient sets a deadline on unary calls that have none. Streams have no deadline; they
+// last until they are closed or a ping on their connection times out.
 type boundedClient struct {
 	client *http.Client
 }
@@ -175,7 +174,7 @@
 	return strings.HasPrefix(request.Header.Get("Content-Type"), "application/connect+")
 }
 
-// cancelBody releases the deadline of a call when its body is closed.
+// cancelBody cancels the context of a call when the response body is closed.
 type cancelBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// DialError reports that no connection to a peer address could be opened.
-// Nothing was sent.
+// DialError reports that no connection to a peer address could be opened. No request was sent.
 type DialError struct {
 	Address string
 	Cause   error
@@ -20,17 +19,18 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// ConnectFailed tells dialers' failures from silence; it is always true.
+// ConnectFailed distinguishes a DialError from failures of an open connection. It always
+// returns true.
 func (e *DialError) ConnectFailed() bool { return true }
 
-// IsDialError tells whether err means that no connection could be opened, as
-// against one that opened and then gave no answer.
+// IsDialError reports whether no connection could be opened, as opposed to an open connection
+// that failed or did not respond.
 func IsDialError(err error) bool {
 	var d *DialError
 	return errors.As(err, &d)
 }
 
-// MetricError reports that the metrics of the package could not be registered.
+// MetricError reports that the metrics of this package could not be registered.
 type MetricError struct {
 	Cause error
 }
@@ -41,7 +41,7 @@
 // Unwrap returns the cause.
 func (e *MetricError) Unwrap() error { return e.Cause }
 
-// ServeError reports that the peer listener stopped by itself.
+// ServeError reports that the peer listener stopped unexpectedly.
 type ServeError struct {
 	Cause error
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -114,8 +114,8 @@
 	qt.Check(t, IsDialError(err), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// TestConnectionThatGoesSilentIsDropped has a relay that stops carrying bytes on
-// open connections while new ones work.
+// TestConnectionThatGoesSilentIsDropped guards against reuse of a connection that no longer
+// transfers data, while new connections to the same address work.
 func TestConnectionThatGoesSilentIsDropped(t *testing.T) {
 	s := startServer(t, answer, nil)
 	r := startRelay(t, s.Address())
@@ -133,7 +133,7 @@
 	qt.Check(t, got, qt.Equals, "HTTP/2.0 answer")
 }
 
-func TestUnaryCallWithoutADeadlineGetsOne(t *testing.T) {
+func TestUnaryCallGetsDefaultDeadline(t *testing.T) {
 	seen := make(chan bool, 1)
 	c := &boundedClient{client: &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 		_, bounded := r.Context().Deadline()
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestDialNeedsAKnownName(t *testing.T) {
+func TestDialFailsForUnknownName(t *testing.T) {
 	resolver := ResolverFunc(func(name string) (string, bool) { return "192.0.2.1:7", name == "known" })
 	d := NewDirectory(resolver, nil, newTraffic(t))
 	_, base, ok := d.Dial("known")
@@ -164,7 +164,7 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// relay carries bytes between clients and one target.
+// relay forwards bytes between clients and one target.
 type relay struct {
 	address string
 	mu      sync.Mutex
@@ -198,7 +198,7 @@
 	return r
 }
 
-// silence swallows all further bytes of the connections open now.
+// silence discards all further bytes of the currently open connections.
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/peer/server.go
+++ b/peer/server.go
@@ -13,22 +13,21 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout limits the time to read the headers of a request.
 	headerTimeout = 5 * time.Second
-	// maxStreams bounds the calls of one peer at a time.
+	// maxStreams is the maximum number of concurrent calls on one connection.
 	maxStreams = 1024
 )
 
-// Server answers the calls of other daemons.
+// Server serves the calls of other daemons.
 type Server struct {
 	tomb     tomb.Tomb
 	server   *http.Server
 	listener net.Listener
 }
 
-// NewServer returns a server on the listener. A nil TLS configuration means
-// plain text HTTP/2; to authenticate peers, the configuration has to require
-// client certificates.
+// NewServer returns a server on the listener. If the TLS configuration is nil, the server uses
+// plaintext HTTP/2. To authenticate peers, the configuration must require client certificates.
 func NewServer(listener net.Listener, handler http.Handler, config *tls.Config, traffic *Traffic) *Server {
 	protocols := new(http.Protocols)
 	if config == nil {
@@ -36,9 +35,9 @@
 	} else {
 		protocols.SetHTTP2(true)
 	}
-	// A server does not ping: callers do, which finds silent connections, and streams
-	// carry heartbeats of their own. With pings from both ends, a fleet of 295 in which
-	// each asks 74 others would send 22,000 of them a second when nothing else happens.
+	// The server does not send pings: those of the client detect unresponsive connections, and
+	// streams carry their own heartbeats. With pings from both ends, an idle fleet of 295
+	// daemons that each call 74 others would send 22,000 pings a second.
 	settings := &http.HTTP2Config{MaxConcurrentStreams: maxStreams}
 	return &Server{
 		listener: &countedListener{Listener: listener, traffic: traffic},
@@ -53,12 +52,11 @@
 	}
 }
 
-// SetErrorLog takes what the server says about connections that failed, such as
-// a refused certificate. Call it before Start; without it, that goes to standard
-// error.
+// SetErrorLog sets the logger for errors of connections, such as a rejected certificate. The
+// default is standard error. It must be called before Start.
 func (s *Server) SetErrorLog(l *log.Logger) { s.server.ErrorLog = l }
 
-// Start begins to serve.
+// Start starts serving.
 func (s *Server) Start() {
 	s.tomb.Go(s.serve)
 }
@@ -69,8 +67,8 @@
 // Dead is closed when the server has stopped.
 func (s *Server) Dead() <-chan struct{} { return s.tomb.Dead() }
 
-// Stop lets the calls in progress finish until ctx ends, then closes all
-// connections. Streams have to be ended by their owners before.
+// Stop waits for calls in progress until ctx ends, then closes all connections. Streams must be
+// ended by their owners first.
 func (s *Server) Stop(ctx context.Context) error {
 	s.tomb.Kill(nil)
 	if err := s.server.Shutdown(ctx); err != nil {
--- a/peer/traffic.go
+++ b/peer/traffic.go
@@ -7,15 +7,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Traffic counts the bytes of all connections between daemons, TLS and HTTP
-// framing included. It is safe for concurrent use.
+// Traffic counts the bytes of all connections between daemons, including TLS and HTTP framing.
+// It is safe for concurrent use.
 type Traffic struct {
 	in  atomic.Uint64
 	out atomic.Uint64
 }
 
-// NewTraffic returns a counter and registers it as
-// bronzeturn_peer_bytes_total, by direction. The registerer may be nil.
+// NewTraffic returns a Traffic and registers its counters as bronzeturn_peer_bytes_total with a
+// direction label. The registerer may be nil.
 func NewTraffic(registerer prometheus.Registerer) (*Traffic, error) {
 	t := &Traffic{}
 	if registerer == nil {
@@ -30,7 +30,7 @@
 	return t, nil
 }
 
-// Bytes returns the bytes received and sent so far.
+// Bytes returns the number of bytes received and sent so far.
 func (t *Traffic) Bytes() (in, out uint64) {
 	return t.in.Load(), t.out.Load()
 }
@@ -44,7 +44,7 @@
 	return prometheus.NewCounterFunc(opts, func() float64 { return float64(n.Load()) })
 }
 
-// conn returns c with its bytes counted.
+// conn wraps c so that its bytes are counted.
 func (t *Traffic) conn(c net.Conn) net.Conn {
 	return &countedConn{Conn: c, traffic: t}
 }
