--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rendezvous chooses preferred owners of keys by rendezvous (highest
-// random weight) hashing. The choice depends only on the key and the set of
-// names: it is even, or in proportion to the names' weights, and removing a name
-// moves only the keys it owned.
+// Package rendezvous selects preferred owners of keys by rendezvous (highest random weight)
+// hashing. The result depends only on the key and the set of names. Keys are distributed
+// evenly, or in proportion to the weights of the names, and removing a name moves only the keys
+// that it owned.
 package rendezvous
 
 import (
@@ -12,20 +12,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Set is an immutable set of names with their hashes worked out. It is safe
-// for concurrent use, and Owner does not allocate.
+// Set is an immutable set of names with precomputed hashes. It is safe for concurrent use, and
+// Owner does not allocate.
 type Set struct {
 	names  []string
 	hashes []uint64
-	// weights are nil when all names weigh the same.
+	// weights is nil if all names have the same weight.
 	weights []float64
 }
 
-// NewSet returns the set of names. The order of names does not matter.
+// NewSet returns the set of the names. Their order does not matter.
 func NewSet(names []string) *Set { return (*Set)(nil).WithNames(names) }
 
-// WithNames returns the set of names, reusing the hashes of those that are in s. s may be
-// nil. The order of names does not matter.
+// WithNames returns the set of the names, all of the same weight. It reuses the hashes of the
+// names that are also in s, which may be nil. The order of the names does not matter.
 func (s *Set) WithNames(names []string) *Set {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
@@ -45,9 +45,9 @@
 	return next
 }
 
-// NewWeighted returns the set of names with their weights: a name of twice the weight
-// is first for twice as many keys. A weight that is not above 0 counts as 1. While all
-// weigh the same, the set chooses as NewSet's does.
+// NewWeighted returns the set of names with their weights: a name with twice the weight owns
+// about twice as many keys. A weight that is not greater than 0 is treated as 1. If all weights
+// are equal, the set ranks names like one returned by NewSet.
 func NewWeighted(weights map[string]float64) *Set {
 	names := make([]string, 0, len(weights))
 	for name := range weights {
@@ -72,7 +72,7 @@
 // Len returns the number of names.
 func (s *Set) Len() int { return len(s.names) }
 
-// Owner returns the preferred owner of key, or "" when the set is empty.
+// Owner returns the preferred owner of key, or "" if the set is empty.
 func (s *Set) Owner(key string) string {
 	keyHash := xxhash.Sum64String(key)
 	best := -1
@@ -89,8 +89,8 @@
 	return s.names[best]
 }
 
-// Top returns the n most preferred names for key, the owner first. It returns
-// fewer when the set is smaller.
+// Top returns the n most preferred names for key, the owner first, or all names if the set has
+// fewer.
 func (s *Set) Top(key string, n int) []string {
 	keyHash := xxhash.Sum64String(key)
 	order := make([]int, len(s.names))
@@ -113,14 +113,13 @@
 	return top
 }
 
-// score ranks one name for one key; the hash decides where the weighted values are
-// the same.
+// score ranks one name for one key. Equal weighted scores are ordered by the hash.
 type score struct {
 	weighted float64
 	hash     uint64
 }
 
-// compare returns a positive number when s ranks before other.
+// compare returns a positive number if s ranks before other.
 func (s score) compare(other score) int {
 	if c := cmp.Compare(s.weighted, other.weighted); c != 0 {
 		return c
@@ -128,9 +127,9 @@
 	return cmp.Compare(s.hash, other.hash)
 }
 
-// score returns that of one name for a key. Read as a number between 0 and 1, the hash
-// u gives -weight/ln(u): the greatest of these belongs to a name with a probability in
-// proportion to its weight.
+// score returns the score of the i-th name for a key. With the hash scaled to a number u
+// between 0 and 1, the weighted score is -weight/ln(u): the probability that a name has the
+// highest score is then proportional to its weight.
 func (s *Set) score(keyHash uint64, i int) score {
 	hash := mix(keyHash ^ s.hashes[i])
 	if s.weights == nil {
@@ -140,8 +139,8 @@
 	return score{weighted: -s.weights[i] / math.Log(u), hash: hash}
 }
 
-// Owner returns the preferred owner of key among names, or "" without names.
-// Callers that ask often should keep a Set.
+// Owner returns the preferred owner of key among names, or "" if there are none. For repeated
+// lookups use a Set.
 func Owner(key string, names []string) string {
 	return NewSet(names).Owner(key)
 }
@@ -151,8 +150,8 @@
 	return NewSet(names).Top(key, n)
 }
 
-// mix is the 64-bit finalizer of MurmurHash3. It spreads every input bit over
-// the whole word, so that the combined hashes of key and name are independent.
+// mix is the 64-bit finalizer of MurmurHash3. It spreads every input bit over the whole word,
+// so that the combined hashes of key and name are independent.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -45,13 +45,13 @@
 				t.Fatalf("%s moved from %s to %s when %s went", key, before, after, gone)
 			}
 			if before == gone && len(rest) > 0 && after != Top(key, names, 2)[1] {
-				t.Fatalf("%s did not move to its second choice", key)
+				t.Fatalf("%s did not move to the second in its ranking", key)
 			}
 		}
 	})
 }
 
-func TestTopBeginsWithTheOwnerAndHasNoDoubles(t *testing.T) {
+func TestTopStartsWithTheOwnerWithoutDuplicates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := drawNames(t)
 		n := rapid.IntRange(0, 25).Draw(t, "n")
@@ -64,12 +64,12 @@
 		}
 		slices.Sort(top)
 		if len(slices.Compact(top)) != min(n, len(names)) {
-			t.Fatalf("doubles in %v", top)
+			t.Fatalf("duplicates in %v", top)
 		}
 	})
 }
 
-func TestOwnersAreEven(t *testing.T) {
+func TestKeysAreDistributedEvenly(t *testing.T) {
 	for _, n := range []int{6, 48, 410} {
 		names := make([]string, n)
 		for i := range names {
@@ -82,13 +82,13 @@
 			counts[set.Owner(fmt.Sprint("shard/", i))]++
 		}
 		for _, name := range names {
-			// Five standard deviations of a binomial count with mean 500.
+			// The limits are five standard deviations of a binomial count with mean 500.
 			qt.Check(t, counts[name] > 388 && counts[name] < 612, qt.IsTrue, qt.Commentf("%s of %d: %d", name, n, counts[name]))
 		}
 	}
 }
 
-func TestWithoutNames(t *testing.T) {
+func TestEmptySetHasNoOwner(t *testing.T) {
 	qt.Check(t, Owner("key", nil), qt.Equals, "")
 	qt.Check(t, Top("key", nil, 3), qt.HasLen, 0)
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestWeightsShareKeysOut counts the keys of names of unlike weights.
-func TestWeightsShareKeysOut(t *testing.T) {
+// TestKeysAreProportionalToWeights checks the number of keys owned by names with different weights.
+func TestKeysAreProportionalToWeights(t *testing.T) {
 	weights := map[string]float64{"one": 1, "two": 2, "five": 5, "untold": 0}
 	set := NewWeighted(weights)
 	const keys = 20000
@@ -121,12 +121,12 @@
 	for name, want := range map[string]float64{"one": 1, "two": 2, "five": 5, "untold": 1} {
 		share := float64(owned[name]) / keys * 9
 		if share < 0.9*want || share > 1.1*want {
-			t.Errorf("%s owns %.2f parts, not %.0f", name, share, want)
+			t.Errorf("%s owns %.2f shares, not %.0f", name, share, want)
 		}
 	}
 }
 
-func TestEvenWeightsChooseAsNone(t *testing.T) {
+func TestEqualWeightsRankLikeNoWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := drawNames(t)
 		weight := rapid.Float64Range(0.001, 1000).Draw(t, "weight")
@@ -150,7 +150,7 @@
 		before := NewWeighted(weights)
 		gone := rapid.SampledFrom(before.names).Draw(t, "gone")
 		delete(weights, gone)
-		weights["another"] = 0 // Keeps the set uneven.
+		weights["another"] = 0 // Keeps the weights unequal.
 		after := NewWeighted(weights)
 		for i := range 100 {
 			key := fmt.Sprint("key-", i)
