--- a/gossip/errors.go
+++ b/gossip/errors.go
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("overlay stream names no usable sender: %.64q", e.Name)
 }
 
-// Errors that end a link.
+// Causes for which a link ends or is refused.
 var (
 	// ErrSilent reports a link on which no frame arrived for SilenceTimeout.
 	ErrSilent = errors.New("overlay link went silent")
--- a/membership/capacity_test.go
+++ b/membership/capacity_test.go
@@ -10,8 +10,9 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// TestWatchersAreChosenByCapacity guards against choosing watchers regardless of capacity: three of the 59
-// hosts in each of five data centres have about forty times the capacity of the others.
+// TestWatchersAreChosenByCapacity guards against choosing watchers regardless of capacity:
+// three of the 59 hosts in each of five data centres have about forty times the capacity of the
+// others.
 func TestWatchersAreChosenByCapacity(t *testing.T) {
 	c := qt.New(t)
 	strong, all := 0, 0
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -25,7 +25,9 @@
 	monitored bool
 	// since is when the daemon became a neighbour, or when this daemon last resumed from a
 	// pause of its own.
-	since     time.Time
+	since time.Time
+	// heard is when the last heartbeat arrived, and heartbeat its content. lost is the last
+	// failure of a link to the daemon, nil once a heartbeat arrives.
 	heard     time.Time
 	heartbeat *bronzeturnv1.Heartbeat
 	lost      error
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -162,15 +162,15 @@
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 12)
-		lonely := fleet[7]
-		beside := lonely.neighbours(lonely.View())
+		isolated := fleet[7]
+		neighbours := isolated.neighbours(isolated.View())
 		for _, m := range fleet {
-			if m != lonely {
+			if m != isolated {
 				net.setCut("entry-7", m.options.Self.Name, true)
 			}
 		}
 		time.Sleep(4 * outTime)
-		for _, name := range beside {
+		for _, name := range neighbours {
 			net.crash(name)
 		}
 		time.Sleep(4 * outTime)
@@ -178,8 +178,8 @@
 			net.setCut("entry-7", m.options.Self.Name, false)
 		}
 		time.Sleep(time.Minute)
-		qt.Check(t, lonely.View().Live(), qt.Equals, 12-len(beside))
-		state, _ := stateOf(lonely, "entry-7")
+		qt.Check(t, isolated.View().Live(), qt.Equals, 12-len(neighbours))
+		state, _ := stateOf(isolated, "entry-7")
 		qt.Check(t, state, qt.Equals, Live)
 		for _, m := range fleet {
 			if name := m.options.Self.Name; !net.down[name] {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -111,7 +111,7 @@
 	m.publishOwnLocked()
 	m.mu.Unlock()
 	m.rebuild()
-	m.log.Info().Msg("leaving announced")
+	m.log.Info().Msg("announced shutdown to the fleet")
 }
 
 // Stop removes this daemon from the fleet and closes its links. It waits for the pending
@@ -124,7 +124,7 @@
 	m.publishRemovalLocked()
 	m.mu.Unlock()
 	if drainErr := m.node.Drain(ctx); drainErr != nil {
-		m.log.Warn().Err(drainErr).Msg("stopped before all entries arrived")
+		m.log.Warn().Err(drainErr).Msg("stopped before all entries were delivered")
 	}
 	if stopErr := m.node.Stop(); err == nil {
 		err = stopErr
@@ -267,7 +267,7 @@
 	}
 	for _, member := range old.Members {
 		if _, ok := v.Member(member.Name); !ok {
-			m.log.Info().Str("daemon", member.Name).Int("live", v.Live()).Msg("daemon gone")
+			m.log.Info().Str("daemon", member.Name).Int("live", v.Live()).Msg("daemon removed")
 		}
 	}
 }
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -17,10 +17,10 @@
 // suspicions maps a target and a reporter to a valid suspicion.
 type suspicions map[string]map[string]suspicion
 
-// countedSuspicions returns the valid suspicions: the reporter is a known daemon other than the
+// validSuspicions returns the valid suspicions: the reporter is a known daemon other than the
 // target, and the target has not raised its incarnation since the report.
-func countedSuspicions(r *records) suspicions {
-	counted := make(suspicions)
+func validSuspicions(r *records) suspicions {
+	valid := make(suspicions)
 	for target, byReporter := range r.suspicions {
 		d := r.daemons[target]
 		if d == nil {
@@ -30,53 +30,53 @@
 			if reporter == target || r.daemons[reporter] == nil || c.incarnation < d.GetIncarnation() {
 				continue
 			}
-			if counted[target] == nil {
-				counted[target] = make(map[string]suspicion)
+			if valid[target] == nil {
+				valid[target] = make(map[string]suspicion)
 			}
-			counted[target][reporter] = c
+			valid[target][reporter] = c
 		}
 	}
-	return counted
+	return valid
 }
 
 // applySuspicions marks the members that enough neighbours suspect. It processes the member
 // with the most suspicions first and then discards the suspicions that this member reported: a
 // daemon that is cut off from the network wrongly suspects all its neighbours.
 func applySuspicions(v *View, r *records) {
-	counted := countedSuspicions(r)
-	out := make(map[string]struct{})
+	valid := validSuspicions(r)
+	processed := make(map[string]struct{})
 	for {
-		i := mostSuspected(v, counted, out)
+		i := mostSuspected(v, valid, processed)
 		if i < 0 {
 			break
 		}
 		m := &v.Members[i]
-		out[m.Name] = struct{}{}
+		processed[m.Name] = struct{}{}
 		if m.State == Live && m.Name != v.Self {
-			m.State, m.Reason = Suspected, reasonOf(counted[m.Name])
+			m.State, m.Reason = Suspected, reasonOf(valid[m.Name])
 		}
-		for _, byReporter := range counted {
+		for _, byReporter := range valid {
 			delete(byReporter, m.Name)
 		}
 	}
 	for i := range v.Members {
-		v.Members[i].PartlySuspected = len(counted[v.Members[i].Name]) > 0
+		v.Members[i].PartlySuspected = len(valid[v.Members[i].Name]) > 0
 	}
 }
 
 // mostSuspected returns the index of the member with the most suspicions, among those not yet
-// in out that have enough of them, or -1.
-func mostSuspected(v *View, counted suspicions, out map[string]struct{}) int {
+// processed that have enough of them, or -1.
+func mostSuspected(v *View, valid suspicions, processed map[string]struct{}) int {
 	best := -1
 	for i, m := range v.Members {
-		n := len(counted[m.Name])
-		if _, done := out[m.Name]; done || n == 0 {
+		n := len(valid[m.Name])
+		if _, done := processed[m.Name]; done || n == 0 {
 			continue
 		}
-		if best >= 0 && n <= len(counted[v.Members[best].Name]) {
+		if best >= 0 && n <= len(valid[v.Members[best].Name]) {
 			continue
 		}
-		if n >= minReporters || n >= trustedNeighbours(v, m, counted, out) {
+		if n >= minReporters || n >= trustedNeighbours(v, m, valid, processed) {
 			best = i
 		}
 	}
@@ -84,18 +84,18 @@
 }
 
 // trustedNeighbours returns the number of neighbours of the target whose reports can be
-// trusted: those not in out that no daemon other than the target suspects.
-func trustedNeighbours(v *View, target Member, counted suspicions, out map[string]struct{}) int {
+// trusted: those not yet processed that no daemon other than the target suspects.
+func trustedNeighbours(v *View, target Member, valid suspicions, processed map[string]struct{}) int {
 	n := 0
 	for _, name := range v.rings.neighbours(target.Name, target.DataCentre) {
-		if _, gone := out[name]; gone {
+		if _, gone := processed[name]; gone {
 			continue
 		}
-		doubts := len(counted[name])
-		if _, mutual := counted[name][target.Name]; mutual {
-			doubts--
+		suspectedBy := len(valid[name])
+		if _, mutual := valid[name][target.Name]; mutual {
+			suspectedBy--
 		}
-		if doubts == 0 {
+		if suspectedBy == 0 {
 			n++
 		}
 	}
