--- a/configuration.go
+++ b/configuration.go
@@ -134,7 +134,7 @@
 }
 
 func newWatcher(members *membership.Membership) *watcher {
-	w := &watcher{members: members, watching: members.Watching(), changed: make(chan struct{})}
+	w := &watcher{members: members, watching: members.IsWatcher(), changed: make(chan struct{})}
 	members.Subscribe(w.viewChanged)
 	return w
 }
@@ -142,7 +142,7 @@
 func (w *watcher) viewChanged(v *membership.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	watching := v.Watching(v.Self)
+	watching := v.IsWatcher(v.Self)
 	if watching == w.watching {
 		return
 	}
@@ -170,8 +170,8 @@
 func (f *fleet) exchangeNews(ctx context.Context) error {
 	for backoff.Sleep(ctx, newsInterval) == nil {
 		status := f.provider.Status()
-		f.members.SetNews(status.Generation, status.StoreConfirmed)
-		if age, ok := f.members.News(); ok && status.Generation > 0 {
+		f.members.SetConfigNews(status.Generation, status.StoreConfirmed)
+		if age, ok := f.members.ConfigNewsAge(); ok && status.Generation > 0 {
 			f.provider.RecordHeartbeat(status.Generation, age)
 		}
 	}
--- a/entry/review.go
+++ b/entry/review.go
@@ -94,7 +94,7 @@
 // writeRank returns this daemon's position in the order in which the daemons try to write the
 // state of a service's introduction.
 func (i *introductions) writeRank(service string) int {
-	return i.daemon.fleet.members.View().Place(canaryPrefix + service)
+	return i.daemon.fleet.members.View().Rank(canaryPrefix + service)
 }
 
 // write writes the state of an introduction to the store.
--- a/gossip/keeper.go
+++ b/gossip/keeper.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// keeper keeps a link to one target.
-type keeper struct {
+// connector maintains the link to one target.
+type connector struct {
 	target Target
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// SetTargets replaces the neighbours to keep links to. Links to others that
-// this daemon opened are closed; a link that was opened to an address stays when
-// the daemon there is now wanted by name.
+// SetTargets replaces the daemons to maintain links to. Outbound links to other daemons are
+// closed. A link that was opened to a bare address stays open if the daemon at that address is
+// now a target by name.
 func (n *Node) SetTargets(targets []Target) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -23,12 +23,12 @@
 	for _, t := range targets {
 		wanted[t] = struct{}{}
 		names[t.Name] = struct{}{}
-		n.addKeeperLocked(t)
+		n.addConnectorLocked(t)
 	}
-	for t, k := range n.keepers {
+	for t, k := range n.connectors {
 		if _, ok := wanted[t]; !ok {
 			k.cancel()
-			delete(n.keepers, t)
+			delete(n.connectors, t)
 		}
 	}
 	for l := range n.links {
@@ -43,49 +43,49 @@
 	}
 }
 
-func (n *Node) addKeeperLocked(t Target) {
-	if _, ok := n.keepers[t]; ok {
+func (n *Node) addConnectorLocked(t Target) {
+	if _, ok := n.connectors[t]; ok {
 		return
 	}
-	k := &keeper{target: t}
+	k := &connector{target: t}
 	k.ctx, k.cancel = context.WithCancel(n.tomb.Context(context.Background()))
-	if !n.spawnLocked(func() error { return n.keep(k) }) {
+	if !n.spawnLocked(func() error { return n.maintainLink(k) }) {
 		k.cancel()
 		return
 	}
-	n.keepers[t] = k
+	n.connectors[t] = k
 }
 
-// keep opens a link to the target whenever there is none, until the target is
-// no longer wanted.
-func (n *Node) keep(k *keeper) error {
+// maintainLink opens a link to the target whenever there is none, until the target is removed.
+func (n *Node) maintainLink(k *connector) error {
 	failures := 0
 	if n.options.Name > k.target.Name && k.target.Name != "" {
-		// The smaller name dials first, so that two neighbours rarely open two links.
+		// The daemon with the smaller name dials first, so that two neighbours rarely dial each
+		// other at the same time.
 		k.sleep(HeartbeatInterval)
 	}
 	for k.ctx.Err() == nil {
-		if k.target.Name != "" && n.linked(k.target.Name) {
+		if k.target.Name != "" && n.hasLink(k.target.Name) {
 			failures = 0
 			k.sleep(HeartbeatInterval)
 			continue
 		}
-		name, err := n.open(k)
+		name, err := n.dialAndRun(k)
 		if k.ctx.Err() != nil {
 			break
 		}
 		if name != "" {
 			failures = 0
 		}
-		n.options.Observer.Lost(Target{Name: orElse(k.target.Name, name), Address: k.target.Address}, err)
+		n.options.Observer.LinkLost(Target{Name: orElse(k.target.Name, name), Address: k.target.Address}, err)
 		failures++
 		k.sleep(n.backoff(failures))
 	}
 	return nil
 }
 
-// open dials the target and carries the link until it ends.
-func (n *Node) open(k *keeper) (name string, err error) {
+// dialAndRun dials the target and runs the link until it ends.
+func (n *Node) dialAndRun(k *connector) (name string, err error) {
 	stream, err := n.options.Dialer.DialLink(n.tomb.Context(context.Background()), k.target)
 	if err != nil {
 		return "", err
@@ -93,24 +93,24 @@
 	return n.run(stream, &k.target)
 }
 
-// Accept carries a link that a neighbour opened, until it ends.
+// Accept runs a link opened by a neighbour until it ends.
 func (n *Node) Accept(stream Link) error {
 	name, err := n.run(stream, nil)
 	if name != "" {
-		n.options.Observer.Lost(Target{Name: name}, err)
+		n.options.Observer.LinkLost(Target{Name: name}, err)
 	}
 	return err
 }
 
-// backoff returns how long to wait after so many failures in a row: full
-// jitter over a doubling limit.
+// backoff returns the delay after the given number of consecutive failures: half of redialMin
+// plus a random time up to a limit that doubles with every failure.
 func (n *Node) backoff(failures int) time.Duration {
 	limit := min(redialMin<<min(failures, 8), redialMax)
 	return redialMin/2 + n.jitter(limit)
 }
 
-// sleep waits, or returns early when the target is no longer wanted.
-func (k *keeper) sleep(d time.Duration) {
+// sleep waits for d, or until the target is removed.
+func (k *connector) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/gossip/link.go
+++ b/gossip/link.go
@@ -14,13 +14,12 @@
 	"github.com/bronzeturn/bronzeturn/peer"
 )
 
-// link runs one overlay stream. Its queue holds keys, not entries: what is
-// sent is the newest state at that time, and the queue never holds more keys
-// than the table.
+// link runs one overlay stream. Its queue holds keys, not entries: each key is sent with the
+// newest state at the time of sending, and the queue never holds more keys than the table.
 type link struct {
 	node   *Node
 	stream Link
-	// target is what was dialled, nil for a link that the neighbour opened.
+	// target is the dialled target, or nil for an inbound link.
 	target *Target
 	name   atomic.Pointer[string]
 	// acceptsCompressed reports whether the neighbour's hello declared support for compressed
@@ -31,9 +30,10 @@
 	queue   []string
 	queued  map[string]struct{}
 	control []*bronzeturnv1.Frame
-	// finishing is set when the link has to say goodbye, saidBye when it has.
-	finishing bool
-	saidBye   bool
+	// goodbyeRequested is set when the link must send a goodbye frame after its queue,
+	// goodbyeSent once it has.
+	goodbyeRequested bool
+	goodbyeSent      bool
 
 	wake    chan struct{}
 	done    chan struct{}
@@ -42,8 +42,8 @@
 	silence *time.Timer
 	// opened is when the link was opened.
 	opened time.Time
-	// lastReceived is when the last frame arrived, in nanoseconds since opened. The monotonic
-	// clock keeps steps of the wall clock from closing links.
+	// lastReceived is when the last frame arrived, in nanoseconds since opened. It is based on
+	// the monotonic clock, so that steps of the wall clock do not close links.
 	lastReceived atomic.Int64
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// run carries the stream until it ends, and returns why. The target is nil for a
-// stream that the neighbour opened.
+// run runs a stream until it ends and returns the name of the neighbour, if known, and the
+// cause of the end. The target is nil for a stream that the neighbour opened.
 func (n *Node) run(stream Link, target *Target) (name string, err error) {
 	l := newLink(n, stream, target)
 	if err := n.attach(l); err != nil {
@@ -71,8 +71,8 @@
 		return "", err
 	}
 	defer n.detach(l)
-	for _, key := range n.options.Greeting {
-		l.mark(key)
+	for _, key := range n.options.GreetingKeys {
+		l.enqueue(key)
 	}
 	l.silence = time.AfterFunc(SilenceTimeout, l.checkSilence)
 	defer l.silence.Stop()
@@ -83,8 +83,8 @@
 		if !errors.Is(err, io.EOF) {
 			l.close(err)
 		}
-		// The end of the stream only says that the reader gets the cause, which
-		// tells a failed connection from a silent one.
+		// On io.EOF the cause is left to the reader, whose error distinguishes a failed
+		// connection from a silent one.
 		return nil
 	})
 	if !started {
@@ -96,7 +96,7 @@
 	return l.peerName(), l.cause
 }
 
-// close ends the link. The first cause counts.
+// close ends the link. Only the cause of the first call is recorded.
 func (l *link) close(cause error) {
 	l.once.Do(func() {
 		l.cause = cause
@@ -117,7 +117,7 @@
 	l.silence.Reset(backoff.UntilLastTickWithin(HeartbeatInterval, remaining))
 }
 
-// peerName returns the neighbour's name, or "" before its hello.
+// peerName returns the neighbour's name, or "" before its hello was received.
 func (l *link) peerName() string {
 	if name := l.name.Load(); name != nil {
 		return *name
@@ -125,8 +125,8 @@
 	return ""
 }
 
-// mark queues a key for sending.
-func (l *link) mark(key string) {
+// enqueue adds a key to the send queue.
+func (l *link) enqueue(key string) {
 	l.mu.Lock()
 	if _, ok := l.queued[key]; !ok {
 		l.queued[key] = struct{}{}
@@ -136,18 +136,18 @@
 	l.signal()
 }
 
-// unmark takes a key from the queue that the neighbour is known to hold.
-func (l *link) unmark(key string) {
+// dequeue removes a key from the send queue because the neighbour already holds its state.
+func (l *link) dequeue(key string) {
 	l.mu.Lock()
 	delete(l.queued, key)
 	l.mu.Unlock()
 }
 
-// push queues an anti-entropy frame. Beyond the bound it is dropped; the next
-// exchange makes up for it.
-func (l *link) push(frames ...*bronzeturnv1.Frame) {
+// enqueueControl queues anti-entropy frames. Frames beyond maxControlFrames are dropped; a
+// later exchange compensates for them.
+func (l *link) enqueueControl(frames ...*bronzeturnv1.Frame) {
 	l.mu.Lock()
-	room := maxControl - len(l.control)
+	room := maxControlFrames - len(l.control)
 	l.control = append(l.control, frames[:max(0, min(room, len(frames)))]...)
 	l.mu.Unlock()
 	l.signal()
@@ -160,15 +160,15 @@
 	}
 }
 
-// finish makes the link say goodbye once its queue is sent.
-func (l *link) finish() {
+// requestGoodbye makes the link send a goodbye frame once its queue is empty.
+func (l *link) requestGoodbye() {
 	l.mu.Lock()
-	l.finishing = true
+	l.goodbyeRequested = true
 	l.mu.Unlock()
 	l.signal()
 }
 
-// write sends heartbeats and what is queued until the link ends.
+// write sends heartbeats and queued entries and frames until the link ends.
 func (l *link) write() error {
 	hello := &bronzeturnv1.Frame{
 		Hello:     &bronzeturnv1.Hello{Name: l.node.options.Name, Compressed: true},
@@ -180,14 +180,14 @@
 	timer := time.NewTimer(backoff.UntilTick(HeartbeatInterval))
 	defer timer.Stop()
 	var flush <-chan time.Time
-	for beats := 1; ; {
+	for heartbeats := 1; ; {
 		select {
 		case <-l.done:
 			return nil
 		case <-timer.C:
 			timer.Reset(backoff.UntilTick(HeartbeatInterval))
-			frame := &bronzeturnv1.Frame{Heartbeat: l.node.heartbeat(beats%digestEvery == 0)}
-			beats++
+			frame := &bronzeturnv1.Frame{Heartbeat: l.node.heartbeat(heartbeats%heartbeatsPerDigest == 0)}
+			heartbeats++
 			if err := l.send(frame); err != nil {
 				return err
 			}
@@ -208,8 +208,8 @@
 	}
 }
 
-// flush sends what is queued. It returns how long to wait before the rest may
-// be sent, or zero when nothing is left.
+// flush sends the queued control frames and one batch of entries. It returns the delay before
+// the next flush, or zero if the queue is empty.
 func (l *link) flush() (time.Duration, error) {
 	for _, frame := range l.takeControl() {
 		if err := l.send(frame); err != nil {
@@ -221,7 +221,7 @@
 	}
 	frame, size := l.takeBatch()
 	if size == 0 {
-		return 0, l.sayGoodbye()
+		return 0, l.sendGoodbye()
 	}
 	l.node.limiter.ReserveN(time.Now(), min(size, entryBurst))
 	l.node.metrics.entryBytes.Add(float64(size))
@@ -231,11 +231,11 @@
 	return batchDelay, nil
 }
 
-// sayGoodbye sends the last frame when the link is finishing.
-func (l *link) sayGoodbye() error {
+// sendGoodbye sends the goodbye frame if it was requested and has not been sent.
+func (l *link) sendGoodbye() error {
 	l.mu.Lock()
-	due := l.finishing && !l.saidBye
-	l.saidBye = l.saidBye || due
+	due := l.goodbyeRequested && !l.goodbyeSent
+	l.goodbyeSent = l.goodbyeSent || due
 	l.mu.Unlock()
 	if !due {
 		return nil
@@ -279,7 +279,8 @@
 	return frames
 }
 
-// takeBatch returns a frame of queued entries and its size in bytes.
+// takeBatch removes keys from the queue and returns a frame with their entries and its size in
+// bytes.
 func (l *link) takeBatch() (frame *bronzeturnv1.Frame, size int) {
 	frame = &bronzeturnv1.Frame{}
 	now := time.Now()
@@ -288,8 +289,8 @@
 		if !ok {
 			break
 		}
-		// The key leaves the queue before its state is read, so that a change
-		// after the reading queues it again.
+		// The key is removed from the queue before its state is read, so that a later change
+		// queues it again.
 		e := l.node.table.get(key)
 		if e == nil {
 			continue
@@ -301,7 +302,7 @@
 	return frame, size
 }
 
-// next takes the first key from the queue.
+// next removes the first key from the queue.
 func (l *link) next() (key string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gossip/subscribe.go
+++ b/gossip/subscribe.go
@@ -5,16 +5,15 @@
 	"sync"
 )
 
-// Subscriber is called with the newest state of a key. An empty value marks a
-// removal. Version zero, with no value, means that the entry has expired.
+// Subscriber is called with the newest state of a key. An empty value represents a removal.
+// Version zero with an empty value means that the entry has expired.
 type Subscriber func(key string, version uint64, value []byte)
 
-// subscription calls one subscriber from one goroutine. It queues keys rather
-// than states, so a slow subscriber skips states but never sees an older one
-// after a newer one.
+// subscription calls one subscriber from one goroutine. It queues keys, not states, so a slow
+// subscriber may miss intermediate states but never sees an older state after a newer one.
 type subscription struct {
-	prefix string
-	call   Subscriber
+	prefix   string
+	callback Subscriber
 
 	mu     sync.Mutex
 	queue  []string
@@ -22,14 +21,14 @@
 	wake   chan struct{}
 }
 
-// Subscribe calls f for every key with the prefix, with what is held already
-// and after each change, one call at a time.
+// Subscribe calls f for every key with the prefix, first with the states already held and then
+// after each change, one call at a time.
 func (n *Node) Subscribe(prefix string, f Subscriber) {
 	s := &subscription{
-		prefix: prefix,
-		call:   f,
-		queued: make(map[string]struct{}),
-		wake:   make(chan struct{}, 1),
+		prefix:   prefix,
+		callback: f,
+		queued:   make(map[string]struct{}),
+		wake:     make(chan struct{}, 1),
 	}
 	n.mu.Lock()
 	n.subs = append(n.subs, s)
@@ -40,7 +39,7 @@
 	}
 }
 
-// notify tells the subscriptions that a key changed.
+// notify queues a changed key on the matching subscriptions.
 func (n *Node) notify(key string) {
 	n.mu.Lock()
 	subs := n.subs
@@ -64,14 +63,14 @@
 	}
 }
 
-// deliver calls the subscriber with the state held now.
+// deliver calls the subscriber with the current state of the key.
 func (n *Node) deliver(s *subscription, key string) {
 	e := n.table.get(key)
 	if e == nil {
-		s.call(key, 0, nil)
+		s.callback(key, 0, nil)
 		return
 	}
-	s.call(key, e.version, e.value)
+	s.callback(key, e.version, e.value)
 }
 
 func (s *subscription) add(key string) {
--- a/membership/contacts.go
+++ b/membership/contacts.go
@@ -9,32 +9,37 @@
 )
 
 const (
-	// heardWithin is how old a heartbeat may be for the neighbour to count as
-	// heard.
+	// heardWithin is the maximum age of the last heartbeat for a neighbour to count as heard.
 	heardWithin = suspectAfter
-	// newsHop is added to the age of news for each daemon it passed, since the
-	// time on the wire cannot be seen.
-	newsHop = 100 * time.Millisecond
-	// forgetAfter is how long the contact to a former neighbour is kept.
-	forgetAfter = time.Minute
+	// newsHopDelay is added to the age of configuration news for each daemon that relays it,
+	// because the transmission time cannot be measured. It keeps the reported age from being
+	// too low.
+	newsHopDelay = 100 * time.Millisecond
+	// contactRetention is how long the contact to a former neighbour is kept.
+	contactRetention = time.Minute
 )
 
-// contact is what this daemon knows first hand about another.
+// contact is what this daemon has observed directly about another daemon.
 type contact struct {
+	// monitored is whether the daemon is a neighbour at present.
 	monitored bool
-	// since is when the contact became a neighbour, or when this daemon gave all
-	// its neighbours a fresh start.
-	since     time.Time
+	// since is when the daemon became a neighbour, or when this daemon last resumed from a
+	// pause of its own.
+	since time.Time
+	// heard is when the last heartbeat arrived, and heartbeat its content. lost is the last
+	// failure of a link to the daemon, nil once a heartbeat arrives.
 	heard     time.Time
 	heartbeat *bronzeturnv1.Heartbeat
 	lost      error
 
-	claimed   bool
-	claim     claim
-	claimedAt time.Time
+	// reported is whether this daemon has published a suspicion that it has not withdrawn.
+	// report and reportedAt describe the last one published.
+	reported   bool
+	report     suspicion
+	reportedAt time.Time
 }
 
-// silent tells whether the neighbour has been silent for too long.
+// silent reports whether the neighbour has exceeded the silence limit that applies to it.
 func (c *contact) silent(now time.Time) bool {
 	if c.heard.IsZero() {
 		return now.Sub(c.since) > neverHeardAfter
@@ -45,8 +50,8 @@
 	return now.Sub(c.heard) > suspectAfter
 }
 
-// reason tells apart a neighbour that cannot be reached from one that can, but
-// does not answer.
+// reason distinguishes a neighbour to which no connection can be opened from one that accepts
+// connections but does not respond.
 func (c *contact) reason() bronzeturnv1.SuspicionReason {
 	var dial dialFailure
 	if errors.As(c.lost, &dial) && dial.ConnectFailed() {
@@ -55,18 +60,18 @@
 	return bronzeturnv1.SuspicionReason_SUSPICION_REASON_FROZEN
 }
 
-// dialFailure is an error of a dialer that tells whether no connection could be
+// dialFailure is implemented by dialer errors that report whether the connection could not be
 // opened.
 type dialFailure interface {
 	error
 	ConnectFailed() bool
 }
 
-// observer takes in what the links tell.
+// observer receives the events of the overlay links.
 type observer Membership
 
-// Heard implements gossip.Observer.
-func (o *observer) Heard(name string, heartbeat *bronzeturnv1.Heartbeat) {
+// HeartbeatReceived implements gossip.Observer.
+func (o *observer) HeartbeatReceived(name string, heartbeat *bronzeturnv1.Heartbeat) {
 	m := (*Membership)(o)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,8 +81,8 @@
 	c.lost = nil
 }
 
-// Lost implements gossip.Observer.
-func (o *observer) Lost(target gossip.Target, err error) {
+// LinkLost implements gossip.Observer.
+func (o *observer) LinkLost(target gossip.Target, err error) {
 	m := (*Membership)(o)
 	if target.Name == "" {
 		m.log.Debug().Str("address", target.Address).Err(err).Msg("seed not reached")
@@ -97,8 +102,9 @@
 	return c
 }
 
-// watchContacts sets which contacts are neighbours and forgets old ones.
-func (m *Membership) watchContacts(names []string, now time.Time) {
+// updateContacts marks the named daemons as neighbours and deletes the contacts of former
+// neighbours after contactRetention.
+func (m *Membership) updateContacts(names []string, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	wanted := make(map[string]struct{}, len(names))
@@ -115,41 +121,42 @@
 			continue
 		}
 		c.monitored = false
-		if now.Sub(c.heard) > forgetAfter && now.Sub(c.since) > forgetAfter {
+		if now.Sub(c.heard) > contactRetention && now.Sub(c.since) > contactRetention {
 			m.withdrawLocked(name, c)
 			delete(m.contacts, name)
 		}
 	}
 }
 
-// tick looks at the neighbours and at this daemon's own entry.
+// tick checks the neighbours for silence and maintains the entry of this daemon.
 func (m *Membership) tick(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pausedAfter {
-		m.freshStartLocked(now)
+		m.resetSilenceLocked(now)
 	}
 	m.lastTick = now
-	m.tendOwnLocked(now)
+	m.maintainOwnLocked(now)
 	for name, c := range m.contacts {
-		m.judgeLocked(name, c, now)
+		m.updateReportLocked(name, c, now)
 	}
-	if m.changes.decayed(now) {
-		m.signal()
+	if m.changes.anyExpired(now) {
+		m.requestRebuild()
 	}
 }
 
-// freshStartLocked forgives the neighbours' silence, since this daemon itself
-// was paused.
-func (m *Membership) freshStartLocked(now time.Time) {
+// resetSilenceLocked restarts the silence timers of all neighbours after this daemon itself was
+// paused, because it could not receive their heartbeats meanwhile.
+func (m *Membership) resetSilenceLocked(now time.Time) {
 	m.log.Warn().Dur("gap", now.Sub(m.lastTick)).Msg("this daemon was paused")
 	for _, c := range m.contacts {
 		c.since = now
 	}
 }
 
-// judgeLocked reports a silent neighbour, or withdraws the report.
-func (m *Membership) judgeLocked(name string, c *contact, now time.Time) {
+// updateReportLocked publishes a suspicion of a silent neighbour, or withdraws it once the
+// neighbour is heard.
+func (m *Membership) updateReportLocked(name string, c *contact, now time.Time) {
 	if !c.silent(now) {
 		m.withdrawLocked(name, c)
 		return
@@ -158,34 +165,34 @@
 	if !c.monitored || d == nil || d.GetLeaving() {
 		return
 	}
-	next := claim{incarnation: d.GetIncarnation(), reason: c.reason()}
-	if c.claimed && !m.reclaim(name, c, next, now) {
+	next := suspicion{incarnation: d.GetIncarnation(), reason: c.reason()}
+	if c.reported && !m.reportDue(name, c, next, now) {
 		return
 	}
-	c.claimed, c.claim, c.claimedAt = true, next, now
+	c.reported, c.report, c.reportedAt = true, next, now
 	value := encode(&bronzeturnv1.Suspicion{Incarnation: next.incarnation, Reason: next.reason})
-	m.publish(suspectKey(name, m.options.Self.Name), m.own.version(), value)
+	m.publish(suspectKey(name, m.options.Self.Name), m.own.nextVersion(), value)
 	m.log.Warn().Str("daemon", name).Str("reason", next.reason.String()).AnErr("cause", c.lost).Msg("neighbour suspected")
 }
 
-// reclaim tells whether a report that stands has to be made again: with a more
-// certain reason, to keep it from expiring, or after it was refuted. A refuted
-// one rests for a while, since this daemon may be the one that is cut off, but
-// not when another neighbour reports the daemon again.
-func (m *Membership) reclaim(name string, c *contact, next claim, now time.Time) bool {
-	age := now.Sub(c.claimedAt)
-	if next.incarnation != c.claim.incarnation {
-		return age > reclaimAfter || m.reportedByOther(name, next.incarnation)
+// reportDue reports whether a published suspicion must be published again: because the reason
+// has become UNREACHABLE, to keep the entry from expiring, or because the target refuted it. A
+// refuted suspicion is repeated only after refutedRetryAfter, since this daemon may be the one
+// that is cut off, or as soon as another neighbour suspects the new incarnation.
+func (m *Membership) reportDue(name string, c *contact, next suspicion, now time.Time) bool {
+	age := now.Sub(c.reportedAt)
+	if next.incarnation != c.report.incarnation {
+		return age > refutedRetryAfter || m.suspectedByOther(name, next.incarnation)
 	}
-	if next.reason != c.claim.reason {
+	if next.reason != c.report.reason {
 		return next.reason == bronzeturnv1.SuspicionReason_SUSPICION_REASON_UNREACHABLE
 	}
 	return age > refreshSuspicion
 }
 
-// reportedByOther tells whether another daemon suspects this incarnation.
-func (m *Membership) reportedByOther(name string, incarnation uint64) bool {
-	for reporter, c := range m.records.claims[name] {
+// suspectedByOther reports whether another daemon suspects this incarnation or a later one.
+func (m *Membership) suspectedByOther(name string, incarnation uint64) bool {
+	for reporter, c := range m.records.suspicions[name] {
 		if reporter != m.options.Self.Name && c.incarnation >= incarnation {
 			return true
 		}
@@ -193,16 +200,16 @@
 	return false
 }
 
-// withdrawLocked takes back a report.
+// withdrawLocked removes the published suspicion of a neighbour.
 func (m *Membership) withdrawLocked(name string, c *contact) {
-	if !c.claimed {
+	if !c.reported {
 		return
 	}
-	c.claimed = false
-	m.publish(suspectKey(name, m.options.Self.Name), m.own.version(), nil)
+	c.reported = false
+	m.publish(suspectKey(name, m.options.Self.Name), m.own.nextVersion(), nil)
 }
 
-// ownSampleLocked counts the neighbours expected and those heard.
+// ownSampleLocked returns the number of neighbours and how many of them are heard.
 func (m *Membership) ownSampleLocked(now time.Time) (known, heard int) {
 	for _, c := range m.contacts {
 		if !c.monitored {
@@ -216,8 +223,8 @@
 	return known, heard
 }
 
-// sample adds up what this daemon and the neighbours that it hears say about
-// their neighbours.
+// sample adds the counts that the heard neighbours report in their heartbeats to those of this
+// daemon.
 func (m *Membership) sample() (known, heard int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -233,39 +240,39 @@
 	return known, heard
 }
 
-// PeersKnown returns the size of the sample behind PeersHeard: the neighbours
-// that this daemon and those it hears expect to hear. It is a sample of the
-// fleet, not a count of it.
+// PeersKnown returns the sum of the neighbour counts of this daemon and of the neighbours that
+// it hears. The same daemon may be counted several times, so the result is a sample of the
+// fleet, not its size.
 func (m *Membership) PeersKnown() int {
 	known, _ := m.sample()
 	return known
 }
 
-// PeersHeard returns how many of that sample are heard.
+// PeersHeard returns how many of the neighbours counted by PeersKnown are heard.
 func (m *Membership) PeersHeard() int {
 	_, heard := m.sample()
 	return heard
 }
 
-// News returns how long ago the store was known to hold no newer configuration
-// than the one in force here, first hand or through neighbours. It reports
-// false when that was never known.
-func (m *Membership) News() (age time.Duration, ok bool) {
+// ConfigNewsAge returns the time since the store was last known to hold no newer configuration
+// than the one in force on this daemon, either from the store itself or relayed by neighbours.
+// It returns false if this was never known.
+func (m *Membership) ConfigNewsAge() (age time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.newsLocked(time.Now())
+	return m.configNewsAgeLocked(time.Now())
 }
 
-func (m *Membership) newsLocked(now time.Time) (age time.Duration, ok bool) {
-	if !m.own.heardStore.IsZero() {
-		age, ok = now.Sub(m.own.heardStore), true
+func (m *Membership) configNewsAgeLocked(now time.Time) (age time.Duration, ok bool) {
+	if !m.own.storeConfirmed.IsZero() {
+		age, ok = now.Sub(m.own.storeConfirmed), true
 	}
 	for _, c := range m.contacts {
 		h := c.heartbeat
 		if h.GetNewsAgeMs() == 0 || h.GetConfigGeneration() > m.own.generation {
 			continue
 		}
-		relayed := now.Sub(c.heard) + time.Duration(h.GetNewsAgeMs())*time.Millisecond + newsHop
+		relayed := now.Sub(c.heard) + time.Duration(h.GetNewsAgeMs())*time.Millisecond + newsHopDelay
 		if !ok || relayed < age {
 			age, ok = relayed, true
 		}
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// joinTime is enough virtual time for a small fleet to settle.
+	// joinTime is enough virtual time for a small fleet to join.
 	joinTime = 10 * time.Second
-	// outTime bounds how long a failed daemon stays in the view.
+	// outTime is the maximum time until a failed daemon is suspected by all others.
 	outTime = 6 * time.Second
 )
 
-// startFleet starts n daemons in three data centres.
+// startFleet starts n daemons in up to three data centres and waits until they have joined.
 func startFleet(t testing.TB, net *network, n int) []*Membership {
 	var fleet []*Membership
 	for i := range n {
@@ -39,7 +39,7 @@
 	return member.State, member.Reason
 }
 
-func TestCrashedDaemonIsTakenOutEverywhere(t *testing.T) {
+func TestCrashedDaemonIsSuspectedByAll(t *testing.T) {
 	for _, n := range []int{2, 3, 6} {
 		synctest.Test(t, func(t *testing.T) {
 			net := newNetwork(2 * time.Millisecond)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTwoCrashesOfThreeLeaveOneThatKnows(t *testing.T) {
+func TestSurvivorDetectsTwoCrashesOfThree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestFrozenDaemonIsToldApartAndComesBack(t *testing.T) {
+func TestFrozenDaemonIsReportedAsFrozenAndRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -94,12 +94,12 @@
 	})
 }
 
-func TestCutFromOneIsDoubtedButStaysLive(t *testing.T) {
+func TestDaemonUnreachableFromOneNeighbourStaysLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 6)
-		neighbour := fleet[0].monitored(fleet[0].View())[0]
+		neighbour := fleet[0].neighbours(fleet[0].View())[0]
 		net.setCut("entry-0", neighbour, true)
 		time.Sleep(outTime)
 		for _, m := range fleet[1:] {
@@ -133,13 +133,13 @@
 	})
 }
 
-func TestDaemonThatDiesJustAfterItRefutedIsTakenOut(t *testing.T) {
+func TestCrashAfterRefutationIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 3)
-		// entry-1 hears nothing of entry-2 and goes on suspecting it, while entry-2
-		// refutes by way of entry-0; then entry-2 dies.
+		// entry-1 cannot reach entry-2 and keeps suspecting it, while entry-2 refutes the
+		// suspicion through entry-0. Then entry-2 crashes.
 		net.setCut("entry-1", "entry-2", true)
 		time.Sleep(outTime)
 		dying, _ := fleet[0].View().Member("entry-2")
@@ -157,20 +157,20 @@
 	})
 }
 
-func TestPartsWithoutCommonNeighboursMeetAgain(t *testing.T) {
+func TestPartitionsWithoutCommonNeighboursRejoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 12)
-		lonely := fleet[7]
-		beside := lonely.monitored(lonely.View())
+		isolated := fleet[7]
+		neighbours := isolated.neighbours(isolated.View())
 		for _, m := range fleet {
-			if m != lonely {
+			if m != isolated {
 				net.setCut("entry-7", m.options.Self.Name, true)
 			}
 		}
 		time.Sleep(4 * outTime)
-		for _, name := range beside {
+		for _, name := range neighbours {
 			net.crash(name)
 		}
 		time.Sleep(4 * outTime)
@@ -178,8 +178,8 @@
 			net.setCut("entry-7", m.options.Self.Name, false)
 		}
 		time.Sleep(time.Minute)
-		qt.Check(t, lonely.View().Live(), qt.Equals, 12-len(beside))
-		state, _ := stateOf(lonely, "entry-7")
+		qt.Check(t, isolated.View().Live(), qt.Equals, 12-len(neighbours))
+		state, _ := stateOf(isolated, "entry-7")
 		qt.Check(t, state, qt.Equals, Live)
 		for _, m := range fleet {
 			if name := m.options.Self.Name; !net.down[name] {
@@ -190,7 +190,7 @@
 	})
 }
 
-func TestRestartAfterTheClockWentBackIsSeen(t *testing.T) {
+func TestRestartWithEarlierClockIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestPausedDaemonDoesNotBlameItsNeighbours(t *testing.T) {
+func TestPausedDaemonDoesNotSuspectItsNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -231,12 +231,12 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		for name, c := range m.contacts {
-			qt.Check(t, c.claimed, qt.IsFalse, qt.Commentf("%s", name))
+			qt.Check(t, c.reported, qt.IsFalse, qt.Commentf("%s", name))
 		}
 	})
 }
 
-func TestCutOffDaemonHearsFewOfItsPeers(t *testing.T) {
+func TestIsolatedDaemonHearsNoPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
@@ -253,27 +253,27 @@
 	})
 }
 
-func TestNewsAgeTravelsAndGrows(t *testing.T) {
+func TestConfigNewsAgeIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := newNetwork(2 * time.Millisecond)
 		defer net.stopAll()
 		fleet := startFleet(t, net, 6)
-		_, ok := fleet[5].News()
+		_, ok := fleet[5].ConfigNewsAge()
 		qt.Check(t, ok, qt.IsFalse)
 		for _, m := range fleet {
-			m.SetNews(4, time.Time{})
+			m.SetConfigNews(4, time.Time{})
 		}
 		heard := time.Now()
-		fleet[0].SetNews(4, heard)
+		fleet[0].SetConfigNews(4, heard)
 		time.Sleep(5 * time.Second)
 		for _, m := range fleet {
-			age, ok := m.News()
+			age, ok := m.ConfigNewsAge()
 			qt.Check(t, ok, qt.IsTrue)
-			qt.Check(t, age >= time.Since(heard), qt.IsTrue, qt.Commentf("news look newer than they are: %v", age))
+			qt.Check(t, age >= time.Since(heard), qt.IsTrue, qt.Commentf("news age is too low: %v", age))
 			qt.Check(t, age < time.Since(heard)+time.Second, qt.IsTrue, qt.Commentf("%v", age))
 		}
-		fleet[1].SetNews(5, time.Time{})
-		age, ok := fleet[2].News()
+		fleet[1].SetConfigNews(5, time.Time{})
+		age, ok := fleet[2].ConfigNewsAge()
 		qt.Check(t, ok, qt.IsTrue)
 		qt.Check(t, age < 7*time.Second, qt.IsTrue)
 	})
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/logging"
 )
 
-// Membership keeps the view of the fleet. It is safe for concurrent use.
+// Membership maintains the view of the fleet. It is safe for concurrent use.
 type Membership struct {
 	tomb    tomb.Tomb
 	options Options
@@ -27,28 +27,29 @@
 	view         atomic.Pointer[View]
 	leavingHosts atomic.Pointer[map[string]struct{}]
 	changed      chan struct{}
-	// rebuilding keeps views in order; it is taken before mu.
-	rebuilding sync.Mutex
-	// targeting keeps targets in order; it is taken before mu.
-	targeting sync.Mutex
+	// rebuildMu serializes rebuilds, so that views are stored and delivered in order. It is
+	// acquired before mu.
+	rebuildMu sync.Mutex
+	// targetsMu serializes updates of the link targets. It is acquired before mu.
+	targetsMu sync.Mutex
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	records  *records
 	own      ownState
 	contacts map[string]*contact
 	changes  changeLog
 	lastTick time.Time
-	// probe counts the turns of probing, probed is the time of the last.
-	probe  int
-	probed time.Time
-	subs   []func(*View)
-	// foundSeeds are peer addresses that were found after the start.
+	// probeIndex selects the suspected daemon to probe, modulo their number. lastProbe is when
+	// it was last changed.
+	probeIndex int
+	lastProbe  time.Time
+	subs       []func(*View)
+	// foundSeeds are seed addresses discovered after the start.
 	foundSeeds []string
 }
 
-// New returns a membership that is not yet started. Its view holds this daemon
-// alone.
+// New returns a membership that has not been started. Its view contains only this daemon.
 func New(options Options) (*Membership, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -61,16 +62,16 @@
 		changed:  make(chan struct{}, 1),
 	}
 	node, err := gossip.New(gossip.Options{
-		Name:       options.Self.Name,
-		Classes:    append(classes(), options.Classes...),
-		Dialer:     options.Dialer,
-		Observer:   (*observer)(m),
-		Status:     m.heartbeat,
-		Greeting:   []string{daemonPrefix + options.Self.Name},
-		Referral:   daemonPrefix,
-		Random:     rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
-		Log:        options.Log,
-		Registerer: options.Registerer,
+		Name:           options.Self.Name,
+		Classes:        append(classes(), options.Classes...),
+		Dialer:         options.Dialer,
+		Observer:       (*observer)(m),
+		Status:         m.heartbeat,
+		GreetingKeys:   []string{daemonPrefix + options.Self.Name},
+		ReferralPrefix: daemonPrefix,
+		Random:         rand.New(rand.NewPCG(options.Random.Uint64(), options.Random.Uint64())),
+		Log:            options.Log,
+		Registerer:     options.Registerer,
 	})
 	if err != nil {
 		return nil, err
@@ -79,7 +80,7 @@
 	m.leavingHosts.Store(&map[string]struct{}{})
 	m.own.start(options.Self, time.Now())
 	m.records.daemons[options.Self.Name] = m.own.message()
-	m.view.Store(buildView(options.Self.Name, m.records, keepMax))
+	m.view.Store(buildView(options.Self.Name, m.records, maxEntriesTTL))
 	return m, nil
 }
 
@@ -99,9 +100,10 @@
 	}
 }
 
-// Leave announces that this daemon is shutting down: when it returns, this
-// daemon is out of its own answers and owns nothing; the others hear of it. It
-// must not be called by a subscriber.
+// Leave announces that this daemon is shutting down. When it returns, the local view no longer
+// counts this daemon as live: it owns no keys and is not in the lists of entry addresses. The
+// announcement is sent to the other daemons asynchronously. Leave must not be called by a
+// subscriber.
 func (m *Membership) Leave() {
 	m.mu.Lock()
 	m.own.leaving = true
@@ -109,11 +111,11 @@
 	m.publishOwnLocked()
 	m.mu.Unlock()
 	m.rebuild()
-	m.log.Info().Msg("leaving announced")
+	m.log.Info().Msg("announced shutdown to the fleet")
 }
 
-// Stop takes this daemon out of the fleet and closes its links. Until ctx ends
-// it waits for pending entries to arrive.
+// Stop removes this daemon from the fleet and closes its links. It waits for the pending
+// entries to be delivered until ctx ends.
 func (m *Membership) Stop(ctx context.Context) error {
 	m.tomb.Kill(nil)
 	err := m.tomb.Wait()
@@ -122,7 +124,7 @@
 	m.publishRemovalLocked()
 	m.mu.Unlock()
 	if drainErr := m.node.Drain(ctx); drainErr != nil {
-		m.log.Warn().Err(drainErr).Msg("stopped before all entries arrived")
+		m.log.Warn().Err(drainErr).Msg("stopped before all entries were delivered")
 	}
 	if stopErr := m.node.Stop(); err == nil {
 		err = stopErr
@@ -130,53 +132,52 @@
 	return err
 }
 
-// Table is the flooded table, for the other users of the overlay.
+// Table returns the gossip node, for other components that publish entries through it.
 func (m *Membership) Table() *gossip.Node { return m.node }
 
-// View returns the newest view.
+// View returns the current view.
 func (m *Membership) View() *View { return m.view.Load() }
 
-// Subscribe calls f with the view of now and after every change, one call at a
-// time. f must not block.
+// Subscribe calls f with the current view and after every change, one call at a time. f must
+// not block.
 func (m *Membership) Subscribe(f func(*View)) {
-	m.rebuilding.Lock()
-	defer m.rebuilding.Unlock()
+	m.rebuildMu.Lock()
+	defer m.rebuildMu.Unlock()
 	m.mu.Lock()
 	m.subs = append(m.subs, f)
 	m.mu.Unlock()
 	f(m.view.Load())
 }
 
-// Owner returns the preferred owner of a key, and whether it is this daemon.
-// Safety must not rest on it: two daemons may each believe to be the owner.
+// Owner returns the preferred owner of a key, and whether it is this daemon. Correctness must
+// not depend on it: two daemons with different views may both consider themselves the owner.
 func (m *Membership) Owner(key string) (name string, self bool) {
 	name = m.view.Load().Owner(key)
 	return name, name == m.options.Self.Name
 }
 
-// Watching tells whether this daemon is one of the few that read the store and
-// the host list.
-func (m *Membership) Watching() bool {
-	return m.view.Load().Watching(m.options.Self.Name)
+// IsWatcher reports whether this daemon is one of the few that read the store and the host
+// list.
+func (m *Membership) IsWatcher() bool {
+	return m.view.Load().IsWatcher(m.options.Self.Name)
 }
 
-// BackendLeaving tells whether the host list shows the host leaving or gone. It
-// does not allocate.
+// BackendLeaving reports whether the host list shows the host as leaving or removed. It does
+// not allocate.
 func (m *Membership) BackendLeaving(host string) bool {
 	_, leaving := (*m.leavingHosts.Load())[host]
 	return leaving
 }
 
-// PeerAddress implements the resolver of package peer.
+// PeerAddress implements peer.Resolver.
 func (m *Membership) PeerAddress(name string) (address string, ok bool) {
 	member, ok := m.view.Load().Member(name)
 	return member.PeerAddress, ok && member.PeerAddress != ""
 }
 
-// run rebuilds the view after changes and looks at the neighbours.
-//
-// Building takes time in proportion to the fleet and to what fails in it, so the
-// pause before it grows with the time that the last one took.
+// run rebuilds the view after changes and checks the neighbours on every tick. The time that a
+// rebuild takes grows with the size of the fleet and the number of suspicions, so the delay
+// before the next rebuild grows with the duration of the last one.
 func (m *Membership) run() error {
 	timer := time.NewTimer(backoff.UntilTick(tickInterval))
 	defer timer.Stop()
@@ -194,7 +195,7 @@
 			rebuild = nil
 			started := time.Now()
 			m.rebuild()
-			pause = max(rebuildDelay, rebuildRest*time.Since(started))
+			pause = max(rebuildDelay, rebuildPauseFactor*time.Since(started))
 		case <-timer.C:
 			timer.Reset(backoff.UntilTick(tickInterval))
 			now := time.Now()
@@ -206,24 +207,24 @@
 	}
 }
 
-// signal asks for a new view.
-func (m *Membership) signal() {
+// requestRebuild schedules a rebuild of the view.
+func (m *Membership) requestRebuild() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
 	}
 }
 
-// rebuild builds the view from the records and tells the subscribers.
+// rebuild builds the view from the records and delivers it to the subscribers.
 func (m *Membership) rebuild() {
-	m.rebuilding.Lock()
-	defer m.rebuilding.Unlock()
+	m.rebuildMu.Lock()
+	defer m.rebuildMu.Unlock()
 	m.mu.Lock()
 	old := m.view.Load()
 	now := time.Now()
 	v := buildView(m.options.Self.Name, m.records, 0)
 	m.changes.add(now, membersChanged(old, v))
-	v.Keep = keepFor(m.changes.count(now), len(v.Members))
+	v.EntriesTTL = entriesTTLFor(m.changes.count(now), len(v.Members))
 	m.view.Store(v)
 	m.storeLeavingHostsLocked()
 	subs := slices.Clone(m.subs)
@@ -235,11 +236,11 @@
 	m.setTargets()
 }
 
-// mostLines bounds the lines that one change of the view writes about daemons that are
-// new and live: when a whole fleet starts, one line names them all.
-const mostLines = 8
+// maxJoinLines limits the log lines about new live daemons for one change of the view. Beyond
+// it, for example when a whole fleet starts, a single line is written for all of them.
+const maxJoinLines = 8
 
-// logChanges writes one line for every daemon whose state changed.
+// logChanges logs every daemon whose state differs between the views.
 func (m *Membership) logChanges(old, v *View) {
 	var joined, changed []Member
 	for _, member := range v.Members {
@@ -252,7 +253,7 @@
 			changed = append(changed, member)
 		}
 	}
-	if len(joined) > mostLines {
+	if len(joined) > maxJoinLines {
 		names := make([]string, len(joined))
 		for i, member := range joined {
 			names[i] = member.Name
@@ -266,12 +267,12 @@
 	}
 	for _, member := range old.Members {
 		if _, ok := v.Member(member.Name); !ok {
-			m.log.Info().Str("daemon", member.Name).Int("live", v.Live()).Msg("daemon gone")
+			m.log.Info().Str("daemon", member.Name).Int("live", v.Live()).Msg("daemon removed")
 		}
 	}
 }
 
-// heartbeat returns the state that this daemon sends to its neighbours.
+// heartbeat returns the heartbeat that this daemon sends to its neighbours.
 func (m *Membership) heartbeat() *bronzeturnv1.Heartbeat {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -285,7 +286,7 @@
 		PeersKnown:       uint32(known),
 		PeersHeard:       uint32(heard),
 	}
-	if age, ok := m.newsLocked(now); ok {
+	if age, ok := m.configNewsAgeLocked(now); ok {
 		h.NewsAgeMs = uint64(max(1, age.Milliseconds()))
 	}
 	return h
--- a/membership/rings.go
+++ b/membership/rings.go
@@ -10,44 +10,44 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// The neighbours of a daemon are the ones beside it on three rings: one of its
-// own data centre, and two of the whole fleet in different orders. So every
-// daemon has at most six neighbours and as many watch it, the fleet is
-// connected by construction, and a daemon that comes or goes changes only the
-// neighbours beside it.
+// The neighbours of a daemon are its predecessor and successor on three rings: one of the
+// daemons in its data centre, and two of the whole fleet in different orders. Every daemon thus
+// has at most six neighbours and is monitored by as many, the overlay is connected by
+// construction, and a daemon that joins or leaves changes only the neighbours of the daemons
+// next to it. A daemon whose neighbours are all in its own data centre gets one more.
 
-// fleetSeeds are the seeds of the rings of the whole fleet.
+// fleetSeeds are the hash seeds of the fleet-wide rings.
 var fleetSeeds = []string{"fleet-1/", "fleet-2/"}
 
-// centreSeed is the seed of the ring of one data centre.
+// centreSeed is the hash seed of the ring of each data centre.
 const centreSeed = "centre/"
 
-// place is the position of a daemon on a ring.
-type place struct {
+// position is the position of a daemon on a ring.
+type position struct {
 	hash uint64
 	name string
 }
 
-func (p place) before(q place) bool {
+func (p position) before(q position) bool {
 	return p.hash < q.hash || p.hash == q.hash && p.name < q.name
 }
 
-// ring is a set of daemons in the order of their hashes.
+// ring is a set of daemons ordered by the hash of seed and name.
 type ring struct {
-	seed   string
-	places []place
+	seed      string
+	positions []position
 }
 
-func placeOf(seed, name string) place {
-	return place{hash: xxhash.Sum64String(seed + name), name: name}
+func positionOf(seed, name string) position {
+	return position{hash: xxhash.Sum64String(seed + name), name: name}
 }
 
 func newRing(seed string, names []string) ring {
-	r := ring{seed: seed, places: make([]place, len(names))}
+	r := ring{seed: seed, positions: make([]position, len(names))}
 	for i, name := range names {
-		r.places[i] = placeOf(seed, name)
+		r.positions[i] = positionOf(seed, name)
 	}
-	slices.SortFunc(r.places, func(p, q place) int {
+	slices.SortFunc(r.positions, func(p, q position) int {
 		if p.before(q) {
 			return -1
 		}
@@ -56,27 +56,27 @@
 	return r
 }
 
-// beside appends the names just before and just after a name, which need not be
-// on the ring itself.
-func (r ring) beside(name string, to []string) []string {
-	n := len(r.places)
-	me := placeOf(r.seed, name)
-	at := sort.Search(n, func(i int) bool { return !r.places[i].before(me) })
+// appendAdjacent appends to the list the predecessor and the successor of a name on the ring.
+// The name itself need not be on the ring.
+func (r ring) appendAdjacent(name string, to []string) []string {
+	n := len(r.positions)
+	me := positionOf(r.seed, name)
+	at := sort.Search(n, func(i int) bool { return !r.positions[i].before(me) })
 	next := at
-	if at < n && r.places[at].name == name {
+	if at < n && r.positions[at].name == name {
 		next++
 	}
 	if n == 0 || n == 1 && next == 1 {
 		return to
 	}
-	return append(to, r.places[(at+n-1)%n].name, r.places[next%n].name)
+	return append(to, r.positions[(at+n-1)%n].name, r.positions[next%n].name)
 }
 
-// rings are the rings of a set of daemons.
+// rings holds the rings of a set of daemons.
 type rings struct {
 	fleet   []ring
 	centres map[string]ring
-	// members are in the order of their names.
+	// members are sorted by name.
 	members []Member
 }
 
@@ -97,13 +97,13 @@
 	return r
 }
 
-// neighbours returns the names that a daemon keeps links to, sorted. When all of
-// them are in its own data centre, one outside is added.
+// neighbours returns the sorted names of the daemons that the named daemon keeps links to. If
+// all of them are in its own data centre, one in another data centre is added.
 func (r *rings) neighbours(name, dataCentre string) []string {
 	var chosen []string
-	chosen = r.centres[dataCentre].beside(name, chosen)
+	chosen = r.centres[dataCentre].appendAdjacent(name, chosen)
 	for _, fleet := range r.fleet {
-		chosen = fleet.beside(name, chosen)
+		chosen = fleet.appendAdjacent(name, chosen)
 	}
 	if outside := r.outside(dataCentre); len(outside) > 0 && !intersects(chosen, outside) {
 		chosen = append(chosen, rendezvous.Owner(name, outside))
@@ -112,7 +112,7 @@
 	return slices.Compact(chosen)
 }
 
-// outside returns the names of the daemons in other data centres.
+// outside returns the sorted names of the daemons in other data centres.
 func (r *rings) outside(dataCentre string) []string {
 	var names []string
 	for _, m := range r.members {
@@ -130,19 +130,19 @@
 	})
 }
 
-// key parts of the table.
+// Key prefixes of the table.
 const (
 	daemonPrefix  = "daemon/"
 	hostPrefix    = "host/"
 	suspectPrefix = "suspect/"
 )
 
-// suspectKey returns the key of a suspicion.
+// suspectKey returns the table key of a suspicion.
 func suspectKey(target, reporter string) string {
 	return suspectPrefix + target + "/" + reporter
 }
 
-// parseSuspectKey returns the target and the reporter of a suspicion.
+// parseSuspectKey returns the target and the reporter from the table key of a suspicion.
 func parseSuspectKey(key string) (target, reporter string, ok bool) {
 	return strings.Cut(strings.TrimPrefix(key, suspectPrefix), "/")
 }
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -4,24 +4,24 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// enoughReporters is how many neighbours have to suspect a daemon before it
-// counts as down.
-const enoughReporters = 2
+// minReporters is the number of neighbours whose suspicions mark a daemon as suspected. Fewer
+// suffice if the daemon has fewer trusted neighbours.
+const minReporters = 2
 
-// claim is one neighbour's suspicion of a daemon.
-type claim struct {
+// suspicion is the report of one neighbour that a daemon is down.
+type suspicion struct {
 	incarnation uint64
 	reason      bronzeturnv1.SuspicionReason
 }
 
-// claims are the suspicions that count, by target and reporter.
-type claims map[string]map[string]claim
+// suspicions maps a target and a reporter to a valid suspicion.
+type suspicions map[string]map[string]suspicion
 
-// countedClaims returns the claims that count: the reporter is a known daemon
-// other than the target, and the target has not raised its incarnation since.
-func countedClaims(r *records) claims {
-	counted := make(claims)
-	for target, byReporter := range r.claims {
+// validSuspicions returns the valid suspicions: the reporter is a known daemon other than the
+// target, and the target has not raised its incarnation since the report.
+func validSuspicions(r *records) suspicions {
+	valid := make(suspicions)
+	for target, byReporter := range r.suspicions {
 		d := r.daemons[target]
 		if d == nil {
 			continue
@@ -30,81 +30,81 @@
 			if reporter == target || r.daemons[reporter] == nil || c.incarnation < d.GetIncarnation() {
 				continue
 			}
-			if counted[target] == nil {
-				counted[target] = make(map[string]claim)
+			if valid[target] == nil {
+				valid[target] = make(map[string]suspicion)
 			}
-			counted[target][reporter] = c
+			valid[target][reporter] = c
 		}
 	}
-	return counted
+	return valid
 }
 
-// applySuspicions sets the state of the members that enough neighbours suspect.
-// The one suspected by most goes first, and its own claims then no longer count:
-// a daemon that was cut off suspects all its neighbours, and is wrong.
+// applySuspicions marks the members that enough neighbours suspect. It processes the member
+// with the most suspicions first and then discards the suspicions that this member reported: a
+// daemon that is cut off from the network wrongly suspects all its neighbours.
 func applySuspicions(v *View, r *records) {
-	counted := countedClaims(r)
-	out := make(map[string]struct{})
+	valid := validSuspicions(r)
+	processed := make(map[string]struct{})
 	for {
-		i := mostSuspected(v, counted, out)
+		i := mostSuspected(v, valid, processed)
 		if i < 0 {
 			break
 		}
 		m := &v.Members[i]
-		out[m.Name] = struct{}{}
+		processed[m.Name] = struct{}{}
 		if m.State == Live && m.Name != v.Self {
-			m.State, m.Reason = Suspected, reasonOf(counted[m.Name])
+			m.State, m.Reason = Suspected, reasonOf(valid[m.Name])
 		}
-		for _, byReporter := range counted {
+		for _, byReporter := range valid {
 			delete(byReporter, m.Name)
 		}
 	}
 	for i := range v.Members {
-		v.Members[i].Doubted = len(counted[v.Members[i].Name]) > 0
+		v.Members[i].PartlySuspected = len(valid[v.Members[i].Name]) > 0
 	}
 }
 
-// mostSuspected returns the index of the member with the most claims, among
-// those not yet out that have enough, or -1.
-func mostSuspected(v *View, counted claims, out map[string]struct{}) int {
+// mostSuspected returns the index of the member with the most suspicions, among those not yet
+// processed that have enough of them, or -1.
+func mostSuspected(v *View, valid suspicions, processed map[string]struct{}) int {
 	best := -1
 	for i, m := range v.Members {
-		n := len(counted[m.Name])
-		if _, done := out[m.Name]; done || n == 0 {
+		n := len(valid[m.Name])
+		if _, done := processed[m.Name]; done || n == 0 {
 			continue
 		}
-		if best >= 0 && n <= len(counted[v.Members[best].Name]) {
+		if best >= 0 && n <= len(valid[v.Members[best].Name]) {
 			continue
 		}
-		if n >= enoughReporters || n >= judges(v, m, counted, out) {
+		if n >= minReporters || n >= trustedNeighbours(v, m, valid, processed) {
 			best = i
 		}
 	}
 	return best
 }
 
-// judges returns how many neighbours of a daemon can be trusted to judge it:
-// those that nobody else suspects.
-func judges(v *View, target Member, counted claims, out map[string]struct{}) int {
+// trustedNeighbours returns the number of neighbours of the target whose reports can be
+// trusted: those not yet processed that no daemon other than the target suspects.
+func trustedNeighbours(v *View, target Member, valid suspicions, processed map[string]struct{}) int {
 	n := 0
 	for _, name := range v.rings.neighbours(target.Name, target.DataCentre) {
-		if _, gone := out[name]; gone {
+		if _, gone := processed[name]; gone {
 			continue
 		}
-		doubts := len(counted[name])
-		if _, mutual := counted[name][target.Name]; mutual {
-			doubts--
+		suspectedBy := len(valid[name])
+		if _, mutual := valid[name][target.Name]; mutual {
+			suspectedBy--
 		}
-		if doubts == 0 {
+		if suspectedBy == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// reasonOf sums up the claims: one neighbour that could open a connection is
-// enough to know that the daemon's host answers.
-func reasonOf(byReporter map[string]claim) Reason {
+// reasonOf combines the reasons of several reports. A single report of FROZEN takes precedence,
+// because that reporter found the daemon reachable.
+func reasonOf(byReporter map[string]suspicion) Reason {
 	for _, c := range byReporter {
 		if c.reason == bronzeturnv1.SuspicionReason_SUSPICION_REASON_FROZEN {
 			return ReasonFrozen
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -13,7 +13,7 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// fleetRecords returns n daemons spread over data centres.
+// fleetRecords returns the records of n daemons distributed over the data centres.
 func fleetRecords(n, centres int) *records {
 	r := newRecords()
 	for i := range n {
@@ -50,7 +50,7 @@
 			}
 			qt.Check(t, outside, qt.IsTrue, qt.Commentf("%s of %d", m.Name, n))
 		}
-		// Only the added neighbour outside the data centre is one-sided.
+		// Only the neighbour added in another data centre may be one-sided.
 		qt.Check(t, extra <= n/50, qt.IsTrue, qt.Commentf("%d of %d", extra, n))
 		qt.Check(t, reached(chosen, "entry-000"), qt.Equals, n)
 	}
@@ -69,7 +69,7 @@
 	return len(seen)
 }
 
-func TestADaemonThatGoesChangesFewNeighbours(t *testing.T) {
+func TestRemovedDaemonChangesFewNeighbours(t *testing.T) {
 	r := fleetRecords(100, 4)
 	before := buildView("entry-000", r, 0)
 	delete(r.daemons, "entry-050")
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestSuspicionsAreJudged(t *testing.T) {
+func TestApplySuspicions(t *testing.T) {
 	tests := []struct {
 		name   string
 		n      int
@@ -104,7 +104,7 @@
 		{"two cut from each other", 3, [][2]string{{"1", "2"}, {"2", "1"}}, nil},
 		{"the last one of three", 3, [][2]string{{"0", "1"}, {"0", "2"}}, []string{"1", "2"}},
 		{
-			"one that was cut off and blames all", 4,
+			"one that is cut off and suspects all", 4,
 			[][2]string{{"3", "0"}, {"3", "1"}, {"3", "2"}, {"0", "3"}, {"1", "3"}, {"2", "3"}},
 			[]string{"3"},
 		},
@@ -116,10 +116,10 @@
 		r := fleetRecords(test.n, 1)
 		for _, c := range test.claims {
 			target := full(c[1])
-			if r.claims[target] == nil {
-				r.claims[target] = make(map[string]claim)
+			if r.suspicions[target] == nil {
+				r.suspicions[target] = make(map[string]suspicion)
 			}
-			r.claims[target][full(c[0])] = claim{incarnation: 1}
+			r.suspicions[target][full(c[0])] = suspicion{incarnation: 1}
 		}
 		var out []string
 		for _, m := range buildView("entry-000", r, 0).Members {
@@ -140,7 +140,7 @@
 		}
 		v := buildView("entry-000", r, 0)
 		addresses := v.Entries("centre-1", rand.New(rand.NewPCG(1, 1)))
-		if len(addresses) < min(nearEntries, v.Live()) || len(addresses) > entryCount {
+		if len(addresses) < min(localEntryAddresses, v.Live()) || len(addresses) > maxEntryAddresses {
 			t.Fatalf("%d addresses of %d live", len(addresses), v.Live())
 		}
 		for i, address := range addresses {
@@ -161,24 +161,24 @@
 	for range 13000 {
 		first[v.Entries("centre-0", random)[0]]++
 	}
-	// Weights 4, 4, 4 and 1 of 13; four standard deviations.
+	// The weights are 4, 4, 4 and 1. The limits are four standard deviations.
 	qt.Check(t, first["entry-003"] > 880 && first["entry-003"] < 1120, qt.IsTrue, qt.Commentf("%v", first))
 	qt.Check(t, first["entry-000"] > 3790 && first["entry-000"] < 4210, qt.IsTrue, qt.Commentf("%v", first))
 }
 
-func TestAnswersAreKeptShorterWhenDaemonsChange(t *testing.T) {
+func TestEntriesTTLDecreasesWithChanges(t *testing.T) {
 	tests := []struct {
 		changes, members int
 		want             time.Duration
 	}{
-		{0, 6, keepMax},
-		{1, 6, keepMax},
+		{0, 6, maxEntriesTTL},
+		{1, 6, maxEntriesTTL},
 		{6, 6, 15 * time.Second},
-		{100, 6, keepMin},
-		{7, 410, keepMax},
+		{100, 6, minEntriesTTL},
+		{7, 410, maxEntriesTTL},
 	}
 	for _, test := range tests {
-		qt.Check(t, keepFor(test.changes, test.members), qt.Equals, test.want, qt.Commentf("%+v", test))
+		qt.Check(t, entriesTTLFor(test.changes, test.members), qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
 
@@ -197,7 +197,8 @@
 	}
 }
 
-// BenchmarkBuildViewRegionCut has half of the fleet suspected by the other half.
+// BenchmarkBuildViewRegionCut builds a view in which daemons of one half of the fleet suspect
+// their neighbours in the other half.
 func BenchmarkBuildViewRegionCut(b *testing.B) {
 	r := fleetRecords(410, 4)
 	v := buildView("entry-000", r, 0)
@@ -208,10 +209,10 @@
 			if near == far || !near {
 				continue
 			}
-			if r.claims[name] == nil {
-				r.claims[name] = make(map[string]claim)
+			if r.suspicions[name] == nil {
+				r.suspicions[name] = make(map[string]suspicion)
 			}
-			r.claims[name][m.Name] = claim{incarnation: 1}
+			r.suspicions[name][m.Name] = suspicion{incarnation: 1}
 		}
 	}
 	for b.Loop() {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -40,7 +40,7 @@
 }
 
 func call(ctx context.Context, d *Directory, address string) (string, error) {
-	client, base := d.At(address)
+	client, base := d.ClientAt(address)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/", strings.NewReader("question"))
 	if err != nil {
 		return "", err
@@ -84,7 +84,7 @@
 		Key:  filepath.Join(folder, "127.0.0.1-peer-key.pem"),
 		CA:   filepath.Join(folder, "peer-ca.pem"),
 	}
-	credentials := load(t, files)
+	credentials := loadCredentials(t, files)
 	s := startServer(t, answer, credentials.Server())
 	with := NewDirectory(nil, credentials, newTraffic(t))
 	defer with.Close()
@@ -92,13 +92,13 @@
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.Equals, "HTTP/2.0 answer")
 
-	without := NewDirectory(nil, load(t, security.Files{CA: files.CA}), newTraffic(t))
+	without := NewDirectory(nil, loadCredentials(t, security.Files{CA: files.CA}), newTraffic(t))
 	defer without.Close()
 	_, err = call(t.Context(), without, s.Address())
 	qt.Check(t, err, qt.IsNotNil)
 }
 
-func load(t *testing.T, files security.Files) *security.Credentials {
+func loadCredentials(t *testing.T, files security.Files) *security.Credentials {
 	credentials, err := security.Load(files, nil)
 	qt.Assert(t, err, qt.IsNil)
 	return credentials
@@ -111,11 +111,11 @@
 	qt.Assert(t, listener.Close(), qt.IsNil)
 	d := NewDirectory(nil, nil, newTraffic(t))
 	_, err = call(t.Context(), d, address)
-	qt.Check(t, IsDial(err), qt.IsTrue, qt.Commentf("%v", err))
+	qt.Check(t, IsDialError(err), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// TestConnectionThatGoesSilentIsDropped has a relay that stops carrying bytes on
-// open connections while new ones work.
+// TestConnectionThatGoesSilentIsDropped guards against reuse of a connection that no longer
+// transfers data, while new connections to the same address work.
 func TestConnectionThatGoesSilentIsDropped(t *testing.T) {
 	s := startServer(t, answer, nil)
 	r := startRelay(t, s.Address())
@@ -127,13 +127,13 @@
 	r.silence()
 	_, err = call(t.Context(), d, r.address)
 	qt.Assert(t, err, qt.IsNotNil)
-	qt.Check(t, IsDial(err), qt.IsFalse)
+	qt.Check(t, IsDialError(err), qt.IsFalse)
 	got, err := call(t.Context(), d, r.address)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, got, qt.Equals, "HTTP/2.0 answer")
 }
 
-func TestUnaryCallWithoutADeadlineGetsOne(t *testing.T) {
+func TestUnaryCallGetsDefaultDeadline(t *testing.T) {
 	seen := make(chan bool, 1)
 	c := &boundedClient{client: &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 		_, bounded := r.Context().Deadline()
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestDialNeedsAKnownName(t *testing.T) {
+func TestDialFailsForUnknownName(t *testing.T) {
 	resolver := ResolverFunc(func(name string) (string, bool) { return "192.0.2.1:7", name == "known" })
 	d := NewDirectory(resolver, nil, newTraffic(t))
 	_, base, ok := d.Dial("known")
@@ -164,7 +164,7 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// relay carries bytes between clients and one target.
+// relay forwards bytes between clients and one target.
 type relay struct {
 	address string
 	mu      sync.Mutex
@@ -191,14 +191,14 @@
 			r.mu.Lock()
 			r.silent = append(r.silent, silent)
 			r.mu.Unlock()
-			go carry(client, server, silent)
-			go carry(server, client, silent)
+			go copyBytes(client, server, silent)
+			go copyBytes(server, client, silent)
 		}
 	}()
 	return r
 }
 
-// silence swallows all further bytes of the connections open now.
+// silence discards all further bytes of the currently open connections.
 func (r *relay) silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +208,7 @@
 	r.silent = nil
 }
 
-func carry(from, to net.Conn, silent chan struct{}) {
+func copyBytes(from, to net.Conn, silent chan struct{}) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
