--- a/collect.go
+++ b/collect.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, collectTimeout)
-		deleted, err := config.Collect(callCtx, d.platform.store, random, collectKeep)
+		deleted, err := config.CollectGarbage(callCtx, d.platform.store, random, collectKeep)
 		cancel()
 		if err != nil {
 			log.Warn().Err(err).Int("deleted", deleted).Msg("old parts not all deleted")
--- a/config/collector.go
+++ b/config/collector.go
@@ -12,8 +12,8 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// CollectStore is the part of the object API that Collect uses.
-type CollectStore interface {
+// GarbageStore is the part of the object API that Collect uses.
+type GarbageStore interface {
 	Store
 	List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error)
 	Delete(ctx context.Context, key string, revision uint64) error
@@ -22,7 +22,7 @@
 // collectPage is the number of parts read with one call.
 const collectPage = 50
 
-// Collect deletes parts that no head can refer to any more and returns how many.
+// CollectGarbage deletes parts that no head can refer to any more and returns how many.
 //
 // A part carries the generation its writer built upon. Only the next head can
 // be the first to refer to it, and later heads take over parts from the head
@@ -31,7 +31,7 @@
 // deleted at any time. Parts based on one of the last keep generations stay, so
 // that a daemon that lags behind can still read an older head. Collecting twice
 // at once does no harm.
-func Collect(ctx context.Context, store CollectStore, random *rand.Rand, keep uint64) (int, error) {
+func CollectGarbage(ctx context.Context, store GarbageStore, random *rand.Rand, keep uint64) (int, error) {
 	c := calls{store: store, random: random}
 	obj, err := c.get(ctx, HeadKey)
 	if err != nil || obj.Revision == 0 {
@@ -77,7 +77,7 @@
 	return part.GetBaseGeneration() < generation && generation-part.GetBaseGeneration() > keep
 }
 
-func collectList(ctx context.Context, c calls, store CollectStore, after string) ([]objectstore.Object, error) {
+func collectList(ctx context.Context, c calls, store GarbageStore, after string) ([]objectstore.Object, error) {
 	var page []objectstore.Object
 	err := c.repeat(ctx, func(ctx context.Context) error {
 		var err error
@@ -90,7 +90,7 @@
 	return page, nil
 }
 
-func collectDelete(ctx context.Context, c calls, store CollectStore, obj objectstore.Object) error {
+func collectDelete(ctx context.Context, c calls, store GarbageStore, obj objectstore.Object) error {
 	err := c.repeat(ctx, func(ctx context.Context) error {
 		return store.Delete(ctx, obj.Key, obj.Revision)
 	})
--- a/config/head.go
+++ b/config/head.go
@@ -129,15 +129,15 @@
 	return parts, nil
 }
 
-// Build assembles, validates and indexes the configuration of a checked head
+// BuildSnapshot assembles, validates and indexes the configuration of a checked head
 // out of the stored values by digest. It fails with a *PartError or a
 // *ValidationError.
-func Build(head *bronzeturnv1.Head, values map[Digest][]byte) (*Snapshot, error) {
+func BuildSnapshot(head *bronzeturnv1.Head, values map[Digest][]byte) (*Snapshot, error) {
 	parts, err := PartsOf(head, values)
 	if err != nil {
 		return nil, err
 	}
-	reg, rules, err := Assemble(parts)
+	reg, rules, err := AssembleParts(parts)
 	if err != nil {
 		return nil, err
 	}
--- a/config/parts.go
+++ b/config/parts.go
@@ -58,9 +58,9 @@
 // Unwrap returns the cause, or nil.
 func (e *PartError) Unwrap() error { return e.Cause }
 
-// Assemble joins the parts of one head. The entries come in order of their
+// AssembleParts joins the parts of one head. The entries come in order of their
 // names within each section. The result still has to be validated.
-func Assemble(parts []Part) (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
+func AssembleParts(parts []Part) (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	reg, rules := &bronzeturnv1.Register{}, &bronzeturnv1.Rules{}
 	for _, part := range parts {
 		piece, err := decodePart(part)
--- a/config/parts_test.go
+++ b/config/parts_test.go
@@ -17,7 +17,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		c := qt.New(t)
 		reg, rules := load(t, rapid.SampledFrom([]string{"campina-verde", "andina"}).Draw(rt, "example"))
-		want, err := Split(reg, rules)
+		want, err := SplitIntoParts(reg, rules)
 		c.Assert(err, qt.IsNil)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
 		random.Shuffle(len(reg.Engines), func(i, j int) { reg.Engines[i], reg.Engines[j] = reg.Engines[j], reg.Engines[i] })
@@ -25,12 +25,12 @@
 			reg.Organisations[i], reg.Organisations[j] = reg.Organisations[j], reg.Organisations[i]
 		})
 		random.Shuffle(len(rules.Kinds), func(i, j int) { rules.Kinds[i], rules.Kinds[j] = rules.Kinds[j], rules.Kinds[i] })
-		got, err := Split(reg, rules)
+		got, err := SplitIntoParts(reg, rules)
 		c.Assert(err, qt.IsNil)
 		c.Assert(identities(got), qt.DeepEquals, identities(want))
-		wholeReg, wholeRules, err := Assemble(got)
+		wholeReg, wholeRules, err := AssembleParts(got)
 		c.Assert(err, qt.IsNil)
-		again, err := Split(wholeReg, wholeRules)
+		again, err := SplitIntoParts(wholeReg, wholeRules)
 		c.Assert(err, qt.IsNil)
 		c.Assert(identities(again), qt.DeepEquals, identities(want))
 	})
@@ -48,7 +48,7 @@
 
 func TestAssembleRefusesAlteredParts(t *testing.T) {
 	reg, rules := load(t, "andina")
-	parts, err := Split(reg, rules)
+	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(t, err, qt.IsNil)
 	foreign, err := encodePart(&bronzeturnv1.Part{Name: "other"})
 	qt.Assert(t, err, qt.IsNil)
@@ -58,7 +58,7 @@
 		"name":    {Name: "x", Digest: foreign.Digest, Value: foreign.Value},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, _, err := Assemble(append([]Part{bad}, parts[1:]...))
+			_, _, err := AssembleParts(append([]Part{bad}, parts[1:]...))
 			var refused *PartError
 			qt.Assert(t, errors.As(err, &refused), qt.IsTrue)
 			qt.Assert(t, refused.Name, qt.Equals, bad.Name)
@@ -104,7 +104,7 @@
 
 func FuzzHead(f *testing.F) {
 	reg, rules := load(f, "andina")
-	parts, err := Split(reg, rules)
+	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(f, err, qt.IsNil)
 	value, err := EncodeHead(newHead(Change{AppliedBy: "ana"}, nil, parts))
 	qt.Assert(f, err, qt.IsNil)
@@ -120,7 +120,7 @@
 		}
 		digest := DigestOf(partValue)
 		head.Parts = []*bronzeturnv1.PartRef{{Name: "a", Sha256: digest[:], Size: uint32(len(partValue))}}
-		_, err = Build(head, map[Digest][]byte{digest: partValue})
+		_, err = BuildSnapshot(head, map[Digest][]byte{digest: partValue})
 		var badPart *PartError
 		var invalid *ValidationError
 		qt.Assert(t, errors.As(err, &badPart) || errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%v", err))
--- a/config/publisher.go
+++ b/config/publisher.go
@@ -96,7 +96,7 @@
 	if err := Validate(reg, rules); err != nil {
 		return Result{}, err
 	}
-	wanted, err := Split(reg, rules)
+	wanted, err := SplitIntoParts(reg, rules)
 	if err != nil {
 		return Result{}, err
 	}
@@ -133,7 +133,7 @@
 	if err != nil {
 		return Stored{}, err
 	}
-	reg, rules, err := Assemble(parts)
+	reg, rules, err := AssembleParts(parts)
 	if err != nil {
 		return Stored{}, err
 	}
--- a/config/publisher_test.go
+++ b/config/publisher_test.go
@@ -228,7 +228,7 @@
 	group.Go(func() {
 		for range 6 {
 			// A failed collection is tried again by the next round.
-			_, _ = Collect(t.Context(), store, rand.New(rand.NewPCG(seed, 99)), 0)
+			_, _ = CollectGarbage(t.Context(), store, rand.New(rand.NewPCG(seed, 99)), 0)
 		}
 	})
 	group.Wait()
@@ -297,7 +297,7 @@
 }
 
 func splitContent(c *qt.C, reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) []Digest {
-	parts, err := Split(reg, rules)
+	parts, err := SplitIntoParts(reg, rules)
 	c.Assert(err, qt.IsNil)
 	var digests []Digest
 	for _, part := range parts {
@@ -329,10 +329,10 @@
 			_, err := p.Apply(t.Context(), Change{Register: reg, Rules: rules})
 			c.Assert(err, qt.IsNil)
 		}
-		deleted, err := Collect(t.Context(), store, random, 4)
+		deleted, err := CollectGarbage(t.Context(), store, random, 4)
 		c.Assert(err, qt.IsNil)
 		c.Assert(deleted, qt.Equals, 4)
-		deleted, err = Collect(t.Context(), store, random, 0)
+		deleted, err = CollectGarbage(t.Context(), store, random, 0)
 		c.Assert(err, qt.IsNil)
 		c.Assert(deleted, qt.Equals, 6)
 		_, err = newTestPublisher(store).Read(t.Context())
--- a/config/split.go
+++ b/config/split.go
@@ -20,11 +20,11 @@
 	organisationsPerPart = 64
 )
 
-// Split cuts the register and the rules into parts, in order of their names.
+// SplitIntoParts cuts the register and the rules into parts, in order of their names.
 // Each section becomes one part, engines are cut by pool and then, like
 // organisations, by a hash of the name. The result depends only on the content,
 // not on the order of the entries. Both must be valid.
-func Split(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) ([]Part, error) {
+func SplitIntoParts(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) ([]Part, error) {
 	pieces := splitRegister(reg)
 	pieces = append(pieces, splitRules(rules)...)
 	parts := make([]Part, 0, len(pieces))
--- a/config/target_test.go
+++ b/config/target_test.go
@@ -137,7 +137,7 @@
 
 func TestPartsStayFarBelowTheStoreLimit(t *testing.T) {
 	reg, rules := targetSize(t)
-	parts, err := Split(reg, rules)
+	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(t, err, qt.IsNil)
 	for _, part := range parts {
 		qt.Assert(t, len(part.Value) <= 64<<10, qt.IsTrue, qt.Commentf("%s has %d bytes", part.Name, len(part.Value)))
@@ -173,7 +173,7 @@
 
 func BenchmarkBuildAtTargetSize(b *testing.B) {
 	reg, rules := targetSize(b)
-	parts, err := Split(reg, rules)
+	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(b, err, qt.IsNil)
 	head := newHead(Change{}, nil, parts)
 	values := make(map[Digest][]byte)
@@ -182,7 +182,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Build(head, values); err != nil {
+		if _, err := BuildSnapshot(head, values); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/provider/install.go
+++ b/provider/install.go
@@ -125,7 +125,7 @@
 
 // put validates the whole and swaps it in, or refuses it.
 func (p *Provider) put(c *candidate, values map[config.Digest][]byte) {
-	snapshot, err := config.Build(c.head, values)
+	snapshot, err := config.BuildSnapshot(c.head, values)
 	if err != nil {
 		p.mu.Lock()
 		p.state.refuse(c, err, time.Now())
