--- a/dispatch.go
+++ b/dispatch.go
@@ -39,7 +39,7 @@
 // Open implements router.EngineClient.
 func (g gatedEngines) Open(ctx context.Context, r engine.Request) (*engine.Stream, error) {
 	if f := g.gate.refusal(r.Version); f != nil {
-		return nil, &engine.Error{Kind: engine.Refused, Ran: failure.RanNo, RetryAfter: f.RetryAfter}
+		return nil, &engine.Error{Kind: engine.KindRefused, Ran: failure.RanNo, RetryAfter: f.RetryAfter}
 	}
 	return g.next.Open(ctx, r)
 }
--- a/engine/engine.go
+++ b/engine/engine.go
@@ -37,34 +37,34 @@
 	ErrorTypeFenced = "fenced"
 )
 
-// Kind classifies a failure of an engine.
-type Kind string
+// ErrorKind classifies a failure of an engine.
+type ErrorKind string
 
 // The kinds. The comment names the value of Ran.
 const (
-	// Unreachable: no connection, or nothing was written to it. Not run.
-	Unreachable Kind = "unreachable"
-	// Refused: the engine declined before running. Not run.
-	Refused Kind = "refused"
-	// Failed: the engine reported an error of its own. Unknown, or run when the
+	// KindUnreachable: no connection, or nothing was written to it. Not run.
+	KindUnreachable ErrorKind = "unreachable"
+	// KindRefused: the engine declined before running. Not run.
+	KindRefused ErrorKind = "refused"
+	// KindFailed: the engine reported an error of its own. Unknown, or run when the
 	// error came inside an answer.
-	Failed Kind = "failed"
-	// Rejected: the engine found the request wrong. Not run.
-	Rejected Kind = "rejected"
-	// Fenced: the engine has seen a higher fencing number. Not run.
-	Fenced Kind = "fenced"
-	// Broken: the connection ended before the whole answer came. Unknown, or
+	KindFailed ErrorKind = "failed"
+	// KindRejected: the engine found the request wrong. Not run.
+	KindRejected ErrorKind = "rejected"
+	// KindFenced: the engine has seen a higher fencing number. Not run.
+	KindFenced ErrorKind = "fenced"
+	// KindBroken: the connection ended before the whole answer came. Unknown, or
 	// run when part of the answer came.
-	Broken Kind = "broken"
-	// Silent: no progress within the progress timeout. Unknown, or run.
-	Silent Kind = "silent"
-	// Canceled: the caller's context ended or the stream was closed.
-	Canceled Kind = "canceled"
+	KindBroken ErrorKind = "broken"
+	// KindSilent: no progress within the progress timeout. Unknown, or run.
+	KindSilent ErrorKind = "silent"
+	// KindCanceled: the caller's context ended or the stream was closed.
+	KindCanceled ErrorKind = "canceled"
 )
 
 // Error is a failure of an engine.
 type Error struct {
-	Kind Kind
+	Kind ErrorKind
 	Ran  failure.Ran
 	// Status is the HTTP status, zero when none came.
 	Status int
@@ -82,7 +82,7 @@
 func (e *Error) Unwrap() error { return e.cause }
 
 // NewError returns an Error for a failure outside the exchange with an engine.
-func NewError(kind Kind, ran failure.Ran, cause error) *Error {
+func NewError(kind ErrorKind, ran failure.Ran, cause error) *Error {
 	return &Error{Kind: kind, Ran: ran, cause: cause}
 }
 
@@ -156,16 +156,16 @@
 func fromAttempt(err error) *Error {
 	var a *attempt.Error
 	if !asAttempt(err, &a) {
-		return &Error{Kind: Broken, Ran: failure.RanUnknown, cause: err}
+		return &Error{Kind: KindBroken, Ran: failure.RanUnknown, cause: err}
 	}
-	e := &Error{Kind: Broken, Ran: ranOf(a.Stage), cause: err}
+	e := &Error{Kind: KindBroken, Ran: ranOf(a.Stage), cause: err}
 	switch {
 	case a.Reason == attempt.Canceled:
-		e.Kind = Canceled
+		e.Kind = KindCanceled
 	case a.Stage == attempt.NotSent:
-		e.Kind = Unreachable
+		e.Kind = KindUnreachable
 	case a.Reason == attempt.Silent:
-		e.Kind = Silent
+		e.Kind = KindSilent
 	}
 	return e
 }
@@ -198,7 +198,7 @@
 	body, cause := readSome(x, maxErrorBytes)
 	var parsed errorBody
 	_ = json.Unmarshal(body, &parsed) // An unreadable body leaves the type empty.
-	e := &Error{Status: x.Status, Kind: Failed, Ran: failure.RanUnknown, RetryAfter: retryAfter(x.Header)}
+	e := &Error{Status: x.Status, Kind: KindFailed, Ran: failure.RanUnknown, RetryAfter: retryAfter(x.Header)}
 	e.cause = cause
 	if cause == nil {
 		e.cause = &StatusError{Status: x.Status, Type: parsed.Error.Type, Message: parsed.Error.Message}
@@ -206,11 +206,11 @@
 	notRun := x.Header.Get(HeaderNotRun) == "true" || parsed.Error.Type == ErrorTypeNotRun
 	switch {
 	case parsed.Error.Type == ErrorTypeFenced:
-		e.Kind, e.Ran = Fenced, failure.RanNo
+		e.Kind, e.Ran = KindFenced, failure.RanNo
 	case x.Status == http.StatusTooManyRequests, notRun:
-		e.Kind, e.Ran = Refused, failure.RanNo
+		e.Kind, e.Ran = KindRefused, failure.RanNo
 	case x.Status >= http.StatusBadRequest && x.Status < http.StatusInternalServerError:
-		e.Kind, e.Ran = Rejected, failure.RanNo
+		e.Kind, e.Ran = KindRejected, failure.RanNo
 	}
 	return e
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -145,26 +145,26 @@
 		name   string
 		raw    string
 		stream bool
-		kind   engine.Kind
+		kind   engine.ErrorKind
 		ran    failure.Ran
 	}{
-		{"refused by header", status("503 Busy", "X-Not-Run: true\r\n", ""), true, engine.Refused, failure.RanNo},
-		{"refused by type", status("503 Busy", "", `{"error":{"type":"not_run"}}`), true, engine.Refused, failure.RanNo},
-		{"version not loaded", status("404 None", "X-Not-Run: true\r\n", ""), true, engine.Refused, failure.RanNo},
-		{"too many requests", status("429 Busy", "", ""), true, engine.Refused, failure.RanNo},
-		{"unmarked 503", status("503 Busy", "", ""), true, engine.Failed, failure.RanUnknown},
-		{"500", status("500 Oops", "", "text"), true, engine.Failed, failure.RanUnknown},
-		{"400", status("400 Bad", "", ""), true, engine.Rejected, failure.RanNo},
-		{"fenced", status("409 Old", "", `{"error":{"type":"fenced"}}`), true, engine.Fenced, failure.RanNo},
-		{"no answer", "", true, engine.Broken, failure.RanUnknown},
-		{"half a header", "HTTP/1.1 200", true, engine.Broken, failure.RanUnknown},
-		{"stream cut", chunked(oneToken), true, engine.Broken, failure.RanYes},
-		{"stream cut inside an event", chunked("data: {"), true, engine.Broken, failure.RanYes},
-		{"clean end without end mark", chunked(oneToken) + endOfRaw, true, engine.Broken, failure.RanYes},
-		{"end mark cut short", chunked(oneToken, "data: [DONE]\n") + endOfRaw, true, engine.Broken, failure.RanYes},
-		{"error inside the stream", chunked(oneToken, "data: {\"error\":{}}\n\n"), true, engine.Failed, failure.RanYes},
-		{"short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", false, engine.Broken, failure.RanYes},
-		{"body of unknown length cut", "HTTP/1.1 200 OK\r\n\r\n{\"a\":", false, engine.Broken, failure.RanYes},
+		{"refused by header", status("503 Busy", "X-Not-Run: true\r\n", ""), true, engine.KindRefused, failure.RanNo},
+		{"refused by type", status("503 Busy", "", `{"error":{"type":"not_run"}}`), true, engine.KindRefused, failure.RanNo},
+		{"version not loaded", status("404 None", "X-Not-Run: true\r\n", ""), true, engine.KindRefused, failure.RanNo},
+		{"too many requests", status("429 Busy", "", ""), true, engine.KindRefused, failure.RanNo},
+		{"unmarked 503", status("503 Busy", "", ""), true, engine.KindFailed, failure.RanUnknown},
+		{"500", status("500 Oops", "", "text"), true, engine.KindFailed, failure.RanUnknown},
+		{"400", status("400 Bad", "", ""), true, engine.KindRejected, failure.RanNo},
+		{"fenced", status("409 Old", "", `{"error":{"type":"fenced"}}`), true, engine.KindFenced, failure.RanNo},
+		{"no answer", "", true, engine.KindBroken, failure.RanUnknown},
+		{"half a header", "HTTP/1.1 200", true, engine.KindBroken, failure.RanUnknown},
+		{"stream cut", chunked(oneToken), true, engine.KindBroken, failure.RanYes},
+		{"stream cut inside an event", chunked("data: {"), true, engine.KindBroken, failure.RanYes},
+		{"clean end without end mark", chunked(oneToken) + endOfRaw, true, engine.KindBroken, failure.RanYes},
+		{"end mark cut short", chunked(oneToken, "data: [DONE]\n") + endOfRaw, true, engine.KindBroken, failure.RanYes},
+		{"error inside the stream", chunked(oneToken, "data: {\"error\":{}}\n\n"), true, engine.KindFailed, failure.RanYes},
+		{"short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", false, engine.KindBroken, failure.RanYes},
+		{"body of unknown length cut", "HTTP/1.1 200 OK\r\n\r\n{\"a\":", false, engine.KindBroken, failure.RanYes},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.Close(), qt.IsNil)
 	failed := failureOf(c, newClient(c), context.Background(), request(l.Addr().String(), true, 1))
-	c.Assert(failed.Kind, qt.Equals, engine.Unreachable)
+	c.Assert(failed.Kind, qt.Equals, engine.KindUnreachable)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 }
 
@@ -209,7 +209,7 @@
 
 	e.SetFaults(standin.Faults{LoseAnswers: 1})
 	failed := failureOf(c, client, context.Background(), request(address, true, 1))
-	c.Assert(failed.Kind, qt.Equals, engine.Broken)
+	c.Assert(failed.Kind, qt.Equals, engine.KindBroken)
 	c.Assert(failed.Ran, qt.Equals, failure.RanUnknown)
 	c.Assert(e.Executions()["r1"], qt.Equals, 1)
 }
@@ -228,7 +228,7 @@
 	e.SetFaults(standin.Faults{SilenceConnections: true})
 	r.ProgressTimeout = 50 * time.Millisecond
 	failed := failureOf(c, client, context.Background(), r)
-	c.Assert(failed.Kind, qt.Equals, engine.Silent)
+	c.Assert(failed.Kind, qt.Equals, engine.KindSilent)
 	c.Assert(failed.Ran, qt.Equals, failure.RanUnknown)
 
 	r.ProgressTimeout = 0
@@ -252,7 +252,7 @@
 	_, err = s.Next()
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Canceled)
+	c.Assert(failed.Kind, qt.Equals, engine.KindCanceled)
 
 	s, err = client.Open(context.Background(), request(address, true, 5))
 	c.Assert(err, qt.IsNil)
@@ -272,7 +272,7 @@
 	_, _, err = answerText(s)
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Canceled)
+	c.Assert(failed.Kind, qt.Equals, engine.KindCanceled)
 	c.Assert(failed.Ran, qt.Equals, failure.RanYes)
 }
 
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -139,7 +139,7 @@
 		return err
 	}
 	if err := json.NewDecoder(bytes.NewReader(event.Data)).Decode(into); err != nil {
-		return s.fail(Broken, fmt.Errorf("decode answer: %w", err))
+		return s.fail(KindBroken, fmt.Errorf("decode answer: %w", err))
 	}
 	return nil
 }
--- a/engine/reports_test.go
+++ b/engine/reports_test.go
@@ -38,7 +38,7 @@
 	_, err = r.Order(ctx, address, engine.Order{ID: "3", Op: engine.OpUnload, Version: "a", Fencing: 4})
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Fenced)
+	c.Assert(failed.Kind, qt.Equals, engine.KindFenced)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 	load, err := r.Load(ctx, address)
 	c.Assert(err, qt.IsNil)
@@ -115,5 +115,5 @@
 	_, err := newReports(c).Load(context.Background(), address)
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Broken)
+	c.Assert(failed.Kind, qt.Equals, engine.KindBroken)
 }
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -91,7 +91,7 @@
 		return Event{}, s.failed
 	}
 	if s.last {
-		return Event{}, s.fail(Broken, errAlreadyEnded)
+		return Event{}, s.fail(KindBroken, errAlreadyEnded)
 	}
 	if !s.events {
 		return s.whole()
@@ -107,14 +107,14 @@
 }
 
 // fail records and returns a failure of an answer that has begun.
-func (s *Stream) fail(kind Kind, cause error) error {
+func (s *Stream) fail(kind ErrorKind, cause error) error {
 	s.failed = &Error{Kind: kind, Ran: failure.RanYes, Status: s.x.Status, cause: cause}
 	return s.failed
 }
 
 func (s *Stream) failRead(err error) error {
 	if errors.Is(err, io.EOF) {
-		return s.fail(Broken, errNoEnd)
+		return s.fail(KindBroken, errNoEnd)
 	}
 	e := fromAttempt(err)
 	e.Status = s.x.Status
@@ -161,7 +161,7 @@
 func (s *Stream) fill() error {
 	s.makeRoom()
 	if s.end-s.start >= maxEventBytes {
-		return s.fail(Broken, errTooLong)
+		return s.fail(KindBroken, errTooLong)
 	}
 	n, err := s.x.Read(s.buf[s.end:])
 	s.end += n
@@ -204,7 +204,7 @@
 		s.last = true
 		return Event{Data: data, Last: true}, nil
 	case bytes.HasPrefix(data, errorMark):
-		return Event{}, s.fail(Failed, errInStream)
+		return Event{}, s.fail(KindFailed, errInStream)
 	case holdsUsage(data):
 		s.readUsage(bytes.TrimPrefix(data, dataMark))
 	}
@@ -257,10 +257,10 @@
 		return Event{}, s.failRead(err)
 	}
 	if len(body) > maxBodyBytes {
-		return Event{}, s.fail(Broken, errTooLong)
+		return Event{}, s.fail(KindBroken, errTooLong)
 	}
 	if !json.Valid(body) {
-		return Event{}, s.fail(Broken, errNotJSON)
+		return Event{}, s.fail(KindBroken, errNotJSON)
 	}
 	s.readUsage(body)
 	s.last = true
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -92,7 +92,7 @@
 	defer f.mu.Unlock()
 	e := f.engines[address]
 	if e.checks && o.Fencing < e.fencing {
-		return engine.State{}, &engine.Error{Kind: engine.Fenced, Ran: failure.RanNo}
+		return engine.State{}, &engine.Error{Kind: engine.KindFenced, Ran: failure.RanNo}
 	}
 	e.fencing = max(e.fencing, o.Fencing)
 	e.fences = append(e.fences, o.Fencing)
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -257,7 +257,7 @@
 	switch {
 	case err == nil:
 		p.outcome(dec, order, "taken", nil)
-	case errors.As(err, &refused) && refused.Kind == engine.Fenced:
+	case errors.As(err, &refused) && refused.Kind == engine.KindFenced:
 		p.outcome(dec, order, "fenced", err)
 		return
 	case errors.As(err, &refused) && refused.Ran == "no":
--- a/router/answer_test.go
+++ b/router/answer_test.go
@@ -349,7 +349,7 @@
 		c.Check(s.balancer.finished, qt.HasLen, 1)
 		c.Check(s.balancer.finished[0].Cancelled, qt.IsTrue)
 		winner.attempt.close()
-		s.reportFailed(winner.attempt, &engine.Error{Kind: engine.Canceled})
+		s.reportFailed(winner.attempt, &engine.Error{Kind: engine.KindCanceled})
 		synctest.Wait()
 		c.Check(s.balancer.check(), qt.Equals, "")
 	})
--- a/router/answerchat.go
+++ b/router/answerchat.go
@@ -228,10 +228,10 @@
 	switch e := err.(type) {
 	case *engine.Error:
 		rl.router.reportFailed(rl.attempt, e)
-		rl.settlement.addInterrupted(rl, e.Kind == engine.Canceled)
+		rl.settlement.addInterrupted(rl, e.Kind == engine.KindCanceled)
 		return brokenAnswerFailure(ctx, e)
 	case *writeError:
-		rl.router.reportFailed(rl.attempt, &engine.Error{Kind: engine.Canceled})
+		rl.router.reportFailed(rl.attempt, &engine.Error{Kind: engine.KindCanceled})
 		rl.settlement.addInterrupted(rl, true)
 		return callerWriteFailure(e, failure.RanYes)
 	default:
--- a/router/cascade.go
+++ b/router/cascade.go
@@ -98,7 +98,7 @@
 func (r *Router) failBuffered(ctx context.Context, t *attempt, buffered *bufferedAnswer, s *settlement, err error) *failure.Error {
 	e := asEngineError(err)
 	r.reportFailed(t, e)
-	s.addInterrupted(&relay{attempt: t, call: s.call, events: buffered.events}, e.Kind == engine.Canceled)
+	s.addInterrupted(&relay{attempt: t, call: s.call, events: buffered.events}, e.Kind == engine.KindCanceled)
 	return brokenAnswerFailure(ctx, e)
 }
 
@@ -118,7 +118,7 @@
 		buffered.data = append(buffered.data, bytes.Clone(event.Data))
 		buffered.size += len(event.Data)
 		if buffered.size > maxBufferedBytes {
-			return buffered, &engine.Error{Kind: engine.Failed, Ran: failure.RanYes}
+			return buffered, &engine.Error{Kind: engine.KindFailed, Ran: failure.RanYes}
 		}
 		if event.Last {
 			break
--- a/router/launch.go
+++ b/router/launch.go
@@ -163,7 +163,7 @@
 		err = quarantinedCause(sendCtx, err)
 		a.release()
 		r.reportFailed(a, err)
-		if err.Kind == engine.Broken {
+		if err.Kind == engine.KindBroken {
 			// Whether and where the request is sent next depends on whether this engine
 			// has ended.
 			r.Quarantine.Wait(ctx, a.engineStart.Key())
@@ -316,24 +316,24 @@
 
 // balanceKinds maps the failures that say something about the state of the engine
 // to those of the balancer. The others are due to the caller or the request.
-var balanceKinds = map[engine.Kind]balance.FailureKind{
-	engine.Unreachable: balance.FailureUnreachable,
-	engine.Refused:     balance.FailureBusy,
-	engine.Failed:      balance.FailureError,
-	engine.Broken:      balance.FailureError,
-	engine.Silent:      balance.FailureSilent,
+var balanceKinds = map[engine.ErrorKind]balance.FailureKind{
+	engine.KindUnreachable: balance.FailureUnreachable,
+	engine.KindRefused:     balance.FailureBusy,
+	engine.KindFailed:      balance.FailureError,
+	engine.KindBroken:      balance.FailureError,
+	engine.KindSilent:      balance.FailureSilent,
 }
 
 // retryKinds maps failures to those of the retry policy.
-var retryKinds = map[engine.Kind]retry.Kind{
-	engine.Unreachable: retry.KindConnect,
-	engine.Refused:     retry.KindRefused,
-	engine.Failed:      retry.KindError,
-	engine.Rejected:    retry.KindRejected,
-	engine.Fenced:      retry.KindRejected,
-	engine.Broken:      retry.KindBroken,
-	engine.Silent:      retry.KindSilent,
-	engine.Canceled:    retry.KindCancelled,
+var retryKinds = map[engine.ErrorKind]retry.Kind{
+	engine.KindUnreachable: retry.KindConnect,
+	engine.KindRefused:     retry.KindRefused,
+	engine.KindFailed:      retry.KindError,
+	engine.KindRejected:    retry.KindRejected,
+	engine.KindFenced:      retry.KindRejected,
+	engine.KindBroken:      retry.KindBroken,
+	engine.KindSilent:      retry.KindSilent,
+	engine.KindCanceled:    retry.KindCancelled,
 }
 
 // asEngineError returns err as an *engine.Error. For any other error it is unknown
@@ -343,5 +343,5 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return &engine.Error{Kind: engine.Broken, Ran: failure.RanUnknown}
+	return &engine.Error{Kind: engine.KindBroken, Ran: failure.RanUnknown}
 }
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -31,11 +31,11 @@
 		return failure.Wrap(err, failure.CodeDeadlinePassed, ran, "the deadline passed before an answer came")
 	}
 	switch err.Kind {
-	case engine.Canceled:
+	case engine.KindCanceled:
 		return failure.Wrap(err, failure.CodeCanceled, ran, "the request was canceled")
-	case engine.Refused, engine.Unreachable:
+	case engine.KindRefused, engine.KindUnreachable:
 		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the engine did not take the request").After(max(err.RetryAfter, busyRetryAfter))
-	case engine.Rejected:
+	case engine.KindRejected:
 		return failure.Wrap(err, failure.CodeMalformedRequest, ran, "the engine refused the request as malformed")
 	default:
 		if ran == failure.RanUnknown {
@@ -51,7 +51,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return failure.Wrap(err, failure.CodeDeadlinePassed, failure.RanYes, "the deadline passed within the answer")
 	}
-	if err.Kind == engine.Canceled {
+	if err.Kind == engine.KindCanceled {
 		return failure.Wrap(err, failure.CodeCanceled, failure.RanYes, "the request was canceled")
 	}
 	return failure.Wrap(err, failure.CodeAnswerBroken, failure.RanYes, "the answer ended before it was complete")
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -82,16 +82,16 @@
 func (r *Router) reportToQuarantine(a *attempt, err *engine.Error) {
 	now := time.Now()
 	switch {
-	case err.Kind == engine.Broken:
+	case err.Kind == engine.KindBroken:
 		r.Quarantine.Broke(a.engineStart, a.hash, now, func() {})
-	case err.Kind == engine.Unreachable && errors.Is(err, syscall.ECONNREFUSED):
+	case err.Kind == engine.KindUnreachable && errors.Is(err, syscall.ECONNREFUSED):
 		r.Quarantine.ConnectionRefused(a.engineStart.Key(), now)
 	}
 }
 
 // newQuarantinedError returns the error of a send whose request is in quarantine.
 func newQuarantinedError(ran failure.Ran) *engine.Error {
-	return engine.NewError(engine.Canceled, ran, quarantine.ErrQuarantined)
+	return engine.NewError(engine.KindCanceled, ran, quarantine.ErrQuarantined)
 }
 
 // quarantinedCause returns err, or an error that names the quarantine as the cause if it
--- a/router/race.go
+++ b/router/race.go
@@ -105,7 +105,7 @@
 		for range pending {
 			if loser := <-results; loser.err == nil {
 				loser.attempt.close()
-				r.reportFailed(loser.attempt, &engine.Error{Kind: engine.Canceled})
+				r.reportFailed(loser.attempt, &engine.Error{Kind: engine.KindCanceled})
 			}
 		}
 	}()
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -35,7 +35,7 @@
 	for err == nil {
 		_, err = s.Next()
 	}
-	c.Assert(err.(*engine.Error).Kind, qt.Equals, engine.Silent)
+	c.Assert(err.(*engine.Error).Kind, qt.Equals, engine.KindSilent)
 	c.Assert(s.Close(), qt.IsNil)
 
 	r.RequestID, r.ProgressTimeout = "2", 0
