--- a/entry/servers.go
+++ b/entry/servers.go
@@ -61,7 +61,7 @@
 		Stale:       func(now time.Time) bool { return d.copies.config.Stale(now) },
 		Outage:      func() bool { return d.copies.config.Failing() },
 		TimeToReady: func() time.Duration { return timeToReady(d.fleet.Depth(), time.Since(d.started)) },
-		Daemons:     d.fleet.Live, Misdirected: d.engines.Forget, Delayed: d.shared.sharer.Late,
+		Daemons:     d.fleet.Live, Misdirected: d.engines.Exclude, Delayed: d.shared.sharer.Late,
 		Engines: d.shared, SlowStarts: d.slowStarts, Introductions: d.introductions, Quarantine: d.quarantine, Models: gateway.NewModelChoice(d.Models),
 		Transport: attempt.NewUnpooledTransport(engineDial), Budget: d.Settings.Budget,
 		Seed: d.seed, Log: d.logger("gateway"), Registerer: d.registry,
--- a/inventory/apply_test.go
+++ b/inventory/apply_test.go
@@ -65,7 +65,7 @@
 	c := qt.New(t)
 	s := newSet()
 	s.Apply(Change{Registered: []Engine{engine("a"), engine("b")}}, start)
-	s.Forget("a")
+	s.Exclude("a")
 	s.Apply(Change{Registered: []Engine{engine("c")}}, start)
 	c.Check(ids(s), qt.DeepEquals, []string{"b", "c"})
 	s.Apply(Change{Registered: []Engine{started("a", start)}}, start)
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -224,9 +224,9 @@
 	return next
 }
 
-// Forget drops the engine with the key at once, because another one answered at its
+// Exclude drops the engine with the key at once, because another one answered at its
 // address. Its entry is ignored until it changes.
-func (s *Set) Forget(key string) {
+func (s *Set) Exclude(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pos, known := find(s.view.Engines, key)
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -86,8 +86,8 @@
 	changes := 0
 	s := New(lapseGrace, func(_, _ *View) { changes++ })
 	replace(s, []Engine{engine("a"), engine("b")}, false, start)
-	s.Forget("a")
-	s.Forget("a")
+	s.Exclude("a")
+	s.Exclude("a")
 	c.Check(ids(s), qt.DeepEquals, []string{"b"})
 	c.Check(changes, qt.Equals, 2)
 }
@@ -143,8 +143,8 @@
 	s := newSet()
 	before, after := started("a", start), started("a", start.Add(time.Second))
 	replace(s, []Engine{after}, false, start)
-	s.Forget(before.Key())
+	s.Exclude(before.Key())
 	c.Check(s.View().Engines, qt.HasLen, 1)
-	s.Forget(after.Key())
+	s.Exclude(after.Key())
 	c.Check(s.View().Engines, qt.HasLen, 0)
 }
