--- a/config/calls.go
+++ b/config/calls.go
@@ -19,28 +19,28 @@
 }
 
 const (
-	// callTimeout bounds one call of the object API.
+	// callTimeout bounds one attempt of a call to the object API.
 	callTimeout = 2 * time.Second
-	// callAttempts bounds the tries of one call.
+	// callAttempts bounds the attempts of one call.
 	callAttempts = 8
 	backoffBase  = 50 * time.Millisecond
 	backoffMax   = 2 * time.Second
 )
 
-// calls wraps a store: each call has a deadline, and what failed without an
-// answer is tried again after a pause. Only calls that may be repeated go
-// through it.
-type calls struct {
+// retryingStore wraps a store. Each attempt of a call has a timeout, and calls
+// that got no answer or were rate limited are retried after a backoff. put alone
+// makes a single attempt, as its callers have to handle a lost answer.
+type retryingStore struct {
 	store  Store
 	random *rand.Rand
 }
 
-// get reads an object. The zero object stands for an absent one.
-func (c calls) get(ctx context.Context, key string) (objectstore.Object, error) {
+// get reads an object. It returns the zero object if there is none.
+func (s retryingStore) get(ctx context.Context, key string) (objectstore.Object, error) {
 	var obj objectstore.Object
-	err := c.repeat(ctx, func(ctx context.Context) error {
+	err := s.retry(ctx, func(ctx context.Context) error {
 		var err error
-		obj, err = c.store.Get(ctx, key)
+		obj, err = s.store.Get(ctx, key)
 		return err
 	})
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -49,11 +49,11 @@
 	return obj, err
 }
 
-// ensure stores a content-addressed object. One that is there already has the
-// same content.
-func (c calls) ensure(ctx context.Context, key string, value []byte) error {
-	err := c.repeat(ctx, func(ctx context.Context) error {
-		_, err := c.store.Create(ctx, key, value)
+// ensure stores a content-addressed object. A conflict is no error: an existing
+// object under the same key has the same content.
+func (s retryingStore) ensure(ctx context.Context, key string, value []byte) error {
+	err := s.retry(ctx, func(ctx context.Context) error {
+		_, err := s.store.Create(ctx, key, value)
 		return err
 	})
 	if objectstore.IsConflict(err) {
@@ -62,22 +62,23 @@
 	return err
 }
 
-// put writes the object once, by Create if revision is zero.
-func (c calls) put(ctx context.Context, key string, value []byte, revision uint64) error {
+// put makes one attempt to write the object, with Create if revision is zero.
+func (s retryingStore) put(ctx context.Context, key string, value []byte, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var err error
 	if revision == 0 {
-		_, err = c.store.Create(ctx, key, value)
+		_, err = s.store.Create(ctx, key, value)
 	} else {
-		_, err = c.store.Update(ctx, key, value, revision)
+		_, err = s.store.Update(ctx, key, value, revision)
 	}
 	return err
 }
 
-// repeat calls f until it answers, the attempts are used up, or ctx ends.
-func (c calls) repeat(ctx context.Context, f func(context.Context) error) error {
-	pauses := &backoff.Backoff{Base: backoffBase, Max: backoffMax, Random: c.random}
+// retry calls f until it returns no retryable error, the attempts are used up, or
+// ctx ends.
+func (s retryingStore) retry(ctx context.Context, f func(context.Context) error) error {
+	pauses := &backoff.Backoff{Base: backoffBase, Max: backoffMax, Random: s.random}
 	for attempt := 1; ; attempt++ {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		err := f(callCtx)
@@ -95,7 +96,8 @@
 	}
 }
 
-// retryable tells whether a call got no answer, and the pause asked for.
+// retryable reports whether a call got no answer or was rate limited, and the
+// delay that the rate limit asked for.
 func retryable(err error) (time.Duration, bool) {
 	if pause, limited := retryAfter(err); limited {
 		return pause, true
@@ -104,7 +106,8 @@
 	return 0, errors.As(err, &unavailable)
 }
 
-// retryAfter tells whether the call was refused unseen by a rate limit.
+// retryAfter reports whether a rate limit refused the call, which then had no
+// effect, and the delay that it asked for.
 func retryAfter(err error) (time.Duration, bool) {
 	var limited *objectstore.RateLimitError
 	if errors.As(err, &limited) {
--- a/config/change.go
+++ b/config/change.go
@@ -10,36 +10,38 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Change is what an operator wants to put in force. What is nil stays as it is.
+// Change is a change to the configuration in force. Nil fields leave their part of
+// it as it is.
 type Change struct {
-	// Register replaces the whole register.
+	// Register replaces the entire register.
 	Register *bronzeturnv1.Register
-	// Rules replace the whole rules.
+	// Rules replaces all rules.
 	Rules *bronzeturnv1.Rules
-	// Withdraw adds or replaces the withdrawal of one version.
+	// Withdraw adds the withdrawal of a version, or replaces an existing one.
 	Withdraw *bronzeturnv1.Withdrawal
-	// Base is the generation that the operator looked at. If it is set and
-	// another one is in force, the change is refused with a ConflictError. Zero
-	// means that there was no configuration.
+	// Base is the generation that the change was prepared for, zero if there was
+	// no configuration. If it is set and another generation is in force, the change
+	// is refused with a ConflictError.
 	Base *uint64
-	// AppliedBy names the operator, Note is free text. Both are kept in the head.
+	// AppliedBy names the operator, Note is free text. Both are stored in the head.
 	AppliedBy string
 	Note      string
 }
 
-// edit says whether the change only edits what is in force, whatever it is, so
-// that it may be tried again on a newer generation.
-func (c Change) edit() bool {
+// rebasable reports whether the change has the same meaning on any generation, so
+// that it may be built again on a newer one after a conflict.
+func (c Change) rebasable() bool {
 	return c.Register == nil && c.Rules == nil && c.Base == nil
 }
 
-// check bounds the texts that go into the head.
-func (c Change) check() error {
+// validate checks the texts that are stored in the head, and that the change is not
+// empty.
+func (c Change) validate() error {
 	v := &validator{}
-	v.text(whole("change").at("applied_by"), c.AppliedBy, maxOperatorBytes)
-	v.text(whole("change").at("note"), c.Note, maxReasonBytes)
+	v.text(sectionPath("change").at("applied_by"), c.AppliedBy, maxOperatorBytes)
+	v.text(sectionPath("change").at("note"), c.Note, maxReasonBytes)
 	if c.Register == nil && c.Rules == nil && c.Withdraw == nil {
-		v.add(whole("change"), "nothing to change")
+		v.add(sectionPath("change"), "change has no register, no rules and no withdrawal")
 	}
 	if len(v.problems) > 0 {
 		return &ValidationError{Problems: v.problems}
@@ -47,8 +49,8 @@
 	return nil
 }
 
-// apply returns the configuration after the change. It does not modify the
-// given one.
+// apply returns the configuration after the change. It does not modify its
+// arguments.
 func (c Change) apply(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	if c.Register != nil {
 		reg = c.Register
@@ -78,37 +80,38 @@
 	return append(list, w)
 }
 
-// Result tells what Apply did.
+// Result describes a change that Apply has published.
 type Result struct {
-	// Generation in force that holds the change.
+	// Generation is the generation that the change created.
 	Generation uint64
-	// Base is the generation it was built upon.
+	// Base is the generation that the change was built on.
 	Base uint64
-	// Unchanged is set when the content already was as asked. The generation
-	// rises nonetheless: only a conditional write proves that the read was not a
-	// stale one.
+	// Unchanged is set when the configuration already had this content. The
+	// generation is incremented nonetheless, as only a conditional write proves
+	// that the configuration read before was not stale.
 	Unchanged bool
 	// Superseded is set when a newer generation was already in force when the
-	// outcome became known.
+	// result of the write became known.
 	Superseded bool
-	// NewParts and NewBytes count the parts that had to be stored.
+	// NewParts and NewBytes are the number and the total size of the parts that had
+	// to be stored.
 	NewParts int
 	NewBytes int
-	// Parts counts the parts of the head, HeadBytes is its size.
+	// Parts is the number of parts of the head, HeadBytes its size.
 	Parts     int
 	HeadBytes int
 }
 
-// ConflictError reports that another change won. Nothing of this change is in
-// force.
+// ConflictError reports that another change was published first. No part of this
+// change is in force.
 type ConflictError struct {
 	// Base is the generation that the change was built upon, or that the
 	// operator stated.
 	Base uint64
-	// Have is the generation in force. It equals Base when the winner could not
-	// be read.
+	// Have is the generation in force. It equals Base when the head of the other
+	// change could not be read.
 	Have uint64
-	// By, At and Note tell of the change in force.
+	// By, At and Note describe the change in force.
 	By   string
 	At   time.Time
 	Note string
@@ -119,8 +122,8 @@
 	return fmt.Sprintf("configuration conflict: change was based on generation %d, but generation %d by %q is in force", e.Base, e.Have, e.By)
 }
 
-// conflict describes the head that won.
-func conflict(base uint64, head *bronzeturnv1.Head) *ConflictError {
+// newConflictError returns the error for a change that lost against head.
+func newConflictError(base uint64, head *bronzeturnv1.Head) *ConflictError {
 	return &ConflictError{
 		Base: base,
 		Have: head.GetGeneration(),
@@ -130,10 +133,10 @@
 	}
 }
 
-// OutcomeError reports that the head was sent but its fate could not be
-// learnt. The change may be in force or may still come into force.
+// OutcomeError reports that the head was sent to the store but the result of the
+// write is unknown. The change may be in force or may still come into force.
 type OutcomeError struct {
-	// Generation that the change has if it is in force.
+	// Generation is the generation of the change if it is in force.
 	Generation uint64
 	Cause      error
 }
@@ -146,9 +149,9 @@
 // Unwrap returns the cause.
 func (e *OutcomeError) Unwrap() error { return e.Cause }
 
-// wrote tells whether the writer of the nonce wrote this head or one of the
-// remembered ones before it.
-func wrote(head *bronzeturnv1.Head, nonce []byte) bool {
+// writtenBy reports whether the writer with the nonce wrote this head or one of the
+// earlier heads whose nonces it still lists.
+func writtenBy(head *bronzeturnv1.Head, nonce []byte) bool {
 	if bytes.Equal(head.GetNonce(), nonce) {
 		return true
 	}
--- a/config/collector.go
+++ b/config/collector.go
@@ -12,28 +12,29 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// GarbageStore is the part of the object API that Collect uses.
+// GarbageStore is the part of the object API that CollectGarbage uses.
 type GarbageStore interface {
 	Store
 	List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error)
 	Delete(ctx context.Context, key string, revision uint64) error
 }
 
-// collectPage is the number of parts read with one call.
-const collectPage = 50
+// listPageSize is the number of parts read per call.
+const listPageSize = 50
 
-// CollectGarbage deletes parts that no head can refer to any more and returns how many.
+// CollectGarbage deletes the parts that no head can refer to any more and returns
+// their number.
 //
-// A part carries the generation its writer built upon. Only the next head can
-// be the first to refer to it, and later heads take over parts from the head
-// they replace only. A part based on an older generation that the head does not
-// name is therefore never named again, whatever paused writers do, and may be
-// deleted at any time. Parts based on one of the last keep generations stay, so
-// that a daemon that lags behind can still read an older head. Collecting twice
-// at once does no harm.
+// A part records its base generation, the one its writer built on. Only the head
+// that directly follows that generation can be the first to refer to the part, and
+// later heads reuse only parts of the head that they replace. A part with an older
+// base generation that the current head does not refer to is therefore never
+// referred to again, even by writers that were paused, and may be deleted at any
+// time. Parts based on one of the last keep generations are kept, so that a daemon
+// that lags behind can still read an older head. Concurrent collections are safe.
 func CollectGarbage(ctx context.Context, store GarbageStore, random *rand.Rand, keep uint64) (int, error) {
-	c := calls{store: store, random: random}
-	obj, err := c.get(ctx, HeadKey)
+	retrying := retryingStore{store: store, random: random}
+	obj, err := retrying.get(ctx, HeadKey)
 	if err != nil || obj.Revision == 0 {
 		return 0, err
 	}
@@ -41,35 +42,35 @@
 	if err != nil {
 		return 0, err
 	}
-	named := make(map[string]struct{}, len(head.GetParts()))
+	referenced := make(map[string]struct{}, len(head.GetParts()))
 	for _, ref := range head.GetParts() {
-		named[RefDigest(ref).Key()] = struct{}{}
+		referenced[RefDigest(ref).Key()] = struct{}{}
 	}
 	deleted, after := 0, ""
 	for {
-		page, err := collectList(ctx, c, store, after)
+		page, err := listParts(ctx, retrying, store, after)
 		if err != nil {
 			return deleted, err
 		}
 		for _, part := range page {
 			after = part.Key
-			if _, ok := named[part.Key]; ok || !unreferable(part, head.GetGeneration(), keep) {
+			if _, ok := referenced[part.Key]; ok || !obsolete(part, head.GetGeneration(), keep) {
 				continue
 			}
-			if err := collectDelete(ctx, c, store, part); err != nil {
+			if err := deletePart(ctx, retrying, store, part); err != nil {
 				return deleted, err
 			}
 			deleted++
 		}
-		if len(page) < collectPage {
+		if len(page) < listPageSize {
 			return deleted, nil
 		}
 	}
 }
 
-// unreferable tells whether only heads older than the last keep generations can
-// have been the first to name the part. One that cannot be decoded stays.
-func unreferable(obj objectstore.Object, generation, keep uint64) bool {
+// obsolete reports whether the base generation of the part is older than the last
+// keep generations. A part that cannot be decoded is kept.
+func obsolete(obj objectstore.Object, generation, keep uint64) bool {
 	part := &bronzeturnv1.Part{}
 	if err := proto.Unmarshal(obj.Value, part); err != nil {
 		return false
@@ -77,11 +78,11 @@
 	return part.GetBaseGeneration() < generation && generation-part.GetBaseGeneration() > keep
 }
 
-func collectList(ctx context.Context, c calls, store GarbageStore, after string) ([]objectstore.Object, error) {
+func listParts(ctx context.Context, retrying retryingStore, store GarbageStore, after string) ([]objectstore.Object, error) {
 	var page []objectstore.Object
-	err := c.repeat(ctx, func(ctx context.Context) error {
+	err := retrying.retry(ctx, func(ctx context.Context) error {
 		var err error
-		page, err = store.List(ctx, PartPrefix, after, collectPage)
+		page, err = store.List(ctx, PartPrefix, after, listPageSize)
 		return err
 	})
 	if err != nil {
@@ -90,8 +91,8 @@
 	return page, nil
 }
 
-func collectDelete(ctx context.Context, c calls, store GarbageStore, obj objectstore.Object) error {
-	err := c.repeat(ctx, func(ctx context.Context) error {
+func deletePart(ctx context.Context, retrying retryingStore, store GarbageStore, obj objectstore.Object) error {
+	err := retrying.retry(ctx, func(ctx context.Context) error {
 		return store.Delete(ctx, obj.Key, obj.Revision)
 	})
 	if errors.Is(err, objectstore.ErrNotFound) || objectstore.IsConflict(err) {
--- a/config/config.go
+++ b/config/config.go
@@ -1,10 +1,10 @@
-// Package config turns the operators' register and rules into an immutable,
-// indexed Snapshot, and stores them as content-addressed parts under one head
-// object.
+// Package config builds an immutable, indexed Snapshot from the operators'
+// register and rules, and stores both as content-addressed parts that one head
+// object refers to.
 //
-// The head is the only object that changes, by conditional update. A change of
-// several files is therefore atomic, and of two operators one wins and the
-// other gets a ConflictError.
+// The head is the only object that is ever modified, by a conditional update. A
+// change of several files is therefore atomic, and of two concurrent changes one
+// succeeds and the other fails with a ConflictError.
 package config
 
 import "fmt"
@@ -17,7 +17,7 @@
 	PartPrefix = "config/parts/"
 )
 
-// DefaultKind is the task kind of requests that name none.
+// DefaultKind is the task kind of requests that specify none.
 const DefaultKind = "default"
 
 // DecodeError reports a file that could not be decoded. Line and Column count
@@ -43,9 +43,9 @@
 	return fmt.Sprintf("%s: %s", where, e.Message)
 }
 
-// Problem is one fault found by Validate.
+// Problem is a fault found by Validate.
 type Problem struct {
-	// Path is the bad field, for example "register.engines[3].versions[0]".
+	// Path is the field at fault, for example "register.engines[3].versions[0]".
 	Path    string
 	Message string
 }
@@ -53,12 +53,12 @@
 // String returns the path and the message.
 func (p Problem) String() string { return p.Path + ": " + p.Message }
 
-// ValidationError holds every fault of a configuration that was refused.
+// ValidationError reports the faults of an invalid configuration.
 type ValidationError struct {
 	Problems []Problem
 }
 
-// Error implements error. It shows the first fault and counts the others.
+// Error implements error. It gives the first fault and the number of others.
 func (e *ValidationError) Error() string {
 	switch len(e.Problems) {
 	case 0:
--- a/config/decode.go
+++ b/config/decode.go
@@ -14,14 +14,15 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// MaxFileBytes is the longest register or rules file accepted.
+// MaxFileBytes bounds a register or rules file.
 const MaxFileBytes = 8 << 20
 
-// maxDepth bounds the nesting of a file. The schema needs six levels.
+// maxDepth bounds the nesting of brackets in a file, and a quarter of the depth of its
+// syntax tree. The schema needs six levels.
 const maxDepth = 32
 
-// DecodeRegister decodes a YAML register. Unknown fields are refused. The
-// error is a *DecodeError; path is used in it only.
+// DecodeRegister decodes a YAML register and refuses unknown fields. The error is a
+// *DecodeError; path is only used in the error.
 func DecodeRegister(path string, data []byte) (*bronzeturnv1.Register, error) {
 	reg := &bronzeturnv1.Register{}
 	if err := decode(path, data, reg); err != nil {
@@ -30,9 +31,8 @@
 	return reg, nil
 }
 
-// DecodeRules decodes YAML rules. Durations are written like "2s" or "0.5s".
-// Unknown fields are refused. The error is a *DecodeError; path is used in it
-// only.
+// DecodeRules decodes YAML rules and refuses unknown fields. Durations have the form
+// "2s" or "0.5s". The error is a *DecodeError; path is only used in the error.
 func DecodeRules(path string, data []byte) (*bronzeturnv1.Rules, error) {
 	rules := &bronzeturnv1.Rules{}
 	if err := decode(path, data, rules); err != nil {
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// parse returns the root node of the only document, or nil for an empty file.
+// parse returns the root node of a file with one document, or nil if the file is
+// empty.
 func parse(path string, data []byte) (ast.Node, error) {
 	if len(data) > MaxFileBytes {
 		message := fmt.Sprintf("file of %d bytes is above the limit of %d", len(data), MaxFileBytes)
@@ -84,7 +85,7 @@
 	return file.Docs[0].Body, nil
 }
 
-// fromValue converts a decoded YAML value by way of JSON.
+// fromValue converts a decoded YAML value to a message by way of JSON.
 func fromValue(value any, into proto.Message) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return protojson.Unmarshal(text, into)
 }
 
-// syntaxError converts an error of the YAML library.
+// syntaxError converts an error of the YAML library to a DecodeError.
 func syntaxError(path string, err error) *DecodeError {
 	out := &DecodeError{File: path, Message: err.Error()}
 	var y yaml.Error
@@ -107,8 +108,9 @@
 	return out
 }
 
-// checkFlowDepth bounds nested brackets before the recursive parser sees them.
-// Brackets inside quotes count too, which no valid file notices.
+// checkFlowDepth bounds the nesting of brackets before the file reaches the
+// recursive parser. Brackets inside quoted strings are counted too: valid names and
+// texts do not hold enough of them to matter.
 func checkFlowDepth(path string, data []byte) error {
 	depth := 0
 	for _, c := range data {
@@ -125,7 +127,8 @@
 	return nil
 }
 
-// nodeChecker refuses aliases, which can blow up a small file, and deep nesting.
+// nodeChecker refuses deep nesting, and aliases, by which a small file can expand to
+// a huge value.
 type nodeChecker struct {
 	path  string
 	depth int
@@ -145,19 +148,19 @@
 	}
 	switch node.Type() {
 	case ast.AliasType, ast.AnchorType, ast.MergeKeyType, ast.TagType:
-		*c.fail = at(c.path, node, "", "anchors, aliases, merge keys and tags are not supported")
+		*c.fail = errorAt(c.path, node, "", "anchors, aliases, merge keys and tags are not supported")
 		return nil
 	}
 	c.depth++
 	if c.depth > 4*maxDepth {
-		*c.fail = at(c.path, node, "", "nested too deeply")
+		*c.fail = errorAt(c.path, node, "", "nested too deeply")
 		return nil
 	}
 	return c
 }
 
-// at returns a DecodeError with the position of the node.
-func at(path string, node ast.Node, field, message string) *DecodeError {
+// errorAt returns a DecodeError with the position of the node.
+func errorAt(path string, node ast.Node, field, message string) *DecodeError {
 	out := &DecodeError{File: path, Path: field, Message: message}
 	if tok := node.GetToken(); tok != nil && tok.Position != nil {
 		out.Line, out.Column = tok.Position.Line, tok.Position.Column
--- a/config/decode_test.go
+++ b/config/decode_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"unknown field", "kinds:\n  - name: quick\n    colour: red\n", 3, 5, "kinds[0].colour"},
 		{"unknown section", "kinds: []\nsorts: []\n", 2, 1, "sorts"},
-		{"text for a number", "kinds:\n  - name: a\n  - quality_target: high\n", 3, 21, "kinds[1].quality_target"},
+		{"string for a number", "kinds:\n  - name: a\n  - quality_target: high\n", 3, 21, "kinds[1].quality_target"},
 		{"bad duration", "kinds:\n  - deadline: soon\n", 2, 15, "kinds[0].deadline"},
 		{"bad enum", "kinds:\n  - priority: first\n", 2, 15, "kinds[0].priority"},
 		{"number for a name", "kinds:\n  - name: 7\n", 2, 11, "kinds[0].name"},
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestDecodeBoundsHostileFiles(t *testing.T) {
+func TestDecodeRefusesHostileFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"too long":       strings.Repeat("#", MaxFileBytes+1),
 		"deep brackets":  "kinds: " + strings.Repeat("[", 1<<16),
@@ -110,8 +110,8 @@
 	})
 }
 
-// checkDecoded asserts that a decoder either refuses with its type or returns a
-// message that can be stored.
+// checkDecoded asserts that a decoder fails with a *DecodeError or returns a message
+// that can be marshalled.
 func checkDecoded(t *testing.T, m proto.Message, err error) {
 	if err != nil {
 		var refused *DecodeError
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -12,7 +12,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// TestEveryFieldIsDocumented compares the schema with the operators' page.
+// TestEveryFieldIsDocumented checks that the operators' documentation has a table row
+// for every field of the schema.
 func TestEveryFieldIsDocumented(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("..", "docs", "operating", "configuration.md"))
 	qt.Assert(t, err, qt.IsNil)
@@ -40,7 +41,7 @@
 	return strings.Join(rows, "\n")
 }
 
-// fieldNames returns the names of the fields of a message and its parts.
+// fieldNames returns the names of the fields of a message and of its nested messages.
 func fieldNames(md protoreflect.MessageDescriptor) []string {
 	var out []string
 	for i := range md.Fields().Len() {
--- a/config/examples_test.go
+++ b/config/examples_test.go
@@ -12,13 +12,13 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// load returns the register and the rules of an example, which the caller may
+// loadExample returns the register and the rules of an example, which the caller may
 // modify.
-func load(tb testing.TB, example string) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
+func loadExample(tb testing.TB, example string) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
 	tb.Helper()
 	loaded, ok := examples.Load(example)
 	if !ok {
-		loaded, _ = examples.LoadOrStore(example, read(tb, example))
+		loaded, _ = examples.LoadOrStore(example, readExample(tb, example))
 	}
 	e := loaded.(decoded)
 	return proto.CloneOf(e.register), proto.CloneOf(e.rules)
@@ -32,7 +32,7 @@
 	rules    *bronzeturnv1.Rules
 }
 
-func read(tb testing.TB, example string) decoded {
+func readExample(tb testing.TB, example string) decoded {
 	file := func(name string) (string, []byte) {
 		path := filepath.Join("..", "examples", example, name)
 		data, err := os.ReadFile(path)
@@ -50,17 +50,17 @@
 
 func TestExamplesAreComplete(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		pools map[string]int
-		kinds []string
-		once  string
+		name          string
+		pools         map[string]int
+		kinds         []string
+		nonIdempotent string
 	}{
 		{"campina-verde", map[string]int{"diag-llm": 9, "dock-app": 3}, []string{"quick", "tag", "report", "explain"}, "tag"},
 		{"andina", map[string]int{"modelo-pool": 9, "ruta-api": 3}, []string{"sheet", "price", "settlement", "reorder", "crate-tag"}, "reorder"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			reg, rules := load(t, tt.name)
+			reg, rules := loadExample(t, tt.name)
 			s, err := NewSnapshot(1, reg, rules)
 			c.Assert(err, qt.IsNil)
 			for pool, n := range tt.pools {
@@ -75,15 +75,15 @@
 			for _, name := range tt.kinds {
 				kind, ok := s.Kind(name)
 				c.Assert(ok, qt.IsTrue, qt.Commentf("%s", name))
-				c.Assert(kind.GetIdempotent(), qt.Equals, name != tt.once)
+				c.Assert(kind.GetIdempotent(), qt.Equals, name != tt.nonIdempotent)
 				c.Assert(reachable(s, kind), qt.IsTrue, qt.Commentf("%s", name))
 			}
 		})
 	}
 }
 
-// reachable tells whether a version in use is expected to reach the target and
-// is served in at least two data centres.
+// reachable reports whether a version that is not withdrawn is expected to reach the
+// quality target of the kind and is served in at least two data centres.
 func reachable(s *Snapshot, kind *bronzeturnv1.TaskKind) bool {
 	for _, version := range s.Register().GetVersions() {
 		if _, withdrawn := s.Withdrawn(version.GetName()); withdrawn {
--- a/config/fake_test.go
+++ b/config/fake_test.go
@@ -11,51 +11,52 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// unstable is a store that delays, refuses and loses calls, and lets writes
-// whose answer was lost take effect late. It keeps every head that was in force
-// and every part that was ever stored.
-type unstable struct {
+// faultyStore is a store that delays calls, refuses them, loses them or their answers,
+// and lets some take effect after the caller got an error. It records every head that
+// was in force and every part that was ever stored.
+type faultyStore struct {
 	inner *memstore.Store
 
-	mu     sync.Mutex
-	random *rand.Rand
-	calm   bool
-	heads  [][]byte
-	parts  map[Digest][]byte
+	mu      sync.Mutex
+	random  *rand.Rand
+	healthy bool
+	heads   [][]byte
+	parts   map[Digest][]byte
 }
 
-var errTrouble = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func newUnstable(seed uint64) *unstable {
-	return &unstable{
+func newFaultyStore(seed uint64) *faultyStore {
+	return &faultyStore{
 		inner:  memstore.New(),
 		random: rand.New(rand.NewPCG(seed, 1)),
 		parts:  make(map[Digest][]byte),
 	}
 }
 
-// roll returns a number below n, the highest one when the store is calm.
-func (u *unstable) roll(n int) int {
+// randomBelow returns a random number below n, or n-1 when the store is healthy.
+func (u *faultyStore) randomBelow(n int) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.calm {
+	if u.healthy {
 		return n - 1
 	}
 	return u.random.IntN(n)
 }
 
-// call runs op with a delay before it and, by chance, without it or its answer.
-func (u *unstable) call(key string, op func() error) error {
-	lost := &objectstore.UnavailableError{Op: "call", Key: key, Cause: errTrouble}
-	time.Sleep(time.Duration(40-u.roll(40)) * time.Millisecond)
-	switch u.roll(12) {
+// call runs op after a delay. At random it drops the call or its answer, runs op later,
+// or refuses the call by a rate limit.
+func (u *faultyStore) call(key string, op func() error) error {
+	lost := &objectstore.UnavailableError{Op: "call", Key: key, Cause: errNoAnswer}
+	time.Sleep(time.Duration(40-u.randomBelow(40)) * time.Millisecond)
+	switch u.randomBelow(12) {
 	case 0, 1:
 		return lost
 	case 2, 3:
 		_ = op()
 		return lost
 	case 4:
-		delay := time.Duration(u.roll(3000)) * time.Millisecond
+		delay := time.Duration(u.randomBelow(3000)) * time.Millisecond
 		time.AfterFunc(delay, func() { _ = op() })
 		return lost
 	case 5:
@@ -65,7 +66,7 @@
 	}
 }
 
-func (u *unstable) Get(ctx context.Context, key string) (obj objectstore.Object, err error) {
+func (u *faultyStore) Get(ctx context.Context, key string) (obj objectstore.Object, err error) {
 	var got objectstore.Object
 	err = u.call(key, func() (err error) { got, err = u.inner.Get(ctx, key); return err })
 	if err != nil {
@@ -74,24 +75,24 @@
 	return got, nil
 }
 
-func (u *unstable) List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error) {
+func (u *faultyStore) List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error) {
 	return u.inner.List(ctx, prefix, after, limit)
 }
 
-func (u *unstable) Create(_ context.Context, key string, value []byte) (objectstore.Object, error) {
+func (u *faultyStore) Create(_ context.Context, key string, value []byte) (objectstore.Object, error) {
 	return objectstore.Object{}, u.call(key, func() error { return u.write(key, value, 0) })
 }
 
-func (u *unstable) Update(_ context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
+func (u *faultyStore) Update(_ context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
 	return objectstore.Object{}, u.call(key, func() error { return u.write(key, value, revision) })
 }
 
-func (u *unstable) Delete(_ context.Context, key string, revision uint64) error {
+func (u *faultyStore) Delete(_ context.Context, key string, revision uint64) error {
 	return u.call(key, func() error { return u.inner.Delete(context.Background(), key, revision) })
 }
 
-// write changes the object and keeps a head that came into force.
-func (u *unstable) write(key string, value []byte, revision uint64) error {
+// write updates the object and records the head or the part.
+func (u *faultyStore) write(key string, value []byte, revision uint64) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	_, err := u.inner.Update(context.Background(), key, value, revision)
@@ -103,16 +104,16 @@
 	return err
 }
 
-// settle ends all faults and waits for late calls.
-func (u *unstable) settle() {
+// settle ends all faults and waits for delayed calls.
+func (u *faultyStore) settle() {
 	u.mu.Lock()
-	u.calm = true
+	u.healthy = true
 	u.mu.Unlock()
 	time.Sleep(10 * time.Second)
 }
 
 // history returns the heads that were in force, oldest first.
-func (u *unstable) history() [][]byte {
+func (u *faultyStore) history() [][]byte {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.heads
--- a/config/head.go
+++ b/config/head.go
@@ -11,16 +11,17 @@
 const (
 	// MaxHeadBytes bounds the marshalled head.
 	MaxHeadBytes = 512 << 10
-	// nonceBytes is the length of a writer's nonce.
+	// nonceBytes is the length of the nonce by which a writer recognises its head.
 	nonceBytes = 16
-	// maxPreviousNonces bounds how many generations a writer may be behind and
-	// still learn that its change was in force.
+	// maxPreviousNonces is the number of earlier heads whose nonces a head lists. A
+	// writer whose head was replaced at most so often can still tell that its change
+	// was in force.
 	maxPreviousNonces = 16
 	maxPartNameBytes  = 160
 	maxOperatorBytes  = 128
 )
 
-// HeadError reports a head that was refused.
+// HeadError reports a head that is invalid or cannot be decoded or encoded.
 type HeadError struct {
 	Message string
 	Cause   error
@@ -105,14 +106,15 @@
 	return nil
 }
 
-// RefDigest returns the digest that the reference names. The head must have
-// been checked.
+// RefDigest returns the digest in the reference. The head that holds it must have
+// been checked, as by DecodeHead.
 func RefDigest(ref *bronzeturnv1.PartRef) Digest {
 	return Digest(ref.GetSha256())
 }
 
-// PartsOf returns the parts of a checked head, in its order, out of the stored
-// values by digest. A missing value is a *PartError.
+// PartsOf returns the parts of a checked head, in the order of the head, from the
+// stored values by digest. It fails with a *PartError if a value is missing or has
+// the wrong size.
 func PartsOf(head *bronzeturnv1.Head, values map[Digest][]byte) ([]Part, error) {
 	parts := make([]Part, 0, len(head.GetParts()))
 	for _, ref := range head.GetParts() {
@@ -122,7 +124,7 @@
 			return nil, &PartError{Name: ref.GetName(), Message: "is missing"}
 		}
 		if len(value) != int(ref.GetSize()) {
-			return nil, &PartError{Name: ref.GetName(), Message: "has another size than the head says"}
+			return nil, &PartError{Name: ref.GetName(), Message: "size differs from the one in the head"}
 		}
 		parts = append(parts, Part{Name: ref.GetName(), Digest: digest, Value: value})
 	}
@@ -130,7 +132,7 @@
 }
 
 // BuildSnapshot assembles, validates and indexes the configuration of a checked head
-// out of the stored values by digest. It fails with a *PartError or a
+// from the stored values by digest. It fails with a *PartError or a
 // *ValidationError.
 func BuildSnapshot(head *bronzeturnv1.Head, values map[Digest][]byte) (*Snapshot, error) {
 	parts, err := PartsOf(head, values)
--- a/config/locate.go
+++ b/config/locate.go
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/types/dynamicpb"
 )
 
-// locator finds the node that the schema refuses. It runs only after the
-// decoding of the whole has failed.
+// locator finds the node that does not conform to the schema. It is used only after
+// the file as a whole could not be decoded.
 type locator struct {
 	file string
 }
 
-// locate returns the first node that does not fit the schema, or cause without
-// a position when each node fits on its own.
+// locate returns an error for the first node that does not conform to the schema. If
+// each node conforms on its own, the error has the text of cause and no position.
 func locate(file string, body ast.Node, md protoreflect.MessageDescriptor, cause error) *DecodeError {
 	l := locator{file: file}
 	if found := l.message(body, md, ""); found != nil {
@@ -29,7 +29,7 @@
 func (l locator) message(node ast.Node, md protoreflect.MessageDescriptor, path string) *DecodeError {
 	mapping, ok := node.(ast.MapNode)
 	if !ok {
-		return at(l.file, node, path, "expected a mapping")
+		return errorAt(l.file, node, path, "expected a mapping")
 	}
 	for it := mapping.MapRange(); it.Next(); {
 		if found := l.entry(it.KeyValue(), md, path); found != nil {
@@ -48,7 +48,7 @@
 	}
 	fd := fieldByName(md, name)
 	if fd == nil {
-		return at(l.file, kv.Key, field, "unknown field")
+		return errorAt(l.file, kv.Key, field, "unknown field")
 	}
 	if !fd.IsList() {
 		return l.value(kv.Value, fd, field)
@@ -58,7 +58,7 @@
 		return nil
 	}
 	if !ok {
-		return at(l.file, kv.Value, field, "expected a list")
+		return errorAt(l.file, kv.Value, field, "expected a list")
 	}
 	i := 0
 	for it := list.ArrayRange(); it.Next(); i++ {
@@ -76,26 +76,26 @@
 	return md.Fields().ByJSONName(name)
 }
 
-// value checks one element of a field.
+// value checks a value, or one element of a list, against its field.
 func (l locator) value(node ast.Node, fd protoreflect.FieldDescriptor, path string) *DecodeError {
 	if sub := fd.Message(); sub != nil && sub.ParentFile() == fd.ParentFile() {
 		return l.message(node, sub, path)
 	}
-	return l.single(node, fd, path)
+	return l.leaf(node, fd, path)
 }
 
-// single decodes the node alone as a value of the field.
-func (l locator) single(node ast.Node, fd protoreflect.FieldDescriptor, path string) *DecodeError {
+// leaf checks that the node on its own decodes as a value of the field.
+func (l locator) leaf(node ast.Node, fd protoreflect.FieldDescriptor, path string) *DecodeError {
 	var value any
 	if err := yaml.NodeToValue(node, &value); err != nil {
-		return at(l.file, node, path, err.Error())
+		return errorAt(l.file, node, path, err.Error())
 	}
 	if fd.IsList() {
 		value = []any{value}
 	}
 	holder := dynamicpb.NewMessage(fd.ContainingMessage())
 	if err := fromValue(map[string]any{fd.JSONName(): value}, holder); err != nil {
-		return at(l.file, node, path, "expected "+describe(fd))
+		return errorAt(l.file, node, path, "expected "+describe(fd))
 	}
 	return nil
 }
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that every run draws the
-// same cases.
+// TestMain sets the seed of the property tests, so that every run has the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "25"} {
--- a/config/outcome_test.go
+++ b/config/outcome_test.go
@@ -13,14 +13,14 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// losingStore applies the first update of a head and loses its answer. Then it
-// calls after.
-type losingStore struct {
+// lostAnswerStore applies the first update after after was set, calls after, and
+// reports the update as unanswered.
+type lostAnswerStore struct {
 	*memstore.Store
 	after func()
 }
 
-func (l *losingStore) Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
+func (l *lostAnswerStore) Update(ctx context.Context, key string, value []byte, revision uint64) (objectstore.Object, error) {
 	obj, err := l.Store.Update(ctx, key, value, revision)
 	after := l.after
 	if after == nil {
@@ -28,22 +28,22 @@
 	}
 	l.after = nil
 	after()
-	return objectstore.Object{}, &objectstore.UnavailableError{Op: "update", Key: key, Cause: errTrouble}
+	return objectstore.Object{}, &objectstore.UnavailableError{Op: "update", Key: key, Cause: errNoAnswer}
 }
 
-func TestLostAnswerOfTheHead(t *testing.T) {
+func TestLostAnswerToHeadWrite(t *testing.T) {
 	withdrawal := &bronzeturnv1.Withdrawal{Version: "nota@2"}
 	for _, tt := range []struct {
 		name  string
 		after func(c *qt.C, store *memstore.Store)
 		check func(c *qt.C, result Result, err error)
 	}{
-		{"is settled by the nonce", func(*qt.C, *memstore.Store) {}, func(c *qt.C, result Result, err error) {
+		{"is resolved by the nonce", func(*qt.C, *memstore.Store) {}, func(c *qt.C, result Result, err error) {
 			c.Assert(err, qt.IsNil)
 			c.Assert(result.Generation, qt.Equals, uint64(2))
 			c.Assert(result.Superseded, qt.IsFalse)
 		}},
-		{"is settled after a rival published on top", func(c *qt.C, store *memstore.Store) {
+		{"is resolved after another change replaced the head", func(c *qt.C, store *memstore.Store) {
 			reg, _ := variant(c, 3)
 			_, err := newTestPublisher(store).Apply(context.Background(), Change{Register: reg})
 			c.Assert(err, qt.IsNil)
@@ -52,7 +52,7 @@
 			c.Assert(result.Generation, qt.Equals, uint64(2))
 			c.Assert(result.Superseded, qt.IsTrue)
 		}},
-		{"stays unknown while nothing can be read", func(_ *qt.C, store *memstore.Store) {
+		{"stays unknown while the head cannot be read", func(_ *qt.C, store *memstore.Store) {
 			store.SetFault(func(_ context.Context, op memstore.Op, _ string) memstore.Verdict {
 				if op == memstore.OpGet {
 					return memstore.Refuse
@@ -68,7 +68,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				store := &losingStore{Store: memstore.New()}
+				store := &lostAnswerStore{Store: memstore.New()}
 				p := newTestPublisher(store)
 				reg, rules := variant(t, 0)
 				_, err := p.Apply(t.Context(), Change{Register: reg, Rules: rules})
--- a/config/parts.go
+++ b/config/parts.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// MaxParts bounds the parts that one head may name.
+	// MaxParts bounds the parts that a head refers to.
 	MaxParts = 4096
-	// MaxPartBytes bounds one part, well below the store's limit.
+	// MaxPartBytes bounds one part. It is well below the store's limit for an object.
 	MaxPartBytes = 512 << 10
-	// MaxTotalBytes bounds all parts of one head together.
+	// MaxTotalBytes bounds the parts of a head taken together.
 	MaxTotalBytes = 16 << 20
 )
 
-// Digest is the SHA-256 of the stored bytes of a part.
+// Digest is the SHA-256 digest of the stored bytes of a part.
 type Digest [sha256.Size]byte
 
 // String returns the digest in lower-case hexadecimal.
@@ -28,7 +28,7 @@
 // Key returns the key of the part in the object API.
 func (d Digest) Key() string { return PartPrefix + d.String() }
 
-// DigestOf returns the digest of stored bytes.
+// DigestOf returns the digest of the stored bytes of a part.
 func DigestOf(value []byte) Digest { return sha256.Sum256(value) }
 
 // Part is a piece of the register or the rules in its stored form.
@@ -40,7 +40,8 @@
 	Value []byte
 }
 
-// PartError reports that a part does not fit the head or cannot be decoded.
+// PartError reports a part that is missing, does not match the head, or cannot be
+// decoded or encoded.
 type PartError struct {
 	Name    string
 	Message string
@@ -58,8 +59,8 @@
 // Unwrap returns the cause, or nil.
 func (e *PartError) Unwrap() error { return e.Cause }
 
-// AssembleParts joins the parts of one head. The entries come in order of their
-// names within each section. The result still has to be validated.
+// AssembleParts joins the parts of a head into a register and rules. The entries of
+// each section are sorted by name. The result still has to be validated.
 func AssembleParts(parts []Part) (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	reg, rules := &bronzeturnv1.Register{}, &bronzeturnv1.Rules{}
 	for _, part := range parts {
@@ -67,30 +68,31 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		join(reg, rules, piece)
+		appendPart(reg, rules, piece)
 	}
 	sortSections(reg, rules)
 	return reg, rules, nil
 }
 
-// join appends the entries of a piece, which must not be used afterwards.
-func join(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules, piece *bronzeturnv1.Part) {
-	from := piece.GetRegister()
-	reg.DataCentres = append(reg.DataCentres, from.GetDataCentres()...)
-	reg.Models = append(reg.Models, from.GetModels()...)
-	reg.Versions = append(reg.Versions, from.GetVersions()...)
-	reg.Organisations = append(reg.Organisations, from.GetOrganisations()...)
-	reg.Pools = append(reg.Pools, from.GetPools()...)
-	reg.Engines = append(reg.Engines, from.GetEngines()...)
-	reg.Services = append(reg.Services, from.GetServices()...)
-	decided := piece.GetRules()
-	rules.Kinds = append(rules.Kinds, decided.GetKinds()...)
-	rules.Withdrawals = append(rules.Withdrawals, decided.GetWithdrawals()...)
-	rules.Limits = append(rules.Limits, decided.GetLimits()...)
-	rules.Rollouts = append(rules.Rollouts, decided.GetRollouts()...)
+// appendPart appends the entries of a decoded part, which must not be used
+// afterwards.
+func appendPart(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules, piece *bronzeturnv1.Part) {
+	partRegister := piece.GetRegister()
+	reg.DataCentres = append(reg.DataCentres, partRegister.GetDataCentres()...)
+	reg.Models = append(reg.Models, partRegister.GetModels()...)
+	reg.Versions = append(reg.Versions, partRegister.GetVersions()...)
+	reg.Organisations = append(reg.Organisations, partRegister.GetOrganisations()...)
+	reg.Pools = append(reg.Pools, partRegister.GetPools()...)
+	reg.Engines = append(reg.Engines, partRegister.GetEngines()...)
+	reg.Services = append(reg.Services, partRegister.GetServices()...)
+	partRules := piece.GetRules()
+	rules.Kinds = append(rules.Kinds, partRules.GetKinds()...)
+	rules.Withdrawals = append(rules.Withdrawals, partRules.GetWithdrawals()...)
+	rules.Limits = append(rules.Limits, partRules.GetLimits()...)
+	rules.Rollouts = append(rules.Rollouts, partRules.GetRollouts()...)
 }
 
-// decodePart checks the part against its digest and its name.
+// decodePart decodes a part and checks its digest and its name.
 func decodePart(part Part) (*bronzeturnv1.Part, error) {
 	if DigestOf(part.Value) != part.Digest {
 		return nil, &PartError{Name: part.Name, Message: "content does not match its digest"}
@@ -100,14 +102,15 @@
 		return nil, &PartError{Name: part.Name, Message: "cannot be decoded", Cause: err}
 	}
 	if piece.GetName() != part.Name {
-		message := fmt.Sprintf("content is named %q", clip(piece.GetName()))
+		message := fmt.Sprintf("content has the name %q", clip(piece.GetName()))
 		return nil, &PartError{Name: part.Name, Message: message}
 	}
 	return piece, nil
 }
 
-// rebase returns the part with another base generation, and thus another digest.
-func rebase(part Part, base uint64) (Part, error) {
+// withBaseGeneration returns a copy of the part with the base generation, which is
+// covered by the digest.
+func withBaseGeneration(part Part, base uint64) (Part, error) {
 	piece, err := decodePart(part)
 	if err != nil {
 		return Part{}, err
@@ -116,7 +119,7 @@
 	return encodePart(piece)
 }
 
-// sortSections gives buckets of one section a common order.
+// sortSections sorts the sections that are split over several parts.
 func sortSections(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
 	reg.Engines = sortedBy(reg.GetEngines(), (*bronzeturnv1.Engine).GetName)
 	reg.Organisations = sortedBy(reg.GetOrganisations(), (*bronzeturnv1.Organisation).GetName)
--- a/config/parts_test.go
+++ b/config/parts_test.go
@@ -16,7 +16,7 @@
 func TestSplitDependsOnContentOnly(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		c := qt.New(t)
-		reg, rules := load(t, rapid.SampledFrom([]string{"campina-verde", "andina"}).Draw(rt, "example"))
+		reg, rules := loadExample(t, rapid.SampledFrom([]string{"campina-verde", "andina"}).Draw(rt, "example"))
 		want, err := SplitIntoParts(reg, rules)
 		c.Assert(err, qt.IsNil)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0))
@@ -36,8 +36,8 @@
 	})
 }
 
-// identities returns the name and the digest of each part, which covers its
-// value: Assemble refuses a part whose digest does not match.
+// identities returns the name and the digest of each part. The digest stands for the
+// value, as AssembleParts refuses a part whose digest does not match.
 func identities(parts []Part) []string {
 	var out []string
 	for _, part := range parts {
@@ -47,7 +47,7 @@
 }
 
 func TestAssembleRefusesAlteredParts(t *testing.T) {
-	reg, rules := load(t, "andina")
+	reg, rules := loadExample(t, "andina")
 	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(t, err, qt.IsNil)
 	foreign, err := encodePart(&bronzeturnv1.Part{Name: "other"})
@@ -103,7 +103,7 @@
 }
 
 func FuzzHead(f *testing.F) {
-	reg, rules := load(f, "andina")
+	reg, rules := loadExample(f, "andina")
 	parts, err := SplitIntoParts(reg, rules)
 	qt.Assert(f, err, qt.IsNil)
 	value, err := EncodeHead(newHead(Change{AppliedBy: "ana"}, nil, parts))
--- a/config/path.go
+++ b/config/path.go
@@ -5,30 +5,34 @@
 	"strings"
 )
 
-// fieldPath is the position of a field. It is put into words only when a problem is
-// found, so that checking a good configuration allocates little.
+// fieldPath is the position of a field. It is formatted only when a problem is found,
+// so that checking a valid configuration allocates little.
 type fieldPath struct {
 	section string
-	// index of the entry in the section, none if the section itself is meant.
+	// index is that of the entry in the section, noIndex for the section itself.
 	index int
 	field string
-	// item is the index in the field, none if the field itself is meant.
+	// item is the index in a list field, noIndex for the field itself.
 	item     int
 	subfield string
 }
 
-// none marks an absent index.
-const none = -1
+// noIndex marks an absent index.
+const noIndex = -1
 
-// entry returns the path of an entry of a section.
-func entry(section string, i int) fieldPath { return fieldPath{section: section, index: i, item: none} }
+// entryPath returns the path of an entry of a section.
+func entryPath(section string, i int) fieldPath {
+	return fieldPath{section: section, index: i, item: noIndex}
+}
 
-// whole returns the path of a section.
-func whole(section string) fieldPath { return fieldPath{section: section, index: none, item: none} }
+// sectionPath returns the path of a section.
+func sectionPath(section string) fieldPath {
+	return fieldPath{section: section, index: noIndex, item: noIndex}
+}
 
-// at returns the path of a field of the entry.
+// at returns the path of a field of the entry, or of the list item.
 func (p fieldPath) at(field string) fieldPath {
-	if p.item != none {
+	if p.item != noIndex {
 		p.subfield = field
 	} else {
 		p.field = field
@@ -36,7 +40,7 @@
 	return p
 }
 
-// nth returns the path of an item of the field.
+// nth returns the path of an item of a list field.
 func (p fieldPath) nth(i int) fieldPath {
 	p.item = i
 	return p
@@ -58,7 +62,7 @@
 }
 
 func writeIndex(b *strings.Builder, i int) {
-	if i != none {
+	if i != noIndex {
 		b.WriteString("[" + strconv.Itoa(i) + "]")
 	}
 }
--- a/config/publisher.go
+++ b/config/publisher.go
@@ -15,41 +15,41 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// editAttempts bounds how often an edit is built anew on a newer generation.
-const editAttempts = 5
+// rebaseAttempts bounds the attempts at a rebasable change, each on the generation
+// in force.
+const rebaseAttempts = 5
 
-// PartSource is a place from which parts may be had before the store is asked.
-// What it returns is checked against the digests.
+// PartSource supplies parts, so that they need not be read from the store. The parts
+// that it returns are checked against their digests.
 type PartSource interface {
-	// Parts returns the stored bytes of those parts that it has.
+	// Parts returns the stored bytes of those of the parts that it has.
 	Parts(ctx context.Context, digests []Digest) map[Digest][]byte
 }
 
 // PublisherOptions configures a Publisher.
 type PublisherOptions struct {
 	Store Store
-	// Random spreads retries. It must not be shared. If it is nil, the publisher
-	// makes one of its own.
+	// Random adds jitter to retries. It must not be shared. If it is nil, the
+	// publisher creates its own.
 	Random *rand.Rand
-	// Parts spares the store most reads. It may be nil.
+	// Parts is asked for parts before the store. It may be nil.
 	Parts PartSource
 }
 
-// Publisher puts changes in force. It is not safe for concurrent use; any
-// number of publishers may work against one store.
+// Publisher publishes changes of the configuration. It is not safe for concurrent
+// use; any number of publishers may use the same store.
 type Publisher struct {
-	calls  calls
+	store  retryingStore
 	source PartSource
-	// known holds the parts of the last head that was read.
+	// known caches the parts of the last head that was read.
 	known map[Digest][]byte
 }
 
-// NewPublisher returns a publisher.
 func NewPublisher(o PublisherOptions) *Publisher {
 	if o.Random == nil {
 		o.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Publisher{calls: calls{store: o.Store, random: o.Random}, source: o.Parts}
+	return &Publisher{store: retryingStore{store: o.Store, random: o.Random}, source: o.Parts}
 }
 
 // Stored is a configuration as read from the store.
@@ -62,27 +62,29 @@
 	Rules    *bronzeturnv1.Rules
 }
 
-// Apply puts the change in force, whole or not at all. It fails with a
-// *ValidationError if the result would be wrong, a *ConflictError if another
-// operator was faster, an *OutcomeError if the fate of the change could not be
-// learnt, or an error of the object API.
+// Apply publishes the change atomically. It fails with a *ValidationError if the
+// resulting configuration would be invalid, a *ConflictError if another change was
+// published first, an *OutcomeError if it is unknown whether the change took effect,
+// or an error of the object API.
 //
-// A change of whole files is never built anew on another operator's change. A
-// bare withdrawal is, since it means the same on any generation.
+// After a conflict, a change that replaces the register or the rules, or that states
+// its base, is not retried, as it would overwrite the other operator's change. A
+// withdrawal alone is, since it means the same on any generation.
 func (p *Publisher) Apply(ctx context.Context, change Change) (Result, error) {
-	if err := change.check(); err != nil {
+	if err := change.validate(); err != nil {
 		return Result{}, err
 	}
 	for attempt := 1; ; attempt++ {
 		result, err := p.attempt(ctx, change)
 		var lost *ConflictError
-		if !errors.As(err, &lost) || !change.edit() || attempt == editAttempts {
+		if !errors.As(err, &lost) || !change.rebasable() || attempt == rebaseAttempts {
 			return result, err
 		}
 	}
 }
 
-// attempt builds the change upon what is in force and tries to publish it.
+// attempt applies the change to the configuration in force and tries to publish the
+// result.
 func (p *Publisher) attempt(ctx context.Context, change Change) (Result, error) {
 	cur, err := p.Read(ctx)
 	if err != nil {
@@ -90,7 +92,7 @@
 	}
 	base := cur.Head.GetGeneration()
 	if change.Base != nil && *change.Base != base {
-		return Result{}, conflict(*change.Base, cur.Head)
+		return Result{}, newConflictError(*change.Base, cur.Head)
 	}
 	reg, rules := change.apply(cur.Register, cur.Rules)
 	if err := Validate(reg, rules); err != nil {
@@ -105,16 +107,16 @@
 		return Result{}, err
 	}
 	for _, part := range fresh {
-		if err := p.calls.ensure(ctx, part.Digest.Key(), part.Value); err != nil {
+		if err := p.store.ensure(ctx, part.Digest.Key(), part.Value); err != nil {
 			return Result{}, fmt.Errorf("store part %s: %w", part.Name, err)
 		}
 	}
 	return p.publish(ctx, cur, newHead(change, cur.Head, parts), fresh)
 }
 
-// Read returns what is in force in the store.
+// Read returns the configuration in force from the store.
 func (p *Publisher) Read(ctx context.Context) (Stored, error) {
-	obj, err := p.calls.get(ctx, HeadKey)
+	obj, err := p.store.get(ctx, HeadKey)
 	if err != nil {
 		return Stored{}, fmt.Errorf("read head: %w", err)
 	}
@@ -141,8 +143,8 @@
 	return Stored{Head: head, Revision: obj.Revision, Parts: parts, Register: reg, Rules: rules}, nil
 }
 
-// values collects the parts of the head: from earlier reads, then from the part
-// source, then from the store.
+// values returns the stored bytes of the head's parts: from the last read, then from
+// the part source, then from the store.
 func (p *Publisher) values(ctx context.Context, head *bronzeturnv1.Head) (map[Digest][]byte, error) {
 	values := make(map[Digest][]byte, len(head.GetParts()))
 	var missing []Digest
@@ -161,7 +163,7 @@
 		if _, ok := values[digest]; ok {
 			continue
 		}
-		obj, err := p.calls.get(ctx, digest.Key())
+		obj, err := p.store.get(ctx, digest.Key())
 		if err != nil {
 			return nil, fmt.Errorf("read part %s: %w", digest, err)
 		}
@@ -172,7 +174,7 @@
 	return values, nil
 }
 
-// fromSource keeps only parts that match their digests.
+// fromSource returns the parts from the part source that match their digests.
 func (p *Publisher) fromSource(ctx context.Context, digests []Digest) map[Digest][]byte {
 	found := p.source.Parts(ctx, digests)
 	maps.DeleteFunc(found, func(digest Digest, value []byte) bool {
@@ -181,12 +183,13 @@
 	return found
 }
 
-// reuse keeps the stored parts whose content is wanted again and bases all
-// others on the generation in force. It returns all parts and the fresh ones.
+// reuse keeps the stored parts whose content is unchanged and sets the base
+// generation of all others to the one in force. It returns all parts, and the fresh
+// ones, which are not stored yet.
 func reuse(have, wanted []Part, base uint64) (parts, fresh []Part, err error) {
 	stored := make(map[Digest]Part, len(have))
 	for _, part := range have {
-		content, err := rebase(part, 0)
+		content, err := withBaseGeneration(part, 0)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -197,7 +200,7 @@
 			parts = append(parts, old)
 			continue
 		}
-		part, err := rebase(part, base)
+		part, err := withBaseGeneration(part, base)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/config/publisher_test.go
+++ b/config/publisher_test.go
@@ -21,15 +21,16 @@
 	return NewPublisher(PublisherOptions{Store: store, Random: rand.New(rand.NewPCG(1, 2))})
 }
 
-// variant returns the example with a price and a target that tell it apart.
+// variant returns the example with a price and an expected number of tokens that depend
+// on n.
 func variant(tb testing.TB, n int) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
-	reg, rules := load(tb, "andina")
+	reg, rules := loadExample(tb, "andina")
 	reg.Versions[0].PromptPriceMicros = int64(1000 + n)
 	rules.Kinds[0].ExpectedCompletionTokens = int64(1000 + n)
 	return reg, rules
 }
 
-func TestApplyPublishesWholeAndReusesParts(t *testing.T) {
+func TestApplyStoresNewPartsAndReusesOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		store := memstore.New()
@@ -103,7 +104,7 @@
 	}
 }
 
-func TestApplyOnAnotherBaseShowsBothGenerations(t *testing.T) {
+func TestConflictErrorNamesBothGenerations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		p := newTestPublisher(memstore.New())
@@ -118,7 +119,8 @@
 	})
 }
 
-// raceStore lets a rival publish between the read and the write of a head.
+// raceStore calls rival, which publishes another change, between the read and the write
+// of a head.
 type raceStore struct {
 	*memstore.Store
 	rival func()
@@ -132,16 +134,16 @@
 	return r.Store.Update(ctx, key, value, revision)
 }
 
-func TestLostRace(t *testing.T) {
+func TestConcurrentChange(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		change   func(reg *bronzeturnv1.Register) Change
 		conflict bool
 	}{
-		{"whole file gets the conflict", func(reg *bronzeturnv1.Register) Change {
+		{"replacement of the register fails with a conflict", func(reg *bronzeturnv1.Register) Change {
 			return Change{Register: reg}
 		}, true},
-		{"withdrawal is built anew", func(*bronzeturnv1.Register) Change {
+		{"withdrawal is retried on the newer generation", func(*bronzeturnv1.Register) Change {
 			return Change{Withdraw: &bronzeturnv1.Withdrawal{Version: "nota@2"}}
 		}, false},
 	} {
@@ -185,32 +187,32 @@
 	return nil
 }
 
-// outcome is what an operator was told about one change.
+// outcome is what Apply returned for a change.
 type outcome struct {
 	change Change
 	result Result
 	err    error
 }
 
-// TestOperatorsUnderFaults runs several operators and a collector against a
-// store that delays, refuses, loses and postpones calls, and checks the history
-// of heads against what the operators were told.
-func TestOperatorsUnderFaults(t *testing.T) {
+// TestConcurrentOperatorsWithFaultyStore runs several operators and a collector against a
+// store that delays, refuses, loses and postpones calls, and checks the history of
+// heads against what Apply returned.
+func TestConcurrentOperatorsWithFaultyStore(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		operators := rapid.IntRange(1, 4).Draw(rt, "operators")
 		synctest.Test(t, func(t *testing.T) {
-			store := newUnstable(seed)
-			told := runOperators(t, store, operators, seed)
+			store := newFaultyStore(seed)
+			reported := runOperators(t, store, operators, seed)
 			store.settle()
-			checkHistory(t, store, told)
+			checkHistory(t, store, reported)
 		})
 	})
 }
 
-func runOperators(t *testing.T, store *unstable, operators int, seed uint64) []outcome {
+func runOperators(t *testing.T, store *faultyStore, operators int, seed uint64) []outcome {
 	var mu sync.Mutex
-	var told []outcome
+	var reported []outcome
 	var group sync.WaitGroup
 	for operator := range operators {
 		group.Go(func() {
@@ -220,19 +222,19 @@
 				change := drawChange(t, random, operator, step)
 				result, err := p.Apply(t.Context(), change)
 				mu.Lock()
-				told = append(told, outcome{change, result, err})
+				reported = append(reported, outcome{change, result, err})
 				mu.Unlock()
 			}
 		})
 	}
 	group.Go(func() {
 		for range 6 {
-			// A failed collection is tried again by the next round.
+			// A failed collection is retried in the next round.
 			_, _ = CollectGarbage(t.Context(), store, rand.New(rand.NewPCG(seed, 99)), 0)
 		}
 	})
 	group.Wait()
-	return told
+	return reported
 }
 
 func drawChange(tb testing.TB, random *rand.Rand, operator, step int) Change {
@@ -251,12 +253,12 @@
 	return change
 }
 
-// checkHistory asserts that every generation is the one before with exactly one
-// change applied, and that each operator was told the truth.
-func checkHistory(t *testing.T, store *unstable, told []outcome) {
+// checkHistory asserts that every generation is the one before with exactly one change
+// applied, and that what Apply returned for each change matches the history.
+func checkHistory(t *testing.T, store *faultyStore, reported []outcome) {
 	c := qt.New(t)
 	byNote := make(map[string]Change)
-	for _, o := range told {
+	for _, o := range reported {
 		byNote[o.change.Note] = o.change
 	}
 	inForce := make(map[string]uint64)
@@ -277,19 +279,19 @@
 	stored, err := newTestPublisher(store).Read(context.Background())
 	c.Assert(err, qt.IsNil)
 	c.Assert(stored.Head.GetGeneration(), qt.Equals, uint64(len(store.history())))
-	for _, o := range told {
-		checkTold(c, o, inForce)
+	for _, o := range reported {
+		checkReported(c, o, inForce)
 	}
 }
 
-// contentOf returns the digests of the parts that the head names, without their
-// base generations.
+// contentOf returns the digests of the parts of the head with their base generations set
+// to zero.
 func contentOf(c *qt.C, head *bronzeturnv1.Head, values map[Digest][]byte) []Digest {
 	parts, err := PartsOf(head, values)
 	c.Assert(err, qt.IsNil)
 	var digests []Digest
 	for _, part := range parts {
-		content, err := rebase(part, 0)
+		content, err := withBaseGeneration(part, 0)
 		c.Assert(err, qt.IsNil)
 		digests = append(digests, content.Digest)
 	}
@@ -306,7 +308,7 @@
 	return digests
 }
 
-func checkTold(c *qt.C, o outcome, inForce map[string]uint64) {
+func checkReported(c *qt.C, o outcome, inForce map[string]uint64) {
 	generation, ok := inForce[o.change.Note]
 	var unknown *OutcomeError
 	switch {
@@ -314,11 +316,11 @@
 		c.Assert(generation, qt.Equals, o.result.Generation, qt.Commentf("%s", o.change.Note))
 	case errors.As(o.err, &unknown):
 	default:
-		c.Assert(ok, qt.IsFalse, qt.Commentf("%s: told %v, but in force", o.change.Note, o.err))
+		c.Assert(ok, qt.IsFalse, qt.Commentf("%s: reported as %v, but in force", o.change.Note, o.err))
 	}
 }
 
-func TestCollectKeepsWhatIsNamedAndRecent(t *testing.T) {
+func TestCollectGarbageKeepsReferencedAndRecentParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		store := memstore.New()
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -11,9 +11,9 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Snapshot is one generation of the configuration, validated and indexed. It
-// never changes; callers must not modify anything they get from it. Its methods
-// may be called concurrently.
+// Snapshot is one generation of the configuration, validated and indexed. It is
+// immutable and safe for concurrent use; callers must not modify anything they get
+// from it.
 type Snapshot struct {
 	generation uint64
 	register   *bronzeturnv1.Register
@@ -36,13 +36,13 @@
 	byPool        map[string][]*bronzeturnv1.Engine
 }
 
-// keyEntry is the digest of one key and the organisation it identifies.
+// keyEntry is the digest of an API key and the organisation that it identifies.
 type keyEntry struct {
 	digest       [sha256.Size]byte
 	organisation *bronzeturnv1.Organisation
 }
 
-// access is what one organisation may use.
+// access holds the versions and services that an organisation may use.
 type access struct {
 	versions []string
 	allowed  names
@@ -50,13 +50,13 @@
 }
 
 // NewSnapshot validates the register and the rules and indexes copies of them.
-// A refusal is a *ValidationError. An unset priority becomes PRIORITY_NORMAL,
-// an unset below_target becomes BELOW_TARGET_BEST_AVAILABLE.
+// It fails with a *ValidationError. In task kinds, an unset priority becomes
+// PRIORITY_NORMAL, an unset below_target becomes BELOW_TARGET_BEST_AVAILABLE.
 func NewSnapshot(generation uint64, reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) (*Snapshot, error) {
 	return newSnapshot(generation, proto.CloneOf(reg), proto.CloneOf(rules))
 }
 
-// newSnapshot takes over the register and the rules instead of copying them.
+// newSnapshot keeps and modifies the register and the rules instead of copying them.
 func newSnapshot(generation uint64, reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) (*Snapshot, error) {
 	if err := Validate(reg, rules); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	for _, org := range s.register.GetOrganisations() {
 		for _, key := range org.GetKeySha256() {
 			var digest [sha256.Size]byte
-			// Validate has checked the digits.
+			// Validate has checked the length and the digits.
 			_, _ = hex.Decode(digest[:], []byte(key))
 			bucket := digest[0]
 			s.keys[bucket] = append(s.keys[bucket], keyEntry{digest: digest, organisation: org})
@@ -145,7 +145,7 @@
 	return a
 }
 
-// indexBy maps the name of each item to the item.
+// indexBy returns a map of the items by name.
 func indexBy[T any](items []T, name func(T) string) map[string]T {
 	out := make(map[string]T, len(items))
 	for _, item := range items {
@@ -160,12 +160,13 @@
 // Register returns the register. It must not be modified.
 func (s *Snapshot) Register() *bronzeturnv1.Register { return s.register }
 
-// Rules returns the rules with defaults filled in. They must not be modified.
+// Rules returns the rules with the defaults of NewSnapshot. They must not be modified.
 func (s *Snapshot) Rules() *bronzeturnv1.Rules { return s.rules }
 
-// Authenticate returns the organisation that the key identifies. Only the
-// SHA-256 digest of the key is compared, in constant time and with every digest
-// of the bucket, so that the time taken tells nothing useful about other keys.
+// Authenticate returns the organisation that the API key identifies. The SHA-256
+// digest of the key is compared in constant time with every digest of its bucket, so
+// that the time taken reveals nothing useful about other keys. The empty key is never
+// accepted.
 func (s *Snapshot) Authenticate(key string) (*bronzeturnv1.Organisation, bool) {
 	digest := sha256.Sum256([]byte(key))
 	var found *bronzeturnv1.Organisation
--- a/config/snapshot_test.go
+++ b/config/snapshot_test.go
@@ -9,17 +9,17 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-func snapshot(tb testing.TB, example string) *Snapshot {
+func exampleSnapshot(tb testing.TB, example string) *Snapshot {
 	tb.Helper()
-	reg, rules := load(tb, example)
+	reg, rules := loadExample(tb, example)
 	s, err := NewSnapshot(7, reg, rules)
 	qt.Assert(tb, err, qt.IsNil)
 	return s
 }
 
-func TestSnapshotKeepsOrganisationsApart(t *testing.T) {
+func TestSnapshotSeparatesOrganisations(t *testing.T) {
 	c := qt.New(t)
-	s := snapshot(t, "campina-verde")
+	s := exampleSnapshot(t, "campina-verde")
 	c.Assert(s.Allowed("rider-app", "dock-quick@2"), qt.IsTrue)
 	c.Assert(s.Allowed("rider-app", "diag-small@4"), qt.IsTrue)
 	c.Assert(s.Allowed("rider-app", "diag-small@5"), qt.IsFalse)
@@ -33,7 +33,7 @@
 
 func TestSnapshotRefusesWrongKeys(t *testing.T) {
 	c := qt.New(t)
-	s := snapshot(t, "campina-verde")
+	s := exampleSnapshot(t, "campina-verde")
 	digest := s.Register().GetOrganisations()[0].GetKeySha256()[0]
 	for _, key := range []string{"", "key-", "key-rider-app ", digest} {
 		org, ok := s.Authenticate(key)
@@ -43,7 +43,7 @@
 }
 
 func TestSnapshotRefusesTheEmptyKeyEvenIfRegistered(t *testing.T) {
-	reg, rules := load(t, "andina")
+	reg, rules := loadExample(t, "andina")
 	const digestOfNothing = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
 	reg.Organisations[0].KeySha256 = []string{digestOfNothing}
 	s, err := NewSnapshot(1, reg, rules)
@@ -54,7 +54,7 @@
 
 func TestSnapshotIndexes(t *testing.T) {
 	c := qt.New(t)
-	s := snapshot(t, "campina-verde")
+	s := exampleSnapshot(t, "campina-verde")
 	c.Assert(s.Generation(), qt.Equals, uint64(7))
 	kind, ok := s.Kind("")
 	c.Assert(ok, qt.IsTrue)
@@ -84,9 +84,9 @@
 	c.Assert(ok && !service.GetIdempotent(), qt.IsTrue)
 }
 
-func TestSnapshotFillsDefaultsAndKeepsNoPartOfItsInput(t *testing.T) {
+func TestSnapshotSetsDefaultsAndCopiesItsInput(t *testing.T) {
 	c := qt.New(t)
-	reg, rules := load(t, "andina")
+	reg, rules := loadExample(t, "andina")
 	rules.Kinds[0].Priority, rules.Kinds[0].BelowTarget = 0, 0
 	before := proto.CloneOf(rules)
 	s, err := NewSnapshot(1, reg, rules)
@@ -103,7 +103,7 @@
 }
 
 func TestSnapshotLookupsDoNotAllocate(t *testing.T) {
-	s := snapshot(t, "campina-verde")
+	s := exampleSnapshot(t, "campina-verde")
 	n := testing.AllocsPerRun(100, func() {
 		_, ok := s.Authenticate("key-rider-app")
 		if !ok || !s.Allowed("rider-app", "diag-small@4") || len(s.AllowedVersions("rider-app")) != 3 {
--- a/config/split.go
+++ b/config/split.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// enginesPerPart is the mean size of an engine part. Smaller parts make a
-	// change cheaper and the head longer.
+	// enginesPerPart bounds the mean number of engines in a part of engines. With
+	// smaller parts, a change stores fewer bytes but the head is longer.
 	enginesPerPart = 256
-	// organisationsPerPart is the mean size of an organisation part.
+	// organisationsPerPart bounds the mean number of organisations in a part.
 	organisationsPerPart = 64
 )
 
-// SplitIntoParts cuts the register and the rules into parts, in order of their names.
-// Each section becomes one part, engines are cut by pool and then, like
-// organisations, by a hash of the name. The result depends only on the content,
-// not on the order of the entries. Both must be valid.
+// SplitIntoParts splits the register and the rules, which must be valid, into parts
+// sorted by name. Each section becomes one part, except that engines are split by pool
+// and then, like organisations, by a hash of the name. The result does not depend on
+// the order of the entries.
 func SplitIntoParts(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) ([]Part, error) {
 	pieces := splitRegister(reg)
 	pieces = append(pieces, splitRules(rules)...)
@@ -126,10 +126,11 @@
 	return out
 }
 
-// bucketCount returns a power of two, so that a growing section is cut anew
-// only when it doubles.
-func bucketCount(entries, mean int) int {
-	buckets := (entries + mean - 1) / mean
+// bucketCount returns the number of buckets for a mean of at most perBucket entries,
+// rounded up to a power of two, so that a growing section is split differently only
+// when it doubles.
+func bucketCount(entries, perBucket int) int {
+	buckets := (entries + perBucket - 1) / perBucket
 	if buckets <= 1 {
 		return 1
 	}
@@ -140,7 +141,7 @@
 	return fmt.Sprintf("%03x", xxhash.Sum64String(name)%uint64(count))
 }
 
-// sortedBy returns a copy of items in order of their names.
+// sortedBy returns a copy of items sorted by name.
 func sortedBy[T any](items []T, name func(T) string) []T {
 	out := slices.Clone(items)
 	slices.SortStableFunc(out, func(a, b T) int { return strings.Compare(name(a), name(b)) })
--- a/config/target_test.go
+++ b/config/target_test.go
@@ -13,7 +13,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// The target size.
+// The size that the configuration is designed for.
 const (
 	targetEngines       = 5300
 	targetOrganisations = 300
@@ -25,7 +25,7 @@
 
 // targetSize returns a configuration of the target size.
 func targetSize(tb testing.TB) (*bronzeturnv1.Register, *bronzeturnv1.Rules) {
-	_, rules := load(tb, "andina")
+	_, rules := loadExample(tb, "andina")
 	reg := &bronzeturnv1.Register{}
 	for i := range targetDataCentres {
 		reg.DataCentres = append(reg.DataCentres, &bronzeturnv1.DataCentre{Name: fmt.Sprintf("centre-%d", i), Region: fmt.Sprintf("region-%d", i/2)})
@@ -78,20 +78,20 @@
 	}
 }
 
-// Bounds of one change at the target size, each with its reason beside it.
+// Bounds on the cost of one change at the target size.
 const (
-	// One engine's part holds about 166 engines of 98 bytes.
+	// A part of engines holds about 166 engines of 98 bytes.
 	maxEngineChangeBytes = 17 << 10
-	// The head names 46 parts with about 68 bytes each.
+	// The head refers to 46 parts with about 68 bytes each.
 	maxTargetHeadBytes = 3500
-	// A daemon gets the head from several neighbours and the part once.
+	// A daemon receives the head from several peers, and the part once.
 	headCopies       = 3
 	maxReceivedBytes = 26 << 10
-	// Part and head are written.
+	// The part and the head.
 	maxChangeWrites = 2
-	// The head is read; all parts are known to the publisher.
+	// The head; the publisher has all parts cached.
 	maxChangeReads = 1
-	// Register and indexes on the heap of a daemon.
+	// The heap that a snapshot takes in a daemon.
 	maxSnapshotBytes = 8 << 20
 )
 
@@ -189,7 +189,7 @@
 }
 
 func BenchmarkAuthenticate(b *testing.B) {
-	s := snapshot(b, "andina")
+	s := exampleSnapshot(b, "andina")
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, ok := s.Authenticate("key-crate-yard"); !ok {
--- a/config/validate.go
+++ b/config/validate.go
@@ -12,8 +12,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Bounds of a configuration. They leave room above the target size and keep
-// the memory of a daemon bounded.
+// Bounds of a configuration. They keep the memory of a daemon bounded and leave room
+// above the size that the router is designed for.
 const (
 	maxNameBytes     = 64
 	maxReasonBytes   = 512
@@ -28,20 +28,21 @@
 	maxInstances     = 1024
 	maxKinds         = 128
 	maxSlots         = 4096
-	maxListed        = 1024
-	// maxPriceMicros keeps price times tokens of one request inside an int64.
+	maxListEntries   = 1024
+	// maxPriceMicros keeps the price times the tokens of a request within an int64.
 	maxPriceMicros      = 1_000_000_000_000
 	maxTokens           = 100_000_000
 	maxTokensPerSecond  = 1e6
 	maxDeadline         = 2 * time.Hour
 	minDuration         = time.Millisecond
 	maxProblemsReported = 1000
-	// shortList is the length up to which duplicates are sought without a map.
-	shortList = 16
+	// maxLinearSearch is the list length up to which duplicates are found without a
+	// map.
+	maxLinearSearch = 16
 )
 
-// Validate checks the register and the rules against each other and reports
-// all faults at once as a *ValidationError. It changes neither.
+// Validate checks the register and the rules, including references between them, and
+// reports all faults in one *ValidationError. It modifies neither.
 func Validate(reg *bronzeturnv1.Register, rules *bronzeturnv1.Rules) error {
 	v := &validator{register: reg, rules: rules}
 	v.dataCentres()
@@ -61,7 +62,7 @@
 	return &ValidationError{Problems: v.problems}
 }
 
-// validator collects problems. The name sets hold what was declared so far.
+// validator collects problems. The sets hold the names declared so far.
 type validator struct {
 	register *bronzeturnv1.Register
 	rules    *bronzeturnv1.Rules
@@ -76,7 +77,7 @@
 	kindNames         names
 }
 
-// names is the set of names declared in one section.
+// names is a set of names.
 type names map[string]struct{}
 
 func (n names) has(name string) bool {
@@ -84,14 +85,14 @@
 	return ok
 }
 
-// add records a problem at the path, up to a bound.
+// add records a problem at the path, unless there are maxProblemsReported already.
 func (v *validator) add(path fieldPath, format string, args ...any) {
 	if len(v.problems) < maxProblemsReported {
 		v.problems = append(v.problems, Problem{Path: path.String(), Message: fmt.Sprintf(format, args...)})
 	}
 }
 
-// declare checks a name and records it; a second use is a problem.
+// declare checks a name and adds it to the set. A duplicate is a problem.
 func (v *validator) declare(set *names, path fieldPath, name string) {
 	if *set == nil {
 		*set = make(names)
@@ -106,18 +107,18 @@
 	(*set)[name] = struct{}{}
 }
 
-// refer checks that a name is declared.
-func (v *validator) refer(set names, path fieldPath, what, name string) {
+// reference checks that a name is in the set of declared names.
+func (v *validator) reference(set names, path fieldPath, what, name string) {
 	if !set.has(name) {
 		v.add(path, "unknown %s %q", what, clip(name))
 	}
 }
 
-// unique checks that no value stands twice in a list.
-func (v *validator) unique(path fieldPath, values []string) {
-	v.count(path, len(values), maxListed)
+// distinct checks the length of a list and that it has no duplicates.
+func (v *validator) distinct(path fieldPath, values []string) {
+	v.count(path, len(values), maxListEntries)
 	var seen names
-	if len(values) > shortList {
+	if len(values) > maxLinearSearch {
 		seen = make(names, len(values))
 	}
 	for i, value := range values {
@@ -143,7 +144,7 @@
 	}
 }
 
-// integer checks the bounds of a whole number.
+// integer checks the bounds of an integer.
 func (v *validator) integer(path fieldPath, x, low, high int64) {
 	if x < low || x > high {
 		v.add(path, "%d is not between %d and %d", x, low, high)
@@ -160,7 +161,7 @@
 // duration checks the bounds of a duration and returns it.
 func (v *validator) duration(path fieldPath, d *durationpb.Duration, high time.Duration) time.Duration {
 	if d == nil {
-		v.add(path, "duration missing")
+		v.add(path, "duration is missing")
 		return 0
 	}
 	value := d.AsDuration()
@@ -170,7 +171,7 @@
 	return value
 }
 
-// address checks an IP address with a port.
+// address checks an IP address and port that can be connected to.
 func (v *validator) address(path fieldPath, address string) {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -185,20 +186,21 @@
 	}
 }
 
-// text bounds free text and refuses control characters.
+// text checks the length of a free text and that it has no control characters.
 func (v *validator) text(path fieldPath, text string, limit int) {
 	if len(text) > limit {
 		v.add(path, "text of %d bytes is above the limit of %d", len(text), limit)
 	}
 	for _, r := range text {
 		if r < ' ' || r == 0x7f {
-			v.add(path, "text holds a control character")
+			v.add(path, "text contains a control character")
 			return
 		}
 	}
 }
 
-// validName tells whether name is fit for logs, paths and metric labels.
+// validName reports whether name is valid, which makes it safe in logs, paths and
+// metric labels.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameBytes || !alphanumeric(name[0]) {
 		return false
@@ -217,7 +219,7 @@
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
 
-// clip shortens a name for a message.
+// clip truncates a name for a message.
 func clip(s string) string {
 	if len(s) > maxNameBytes {
 		return s[:maxNameBytes] + "..."
--- a/config/validate_rules.go
+++ b/config/validate_rules.go
@@ -8,14 +8,14 @@
 
 func (v *validator) kinds() {
 	const section = "rules.kinds"
-	v.count(whole(section), len(v.rules.GetKinds()), maxKinds)
+	v.count(sectionPath(section), len(v.rules.GetKinds()), maxKinds)
 	for i, kind := range v.rules.GetKinds() {
-		path := entry(section, i)
+		path := entryPath(section, i)
 		v.declare(&v.kindNames, path.at("name"), kind.GetName())
 		v.kind(path, kind)
 	}
 	if !v.kindNames.has(DefaultKind) {
-		v.add(whole(section), "the kind %q is missing", DefaultKind)
+		v.add(sectionPath(section), "the kind %q is missing", DefaultKind)
 	}
 }
 
@@ -27,10 +27,10 @@
 	v.integer(path.at("expected_completion_tokens"), kind.GetExpectedCompletionTokens(), 0, maxTokens)
 	v.kindDurations(path, kind)
 	if kind.GetCascade() && !kind.GetIdempotent() {
-		v.add(path.at("cascade"), "a non-idempotent kind cannot be escalated")
+		v.add(path.at("cascade"), "a cascade needs an idempotent kind")
 	}
 	if kind.GetHedge() && !kind.GetIdempotent() {
-		v.add(path.at("hedge"), "a non-idempotent kind cannot be hedged")
+		v.add(path.at("hedge"), "hedging needs an idempotent kind")
 	}
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// enum checks that a number has a name in the schema.
+// enum checks that a number is a value of the enum in the schema.
 func (v *validator) enum(path fieldPath, number int32, known map[int32]string) {
 	if _, ok := known[number]; !ok {
 		v.add(path, "unknown value %d", number)
@@ -51,24 +51,24 @@
 
 func (v *validator) withdrawals() {
 	const section = "rules.withdrawals"
-	v.count(whole(section), len(v.rules.GetWithdrawals()), maxVersions)
+	v.count(sectionPath(section), len(v.rules.GetWithdrawals()), maxVersions)
 	seen := make(names)
 	for i, w := range v.rules.GetWithdrawals() {
-		path := entry(section, i)
+		path := entryPath(section, i)
 		v.version(path.at("version"), w.GetVersion())
-		v.once(seen, path.at("version"), "version", w.GetVersion())
+		v.unique(seen, path.at("version"), "version", w.GetVersion())
 		v.text(path.at("reason"), w.GetReason(), maxReasonBytes)
 	}
 }
 
 func (v *validator) limits() {
 	const section = "rules.limits"
-	v.count(whole(section), len(v.rules.GetLimits()), maxOrganisations)
+	v.count(sectionPath(section), len(v.rules.GetLimits()), maxOrganisations)
 	seen := make(names)
 	for i, limit := range v.rules.GetLimits() {
-		path := entry(section, i)
-		v.refer(v.organisationNames, path.at("organisation"), "organisation", limit.GetOrganisation())
-		v.once(seen, path.at("organisation"), "organisation", limit.GetOrganisation())
+		path := entryPath(section, i)
+		v.reference(v.organisationNames, path.at("organisation"), "organisation", limit.GetOrganisation())
+		v.unique(seen, path.at("organisation"), "organisation", limit.GetOrganisation())
 		v.number(path.at("requests_per_second"), limit.GetRequestsPerSecond())
 		v.number(path.at("tokens_per_second"), limit.GetTokensPerSecond())
 		v.integer(path.at("concurrent_requests"), limit.GetConcurrentRequests(), 0, maxTokens)
@@ -78,25 +78,25 @@
 
 func (v *validator) rollouts() {
 	const section = "rules.rollouts"
-	v.count(whole(section), len(v.rules.GetRollouts()), maxVersions)
+	v.count(sectionPath(section), len(v.rules.GetRollouts()), maxVersions)
 	introduced := make(names)
 	for i, r := range v.rules.GetRollouts() {
-		v.once(introduced, entry(section, i).at("version"), "version", r.GetVersion())
+		v.unique(introduced, entryPath(section, i).at("version"), "version", r.GetVersion())
 	}
 	for i, r := range v.rules.GetRollouts() {
-		v.rollout(entry(section, i), r, introduced)
+		v.rollout(entryPath(section, i), r, introduced)
 	}
 }
 
-// rollout checks one roll-out. A baseline must not be under roll-out itself, so
-// that the share of a version is well defined.
+// rollout checks one roll-out. The baseline must not be under roll-out itself, as the
+// share of a version would not be well defined then.
 func (v *validator) rollout(path fieldPath, r *bronzeturnv1.Rollout, introduced names) {
 	v.version(path.at("version"), r.GetVersion())
 	v.version(path.at("baseline"), r.GetBaseline())
 	model, known := v.versionModels[r.GetVersion()]
 	baseline, baselineKnown := v.versionModels[r.GetBaseline()]
 	if known && baselineKnown && model != baseline {
-		v.add(path.at("baseline"), "version is of model %q but its baseline is of model %q", clip(model), clip(baseline))
+		v.add(path.at("baseline"), "version belongs to model %q, but its baseline to model %q", clip(model), clip(baseline))
 	}
 	if introduced.has(r.GetBaseline()) {
 		v.add(path.at("baseline"), "baseline %q is itself under roll-out", clip(r.GetBaseline()))
--- a/config/validate_test.go
+++ b/config/validate_test.go
@@ -99,7 +99,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			reg, rules := load(t, "campina-verde")
+			reg, rules := loadExample(t, "campina-verde")
 			tt.edit(reg, rules)
 			_, err := NewSnapshot(1, reg, rules)
 			var refused *ValidationError
@@ -115,7 +115,7 @@
 
 func TestValidateBoundsSizes(t *testing.T) {
 	c := qt.New(t)
-	reg, rules := load(t, "andina")
+	reg, rules := loadExample(t, "andina")
 	for len(reg.Models) <= maxModels {
 		reg.Models = append(reg.Models, &bronzeturnv1.Model{Name: strings.Repeat("m", len(reg.Models)%maxNameBytes+1)})
 	}
@@ -125,7 +125,7 @@
 	c.Assert(len(refused.Problems) <= maxProblemsReported, qt.IsTrue)
 }
 
-func TestValidateTakesNil(t *testing.T) {
+func TestValidateNilInput(t *testing.T) {
 	c := qt.New(t)
 	var refused *ValidationError
 	c.Assert(errors.As(Validate(nil, nil), &refused), qt.IsTrue)
