--- a/config/path.go
+++ b/config/path.go
@@ -9,30 +9,26 @@
 // so that checking a valid configuration allocates little.
 type fieldPath struct {
 	section string
-	// index is that of the entry in the section, noIndex for the section itself.
+	// index is that of the entry in the section, none for the section itself.
 	index int
 	field string
-	// item is the index in a list field, noIndex for the field itself.
+	// item is the index in a list field, none for the field itself.
 	item     int
 	subfield string
 }
 
-// noIndex marks an absent index.
-const noIndex = -1
+// none marks an absent index.
+const none = -1
 
-// entryPath returns the path of an entry of a section.
-func entryPath(section string, i int) fieldPath {
-	return fieldPath{section: section, index: i, item: noIndex}
-}
+// entryPath returns the path of an entry of the section with the name.
+func entryPath(name string, i int) fieldPath { return fieldPath{section: name, index: i, item: none} }
 
-// sectionPath returns the path of a section.
-func sectionPath(section string) fieldPath {
-	return fieldPath{section: section, index: noIndex, item: noIndex}
-}
+// sectionPath returns the path of the section with the name.
+func sectionPath(name string) fieldPath { return fieldPath{section: name, index: none, item: none} }
 
 // at returns the path of a field of the entry, or of the list item.
 func (p fieldPath) at(field string) fieldPath {
-	if p.item != noIndex {
+	if p.item != none {
 		p.subfield = field
 	} else {
 		p.field = field
@@ -62,7 +58,7 @@
 }
 
 func writeIndex(b *strings.Builder, i int) {
-	if i != noIndex {
+	if i != none {
 		b.WriteString("[" + strconv.Itoa(i) + "]")
 	}
 }
