--- a/engine/engine.go
+++ b/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the adapter of the model engines: it sends one request to
-// one engine, passes the streamed answer on without decoding it, and tells
-// after a failure whether the request ran. It never repeats a request.
+// Package engine is the client of the model engines: it sends a request to an engine,
+// returns the streamed answer event by event without decoding it, and reports after a
+// failure whether the request ran. It never retries a request.
 package engine
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// Paths of an engine.
+// URL paths that engines serve.
 const (
 	PathChatCompletions = "/v1/chat/completions"
 	PathLoad            = "/v1/load"
@@ -27,11 +27,11 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
 	HeaderFencing   = "X-Fencing"
-	// HeaderNotRun is "true" on a refusal of a request that was not executed.
+	// HeaderNotRun is "true" in the refusal of a request that was not executed.
 	HeaderNotRun = "X-Not-Run"
 )
 
-// Types in error bodies of an engine.
+// Error types in the error bodies of engines.
 const (
 	ErrorTypeNotRun = "not_run"
 	ErrorTypeFenced = "fenced"
@@ -40,35 +40,36 @@
 // ErrorKind classifies a failure of an engine.
 type ErrorKind string
 
-// The kinds. The comment names the value of Ran.
+// The kinds of errors. Each comment ends with the values that Error.Ran can have.
 const (
-	// KindUnreachable: no connection, or nothing was written to it. Not run.
+	// KindUnreachable: no connection was made, or nothing was written to it. Not run.
 	KindUnreachable ErrorKind = "unreachable"
-	// KindRefused: the engine declined before running. Not run.
+	// KindRefused: the engine refused to run the request. Not run.
 	KindRefused ErrorKind = "refused"
-	// KindFailed: the engine reported an error of its own. Unknown, or run when the
-	// error came inside an answer.
+	// KindFailed: the engine reported an internal error. Unknown, or run when the
+	// error was reported inside an answer.
 	KindFailed ErrorKind = "failed"
-	// KindRejected: the engine found the request wrong. Not run.
+	// KindRejected: the engine reported the request as invalid. Not run.
 	KindRejected ErrorKind = "rejected"
 	// KindFenced: the engine has seen a higher fencing number. Not run.
 	KindFenced ErrorKind = "fenced"
-	// KindBroken: the connection ended before the whole answer came. Unknown, or
-	// run when part of the answer came.
+	// KindBroken: the connection ended before the answer was complete, or the answer
+	// is malformed. Unknown, or run when part of the answer arrived.
 	KindBroken ErrorKind = "broken"
-	// KindSilent: no progress within the progress timeout. Unknown, or run.
+	// KindSilent: nothing arrived within the progress timeout. Unknown, or run when
+	// the answer had begun.
 	KindSilent ErrorKind = "silent"
-	// KindCanceled: the caller's context ended or the stream was closed.
+	// KindCanceled: the context ended or the stream was closed. Any value.
 	KindCanceled ErrorKind = "canceled"
 )
 
-// Error is a failure of an engine.
+// Error is a failure of a request to an engine.
 type Error struct {
 	Kind ErrorKind
 	Ran  failure.Ran
-	// Status is the HTTP status, zero when none came.
+	// Status is the HTTP status, zero if there was no answer.
 	Status int
-	// RetryAfter is the engine's advice, zero when it gave none.
+	// RetryAfter is the delay that the engine asked for, zero if it did not.
 	RetryAfter time.Duration
 	cause      error
 }
@@ -81,14 +82,15 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// NewError returns an Error for a failure outside the exchange with an engine.
+// NewError returns an Error for a failure that did not arise in the exchange with an
+// engine.
 func NewError(kind ErrorKind, ran failure.Ran, cause error) *Error {
 	return &Error{Kind: kind, Ran: ran, cause: cause}
 }
 
-// Request is one request to one engine.
+// Request is a request to an engine.
 type Request struct {
-	// Address is IP and port of the engine.
+	// Address is the IP address and port of the engine.
 	Address   string
 	RequestID string
 	Version   string
@@ -96,30 +98,30 @@
 	Priority int
 	// Fencing is the number of the claim or lease behind the request, zero for none.
 	Fencing uint64
-	// Body is the caller's JSON with "model" set to the version. It must ask
-	// for usage in streams by stream_options.include_usage.
+	// Body is the caller's JSON with "model" set to the version. For a stream it must
+	// ask for usage by stream_options.include_usage.
 	Body []byte
-	// Stream tells that the body asks for server-sent events.
+	// Stream reports whether the body asks for server-sent events.
 	Stream bool
-	// ProgressTimeout bounds the time in which nothing comes from the engine,
+	// ProgressTimeout bounds the time for which nothing arrives from the engine,
 	// including the time to the first byte. Zero means no bound.
 	ProgressTimeout time.Duration
 }
 
-// Client sends requests to engines. It may be used concurrently.
+// Client sends requests to engines. It is safe for concurrent use.
 type Client struct {
 	transport http.RoundTripper
 }
 
-// New returns a Client over transport, which should bound the time to connect.
-// With an *http.Transport the adapter knows exactly whether a request was sent.
+// New returns a Client that uses the transport, which should bound the time to
+// connect. With an *http.Transport, errors report exactly whether a request was sent.
 func New(transport http.RoundTripper) *Client {
 	return &Client{transport: transport}
 }
 
-// Open sends the request and waits until the engine starts to answer. The
-// error is an *Error. The caller must Close the stream; closing it or ending
-// ctx before the answer is complete cancels the work at the engine.
+// Open sends the request and waits until the engine starts to answer. The error is an
+// *Error. The caller must Close the stream. Closing it, or ending ctx, before the answer
+// is complete cancels the request at the engine.
 func (c *Client) Open(ctx context.Context, r Request) (*Stream, error) {
 	x, err := attempt.Send(ctx, c.transport, attempt.Request{
 		Method:          http.MethodPost,
@@ -129,11 +131,11 @@
 		ProgressTimeout: r.ProgressTimeout,
 	})
 	if err != nil {
-		return nil, fromAttempt(err)
+		return nil, errorFromAttempt(err)
 	}
 	if x.Status != http.StatusOK {
 		defer x.Close()
-		return nil, fromStatus(x)
+		return nil, errorFromStatus(x)
 	}
 	return newStream(x, r.Stream), nil
 }
@@ -152,13 +154,13 @@
 	return h
 }
 
-// fromAttempt translates a failed attempt.
-func fromAttempt(err error) *Error {
+// errorFromAttempt converts the error of an attempt.
+func errorFromAttempt(err error) *Error {
 	var a *attempt.Error
 	if !asAttempt(err, &a) {
 		return &Error{Kind: KindBroken, Ran: failure.RanUnknown, cause: err}
 	}
-	e := &Error{Kind: KindBroken, Ran: ranOf(a.Stage), cause: err}
+	e := &Error{Kind: KindBroken, Ran: ranAtStage(a.Stage), cause: err}
 	switch {
 	case a.Reason == attempt.Canceled:
 		e.Kind = KindCanceled
@@ -170,8 +172,9 @@
 	return e
 }
 
-// ranOf is what a stage promises about a request that was accepted or lost.
-func ranOf(s attempt.Stage) failure.Ran {
+// ranAtStage returns whether a request ran that failed at the stage without being
+// refused.
+func ranAtStage(s attempt.Stage) failure.Ran {
 	switch s {
 	case attempt.NotSent:
 		return failure.RanNo
@@ -182,7 +185,7 @@
 	}
 }
 
-// errorBody is the usual error shape of language model APIs.
+// errorBody is the usual error object of language model APIs.
 type errorBody struct {
 	Error struct {
 		Type    string `json:"type"`
@@ -193,9 +196,9 @@
 // maxErrorBytes bounds how much of an error body is read.
 const maxErrorBytes = 16 << 10
 
-// fromStatus translates an answer with a status other than 200.
-func fromStatus(x *attempt.Exchange) *Error {
-	body, cause := readSome(x, maxErrorBytes)
+// errorFromStatus converts an answer with a status other than 200.
+func errorFromStatus(x *attempt.Exchange) *Error {
+	body, cause := readLimited(x, maxErrorBytes)
 	var parsed errorBody
 	_ = json.Unmarshal(body, &parsed) // An unreadable body leaves the type empty.
 	e := &Error{Status: x.Status, Kind: KindFailed, Ran: failure.RanUnknown, RetryAfter: retryAfter(x.Header)}
@@ -215,7 +218,7 @@
 	return e
 }
 
-// StatusError is the engine's own words about a refusal.
+// StatusError is an error answer of an engine.
 type StatusError struct {
 	Status  int
 	Type    string
@@ -227,7 +230,7 @@
 	return fmt.Sprintf("status %d, type %q: %s", e.Status, e.Type, e.Message)
 }
 
-// maxRetryAfter bounds what an engine may ask for.
+// maxRetryAfter bounds the delay that an engine may ask for.
 const maxRetryAfter = time.Hour
 
 func retryAfter(h http.Header) time.Duration {
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -22,7 +22,7 @@
 
 const version = "diag@1"
 
-// serve runs a stand-in until the test ends and returns its address.
+// serve runs a stand-in server until the test ends and returns its address.
 func serve(c *qt.C, s standin.Server) string {
 	address, wait, err := standin.Start(c.Context(), s)
 	c.Assert(err, qt.IsNil)
@@ -36,7 +36,7 @@
 	return engine.New(t)
 }
 
-// request returns a request with n answer tokens at most.
+// request returns a request for at most so many answer tokens.
 func request(address string, stream bool, tokens int) engine.Request {
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"check 7"}]}`,
 		version, stream, tokens)
@@ -74,7 +74,7 @@
 	return v.Choices[0].Delta.Content + v.Choices[0].Message.Content
 }
 
-func TestWholeAnswerArrives(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprintf("stream=%v", stream), func(t *testing.T) {
 			c := qt.New(t)
@@ -91,14 +91,14 @@
 			c.Assert(usage.CompletionTokens, qt.Equals, int64(5))
 			c.Assert(usage.PromptTokens > 0, qt.IsTrue)
 			if stream {
-				c.Assert(events, qt.Equals, 5+3) // Tokens, finish, usage, end mark.
+				c.Assert(events, qt.Equals, 5+3) // Tokens, finish, usage, [DONE].
 			}
 		})
 	}
 }
 
-// failureOf opens and reads a request until it fails.
-func failureOf(c *qt.C, client *engine.Client, ctx context.Context, r engine.Request) *engine.Error {
+// errorOf sends a request, reads its answer until it fails, and returns the error.
+func errorOf(c *qt.C, client *engine.Client, ctx context.Context, r engine.Request) *engine.Error {
 	s, err := client.Open(ctx, r)
 	if err == nil {
 		defer s.Close()
@@ -109,8 +109,8 @@
 	return failed
 }
 
-// answerWith is a server whose answer, as written to the connection, is raw.
-func answerWith(c *qt.C, raw string) string {
+// serveRaw starts a server that writes raw to the connection as its answer.
+func serveRaw(c *qt.C, raw string) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -133,11 +133,11 @@
 }
 
 const (
-	oneToken = "data: {\"choices\":[]}\n\n"
-	endOfRaw = "0\r\n\r\n"
+	oneToken  = "data: {\"choices\":[]}\n\n"
+	lastChunk = "0\r\n\r\n"
 )
 
-func TestFailuresAreTyped(t *testing.T) {
+func TestErrorKindAndRan(t *testing.T) {
 	status := func(line, header, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", line, header, len(body), body)
 	}
@@ -157,11 +157,11 @@
 		{"400", status("400 Bad", "", ""), true, engine.KindRejected, failure.RanNo},
 		{"fenced", status("409 Old", "", `{"error":{"type":"fenced"}}`), true, engine.KindFenced, failure.RanNo},
 		{"no answer", "", true, engine.KindBroken, failure.RanUnknown},
-		{"half a header", "HTTP/1.1 200", true, engine.KindBroken, failure.RanUnknown},
+		{"incomplete status line", "HTTP/1.1 200", true, engine.KindBroken, failure.RanUnknown},
 		{"stream cut", chunked(oneToken), true, engine.KindBroken, failure.RanYes},
 		{"stream cut inside an event", chunked("data: {"), true, engine.KindBroken, failure.RanYes},
-		{"clean end without end mark", chunked(oneToken) + endOfRaw, true, engine.KindBroken, failure.RanYes},
-		{"end mark cut short", chunked(oneToken, "data: [DONE]\n") + endOfRaw, true, engine.KindBroken, failure.RanYes},
+		{"chunked body ends without [DONE]", chunked(oneToken) + lastChunk, true, engine.KindBroken, failure.RanYes},
+		{"[DONE] without its blank line", chunked(oneToken, "data: [DONE]\n") + lastChunk, true, engine.KindBroken, failure.RanYes},
 		{"error inside the stream", chunked(oneToken, "data: {\"error\":{}}\n\n"), true, engine.KindFailed, failure.RanYes},
 		{"short body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}", false, engine.KindBroken, failure.RanYes},
 		{"body of unknown length cut", "HTTP/1.1 200 OK\r\n\r\n{\"a\":", false, engine.KindBroken, failure.RanYes},
@@ -169,8 +169,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := request(answerWith(c, test.raw), test.stream, 1)
-			failed := failureOf(c, newClient(c), context.Background(), r)
+			r := request(serveRaw(c, test.raw), test.stream, 1)
+			failed := errorOf(c, newClient(c), context.Background(), r)
 			c.Assert(failed.Kind, qt.Equals, test.kind, qt.Commentf("%v", failed))
 			c.Assert(failed.Ran, qt.Equals, test.ran)
 		})
@@ -179,8 +179,8 @@
 
 func TestRetryAfterIsRead(t *testing.T) {
 	c := qt.New(t)
-	address := answerWith(c, "HTTP/1.1 429 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
-	failed := failureOf(c, newClient(c), context.Background(), request(address, true, 1))
+	address := serveRaw(c, "HTTP/1.1 429 Busy\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n")
+	failed := errorOf(c, newClient(c), context.Background(), request(address, true, 1))
 	c.Assert(failed.RetryAfter, qt.Equals, 2*time.Second)
 	c.Assert(failed.Status, qt.Equals, http.StatusTooManyRequests)
 }
@@ -190,7 +190,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.Close(), qt.IsNil)
-	failed := failureOf(c, newClient(c), context.Background(), request(l.Addr().String(), true, 1))
+	failed := errorOf(c, newClient(c), context.Background(), request(l.Addr().String(), true, 1))
 	c.Assert(failed.Kind, qt.Equals, engine.KindUnreachable)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 }
@@ -208,7 +208,7 @@
 	c.Assert(s.Close(), qt.IsNil)
 
 	e.SetFaults(standin.Faults{LoseAnswers: 1})
-	failed := failureOf(c, client, context.Background(), request(address, true, 1))
+	failed := errorOf(c, client, context.Background(), request(address, true, 1))
 	c.Assert(failed.Kind, qt.Equals, engine.KindBroken)
 	c.Assert(failed.Ran, qt.Equals, failure.RanUnknown)
 	c.Assert(e.Executions()["r1"], qt.Equals, 1)
@@ -227,7 +227,7 @@
 
 	e.SetFaults(standin.Faults{SilenceConnections: true})
 	r.ProgressTimeout = 50 * time.Millisecond
-	failed := failureOf(c, client, context.Background(), r)
+	failed := errorOf(c, client, context.Background(), r)
 	c.Assert(failed.Kind, qt.Equals, engine.KindSilent)
 	c.Assert(failed.Ran, qt.Equals, failure.RanUnknown)
 
@@ -281,8 +281,8 @@
 	long := "data: " + strings.Repeat("x", 40_000) + "\n\n"
 	events := []string{": comment\n\n", "data: a\r\n\r\n", "event: e\ndata: b\ndata: c\n\n", long, "data: [DONE]\n\n"}
 	all := strings.Join(events, "")
-	raw := chunked(all[:5], all[5:12], all[12:13], all[13:20_000], all[20_000:]) + endOfRaw
-	s, err := newClient(c).Open(context.Background(), request(answerWith(c, raw), true, 1))
+	raw := chunked(all[:5], all[5:12], all[12:13], all[13:20_000], all[20_000:]) + lastChunk
+	s, err := newClient(c).Open(context.Background(), request(serveRaw(c, raw), true, 1))
 	c.Assert(err, qt.IsNil)
 	defer s.Close()
 	for i, want := range events {
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -11,8 +11,8 @@
 // PrefixBlockBytes is the size of one block of a prompt for prefix hashes.
 const PrefixBlockBytes = 256
 
-// promptBody is the part of a request that makes up its prompt. The salt
-// separates the cache entries of different organisations.
+// promptBody holds the fields of a request that make up its prompt. The salt separates
+// the cache entries of different organisations.
 type promptBody struct {
 	CacheSalt string `json:"cache_salt"`
 	Messages  []struct {
@@ -21,8 +21,8 @@
 	} `json:"messages"`
 }
 
-// PromptText returns the prompt of a request body as the bytes that prefix
-// hashes are computed over.
+// PromptText returns the prompt of a request body in the form over which prefix hashes
+// are computed.
 func PromptText(body []byte) ([]byte, error) {
 	var p promptBody
 	if err := json.Unmarshal(body, &p); err != nil {
@@ -53,9 +53,9 @@
 	return append(text, compact.Bytes()...)
 }
 
-// PromptPrefixes returns the hashes of the leading whole blocks of a prompt, at
-// most limit of them: the hash at index i covers blocks 0 to i. Engines use the
-// same hashes in their cache events.
+// PromptPrefixes returns the prefix hashes of a prompt, at most limit of them: the hash
+// at index i covers the blocks 0 to i. An incomplete last block is ignored. Engines use
+// the same hashes in their cache events.
 func PromptPrefixes(text []byte, limit int) []uint64 {
 	count := min(len(text)/PrefixBlockBytes, limit)
 	hashes := make([]uint64, 0, max(count, 0))
--- a/engine/reports.go
+++ b/engine/reports.go
@@ -13,9 +13,11 @@
 	"github.com/bronzeturn/bronzeturn/attempt"
 )
 
-// CacheEvent tells that a prompt prefix entered or left an engine's cache.
+// CacheEvent reports that a prompt prefix was stored in or evicted from an engine's
+// cache.
 type CacheEvent struct {
-	// Sequence rises by one per event at the engine. Missing numbers are gaps.
+	// Sequence is incremented with every event of the engine. A missing number means
+	// that an event was lost.
 	Sequence uint64 `json:"sequence"`
 	// Prefix is a hash as computed by PromptPrefixes.
 	Prefix uint64 `json:"prefix"`
@@ -24,7 +26,7 @@
 }
 
 // LoadReport is an engine's report of its load at the time AsOf, which may be a few
-// seconds ago.
+// seconds in the past.
 type LoadReport struct {
 	QueuedTokens    int64    `json:"queued_tokens"`
 	QueuedRequests  int      `json:"queued_requests"`
@@ -32,14 +34,14 @@
 	FreeSlots       int      `json:"free_slots"`
 	Versions        []string `json:"versions"`
 	Role            string   `json:"role"`
-	// CacheEvents are in the order of their sequence, possibly with gaps.
+	// CacheEvents are sorted by sequence, possibly with gaps.
 	CacheEvents []CacheEvent `json:"cache_events"`
-	// Sequence is the number of the newest event published so far.
+	// Sequence is that of the newest event published so far.
 	Sequence uint64    `json:"sequence"`
 	AsOf     time.Time `json:"as_of"`
 }
 
-// Op is what an order asks for.
+// Op is the operation that an order asks for.
 type Op string
 
 // The operations of an order.
@@ -49,25 +51,25 @@
 	OpSetRole Op = "set_role"
 )
 
-// Order asks an engine to change what it serves. An order with an ID that the
-// engine has met has no further effect.
+// Order asks an engine to change the versions or the role that it serves. An order with
+// an ID that the engine has seen before has no effect.
 type Order struct {
 	ID string `json:"id"`
 	Op Op     `json:"op"`
 	// Version is the version to load or unload.
 	Version string `json:"version,omitempty"`
-	// Role is the role to take, for set_role.
+	// Role is the new role, for set_role.
 	Role string `json:"role,omitempty"`
-	// Fencing is the number of the lease of the sender.
+	// Fencing is the fencing number of the sender's lease.
 	Fencing uint64 `json:"fencing"`
 }
 
-// State is what an engine serves, as its answer to an order says.
+// State is the state of an engine after an order, as the engine reports it.
 type State struct {
 	Versions []string `json:"versions"`
 	Loading  []string `json:"loading"`
 	Role     string   `json:"role"`
-	// Fencing is the highest fencing number met, zero where it is not checked.
+	// Fencing is the highest fencing number seen, zero if the engine does not check it.
 	Fencing uint64 `json:"fencing"`
 }
 
@@ -78,63 +80,63 @@
 }
 
 const (
-	// reportTimeout bounds the time without progress in one call of Reports.
-	reportTimeout = 2 * time.Second
-	// totalFactor bounds one call as a whole, in units of the progress timeout.
-	totalFactor = 2
+	// controlTimeout bounds the time without progress in a call of ControlClient.
+	controlTimeout = 2 * time.Second
+	// totalTimeoutFactor bounds a call as a whole, in units of controlTimeout.
+	totalTimeoutFactor = 2
 )
 
-// NewControlClient returns Reports over transport. A call ends after 2 s without
-// progress, and after 4 s in any case.
+// NewControlClient returns a ControlClient that uses the transport. A call ends after
+// 2 s without progress, and after 4 s in any case.
 func NewControlClient(transport http.RoundTripper) *ControlClient {
-	return &ControlClient{transport: transport, timeout: reportTimeout}
+	return &ControlClient{transport: transport, timeout: controlTimeout}
 }
 
-// Load returns the report of the engine with all cache events it still keeps.
+// Load returns the report of the engine with all cache events that it has retained.
 // The error is an *Error.
-func (r *ControlClient) Load(ctx context.Context, address string) (LoadReport, error) {
-	return r.LoadSince(ctx, address, 0)
+func (c *ControlClient) Load(ctx context.Context, address string) (LoadReport, error) {
+	return c.LoadSince(ctx, address, 0)
 }
 
-// LoadSince returns the report of the engine with the cache events whose
-// sequence is above after. The error is an *Error.
-func (r *ControlClient) LoadSince(ctx context.Context, address string, after uint64) (LoadReport, error) {
+// LoadSince returns the report of the engine with the cache events whose sequence is
+// higher than after. The error is an *Error.
+func (c *ControlClient) LoadSince(ctx context.Context, address string, after uint64) (LoadReport, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
 	var load LoadReport
-	err := r.call(ctx, http.MethodGet, "http://"+address+PathLoad+"?"+query.Encode(), nil, &load)
+	err := c.call(ctx, http.MethodGet, "http://"+address+PathLoad+"?"+query.Encode(), nil, &load)
 	return load, err
 }
 
-// Order sends an order and returns the engine's state after it. The error is
-// an *Error, of kind Fenced when the engine has met a higher fencing number.
-func (r *ControlClient) Order(ctx context.Context, address string, o Order) (State, error) {
+// Order sends an order and returns the engine's state after it. The error is an *Error,
+// of kind KindFenced if the engine has seen a higher fencing number.
+func (c *ControlClient) Order(ctx context.Context, address string, o Order) (State, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return State{}, fmt.Errorf("encode order: %w", err)
 	}
 	var state State
-	err = r.call(ctx, http.MethodPost, "http://"+address+PathOrders, body, &state)
+	err = c.call(ctx, http.MethodPost, "http://"+address+PathOrders, body, &state)
 	return state, err
 }
 
-// call makes one call and decodes its JSON answer into into.
-func (r *ControlClient) call(ctx context.Context, method, target string, body []byte, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, totalFactor*r.timeout)
+// call sends a request and decodes the JSON answer into into.
+func (c *ControlClient) call(ctx context.Context, method, target string, body []byte, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, totalTimeoutFactor*c.timeout)
 	defer cancel()
-	x, err := attempt.Send(ctx, r.transport, attempt.Request{
+	x, err := attempt.Send(ctx, c.transport, attempt.Request{
 		Method: method, URL: target, Body: body,
 		Header:          http.Header{"Content-Type": {"application/json"}},
-		ProgressTimeout: r.timeout,
+		ProgressTimeout: c.timeout,
 	})
 	if err != nil {
-		return fromAttempt(err)
+		return errorFromAttempt(err)
 	}
 	defer x.Close()
 	if x.Status != http.StatusOK {
-		return fromStatus(x)
+		return errorFromStatus(x)
 	}
 	s := newStream(x, false)
-	event, err := s.whole()
+	event, err := s.readBody()
 	if err != nil {
 		return err
 	}
--- a/engine/reports_test.go
+++ b/engine/reports_test.go
@@ -45,7 +45,7 @@
 	c.Assert(load.Versions, qt.DeepEquals, []string{"a"})
 }
 
-func TestEngineWithoutFencingTakesOldOrders(t *testing.T) {
+func TestEngineWithoutFencingAcceptsOldOrders(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	address := serve(c, standin.NewEngine(standin.EngineConfig{Versions: []string{"a"}}))
@@ -111,7 +111,7 @@
 
 func TestUnreadableReportIsBroken(t *testing.T) {
 	c := qt.New(t)
-	address := answerWith(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
+	address := serveRaw(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
 	_, err := newReports(c).Load(context.Background(), address)
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -10,40 +10,40 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// Event is a part of an answer. Data is valid until the next call of Next.
+// Event is a part of an answer. Data is valid until the next call of Stream.Next.
 type Event struct {
-	// Data holds the bytes of one server-sent event with its blank line, or
-	// the whole body of an answer that is not streamed.
+	// Data holds the bytes of a server-sent event including its blank line, or the
+	// entire body of an answer that is not streamed.
 	Data []byte
 	// Last marks the end of a complete answer.
 	Last bool
 }
 
-// Usage is what an engine says it spent on a request, in tokens.
+// Usage is the number of tokens that an engine reports for a request.
 type Usage struct {
 	PromptTokens     int64
 	CompletionTokens int64
-	// CachedTokens is the part of PromptTokens found in the prefix cache.
+	// CachedTokens is the number of PromptTokens that were found in the prefix cache.
 	CachedTokens int64
 }
 
 const (
 	streamBuffer = 16 << 10
-	// maxEventBytes bounds one server-sent event.
+	// maxEventBytes bounds a server-sent event.
 	maxEventBytes = 1 << 20
 	// maxBodyBytes bounds an answer that is not streamed.
 	maxBodyBytes = 64 << 20
 )
 
 var (
-	errNoEnd        = errors.New("answer ended without its end mark")
-	errTooLong      = errors.New("answer exceeds its bound")
+	errNoEnd        = errors.New("answer ended without a [DONE] event")
+	errTooLong      = errors.New("answer exceeds its size limit")
 	errNotJSON      = errors.New("answer is not a complete JSON value")
 	errInStream     = errors.New("engine reported an error inside the answer")
-	errAlreadyEnded = errors.New("answer was read to its end")
+	errAlreadyEnded = errors.New("read after the end of the answer")
 )
 
-// Stream is the answer to one request. It is used by one goroutine at a time.
+// Stream is the answer to a request. It is not safe for concurrent use.
 type Stream struct {
 	x        *attempt.Exchange
 	events   bool
@@ -65,18 +65,18 @@
 	return s
 }
 
-// Usage returns the usage once it was seen in the answer.
+// Usage returns the usage, and whether the answer has reported it so far.
 func (s *Stream) Usage() (Usage, bool) { return s.usage, s.hasUsage }
 
-// Buffered tells whether Next would return an event without waiting for the
-// engine. Writers use it to send several events at once.
+// Buffered reports whether Next would return an event without waiting for the engine.
+// Callers that forward events use it to write several at once.
 func (s *Stream) Buffered() bool {
 	at, _ := endOfEvent(s.buf[s.start:s.end])
 	return at >= 0
 }
 
-// Close ends the request. Unless the answer is complete, the engine is told by
-// the closed connection to stop its work.
+// Close ends the request. Unless the answer is complete, this closes the connection,
+// upon which the engine stops its work.
 func (s *Stream) Close() error {
 	if s.last && s.events {
 		s.x.Drain()
@@ -84,8 +84,8 @@
 	return s.x.Close()
 }
 
-// Next returns the next part of the answer, or an *Error. An answer is
-// complete only when an Event with Last was returned.
+// Next returns the next part of the answer, or an *Error. The answer is complete only
+// once an Event with Last was returned.
 func (s *Stream) Next() (Event, error) {
 	if s.failed != nil {
 		return Event{}, s.failed
@@ -94,11 +94,11 @@
 		return Event{}, s.fail(KindBroken, errAlreadyEnded)
 	}
 	if !s.events {
-		return s.whole()
+		return s.readBody()
 	}
 	for {
-		if data := s.cut(); data != nil {
-			return s.event(data)
+		if data := s.takeEvent(); data != nil {
+			return s.classify(data)
 		}
 		if err := s.fill(); err != nil {
 			return Event{}, err
@@ -106,17 +106,18 @@
 	}
 }
 
-// fail records and returns a failure of an answer that has begun.
+// fail records and returns the failure of an answer that has begun.
 func (s *Stream) fail(kind ErrorKind, cause error) error {
 	s.failed = &Error{Kind: kind, Ran: failure.RanYes, Status: s.x.Status, cause: cause}
 	return s.failed
 }
 
+// failRead records and returns the failure for an error of a read.
 func (s *Stream) failRead(err error) error {
 	if errors.Is(err, io.EOF) {
 		return s.fail(KindBroken, errNoEnd)
 	}
-	e := fromAttempt(err)
+	e := errorFromAttempt(err)
 	e.Status = s.x.Status
 	s.failed = e
 	return e
@@ -127,8 +128,9 @@
 	blankLineCRLF = []byte("\r\n\r\n")
 )
 
-// cut takes one complete event from the buffer, or returns nil.
-func (s *Stream) cut() []byte {
+// takeEvent removes a complete event from the buffer and returns it, or nil if there is
+// none.
+func (s *Stream) takeEvent() []byte {
 	from := max(s.start, s.scanned-len(blankLineCRLF)+1)
 	pending := s.buf[from:s.end]
 	at, size := endOfEvent(pending)
@@ -142,9 +144,9 @@
 	return data
 }
 
-// endOfEvent returns where the first blank line begins and its length, or -1.
-// The bytes behind a first "\n\n" are not searched again; the two kinds of blank
-// line may overlap.
+// endOfEvent returns the position and the length of the first blank line, or the position
+// -1 if there is none. A "\r\n\r\n" is searched only up to a few bytes after the first
+// "\n\n", as the two kinds of blank line can overlap.
 func endOfEvent(pending []byte) (at, size int) {
 	at, size = bytes.Index(pending, blankLine), len(blankLine)
 	before := pending
@@ -157,7 +159,7 @@
 	return at, size
 }
 
-// fill reads more bytes behind the buffered ones.
+// fill reads more bytes into the buffer.
 func (s *Stream) fill() error {
 	s.makeRoom()
 	if s.end-s.start >= maxEventBytes {
@@ -174,8 +176,8 @@
 	return nil
 }
 
-// makeRoom moves the unread bytes to the front and grows the buffer when an
-// event does not fit.
+// makeRoom moves the unread bytes to the front of the buffer, and doubles the buffer if it
+// is full.
 func (s *Stream) makeRoom() {
 	if s.start > 0 {
 		copy(s.buf, s.buf[s.start:s.end])
@@ -189,37 +191,37 @@
 }
 
 var (
-	doneMark  = []byte("data: [DONE]")
-	usageMark = []byte(`"usage":`)
-	usageNull = []byte("null")
-	errorMark = []byte(`data: {"error"`)
-	dataMark  = []byte("data:")
+	donePrefix  = []byte("data: [DONE]")
+	usageField  = []byte(`"usage":`)
+	jsonNull    = []byte("null")
+	errorPrefix = []byte(`data: {"error"`)
+	dataPrefix  = []byte("data:")
 )
 
-// event classifies one event by its first bytes; only an event that holds
-// usage is decoded.
-func (s *Stream) event(data []byte) (Event, error) {
+// classify returns the event for data according to its first bytes. Only events with a
+// usage field are decoded.
+func (s *Stream) classify(data []byte) (Event, error) {
 	switch {
-	case bytes.HasPrefix(data, doneMark):
+	case bytes.HasPrefix(data, donePrefix):
 		s.last = true
 		return Event{Data: data, Last: true}, nil
-	case bytes.HasPrefix(data, errorMark):
+	case bytes.HasPrefix(data, errorPrefix):
 		return Event{}, s.fail(KindFailed, errInStream)
-	case holdsUsage(data):
-		s.readUsage(bytes.TrimPrefix(data, dataMark))
+	case containsUsage(data):
+		s.readUsage(bytes.TrimPrefix(data, dataPrefix))
 	}
 	return Event{Data: data}, nil
 }
 
-// holdsUsage tells whether an event has a usage field other than null. Text of
-// the answer cannot look like one, as its quotes are escaped.
-func holdsUsage(data []byte) bool {
-	at := bytes.Index(data, usageMark)
+// containsUsage reports whether an event has a usage field other than null. Text in the
+// answer cannot be mistaken for one, as its quotes are escaped.
+func containsUsage(data []byte) bool {
+	at := bytes.Index(data, usageField)
 	if at < 0 {
 		return false
 	}
-	value := bytes.TrimLeft(data[at+len(usageMark):], " ")
-	return !bytes.HasPrefix(value, usageNull)
+	value := bytes.TrimLeft(data[at+len(usageField):], " ")
+	return !bytes.HasPrefix(value, jsonNull)
 }
 
 // wireUsage is the usage object of language model APIs.
@@ -233,7 +235,7 @@
 	} `json:"usage"`
 }
 
-// readUsage keeps the usage of a JSON value if it holds a plausible one.
+// readUsage records the usage in a JSON value, if there is one without negative numbers.
 func (s *Stream) readUsage(body []byte) {
 	var w wireUsage
 	if err := json.Unmarshal(body, &w); err != nil || w.Usage == nil {
@@ -250,9 +252,9 @@
 	s.usage, s.hasUsage = u, true
 }
 
-// whole reads an answer that is not streamed.
-func (s *Stream) whole() (Event, error) {
-	body, err := readSome(s.x, maxBodyBytes+1)
+// readBody reads an answer that is not streamed.
+func (s *Stream) readBody() (Event, error) {
+	body, err := readLimited(s.x, maxBodyBytes+1)
 	if err != nil {
 		return Event{}, s.failRead(err)
 	}
@@ -267,8 +269,8 @@
 	return Event{Data: body, Last: true}, nil
 }
 
-// readSome reads the body up to its end or limit bytes.
-func readSome(r io.Reader, limit int64) ([]byte, error) {
+// readLimited reads up to limit bytes.
+func readLimited(r io.Reader, limit int64) ([]byte, error) {
 	return io.ReadAll(io.LimitReader(r, limit))
 }
 
--- a/engine/stream_bench_test.go
+++ b/engine/stream_bench_test.go
@@ -17,7 +17,8 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// cannedTransport answers every request with the same body, if slow byte by byte.
+// cannedTransport answers every request with the same body. If slow is set, each read
+// returns one byte.
 type cannedTransport struct {
 	body []byte
 	slow bool
@@ -32,16 +33,16 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(body)}, nil
 }
 
-// canned answers with so many tokens and the end mark.
-func canned(tokens int) cannedTransport {
+// cannedAnswer returns a transport whose answer has so many token events and [DONE].
+func cannedAnswer(tokens int) cannedTransport {
 	return cannedTransport{body: []byte(strings.Repeat(token, tokens) + "data: [DONE]\n\n")}
 }
 
-// token is one event as engines send it.
+// token is an event with one token as engines send it.
 const token = `data: {"id":"cmpl-1","object":"chat.completion.chunk","created":0,"model":"diag@1",` +
 	`"choices":[{"index":0,"delta":{"content":"word "},"finish_reason":null}]}` + "\n\n"
 
-// readAll reads a stream to its end without looking into its events.
+// readAll sends a request, reads the stream to its end, and counts events and bytes.
 func readAll(client *engine.Client, r engine.Request) (events, size int, err error) {
 	s, err := client.Open(context.Background(), r)
 	if err != nil {
@@ -61,8 +62,8 @@
 	}
 }
 
-// maxStreamAllocs bounds the allocations of one request, however long its
-// answer is.
+// maxStreamAllocs bounds the allocations of a request, independent of the length of its
+// answer.
 const maxStreamAllocs = 60
 
 func TestStreamDoesNotAllocatePerToken(t *testing.T) {
@@ -70,7 +71,7 @@
 	r := request("127.0.0.1:1", true, 1)
 	r.ProgressTimeout = time.Minute
 	allocs := func(tokens int) float64 {
-		client := engine.New(canned(tokens))
+		client := engine.New(cannedAnswer(tokens))
 		return testing.AllocsPerRun(20, func() {
 			if events, _, err := readAll(client, r); err != nil || events != tokens+1 {
 				panic(errors.Join(err, errors.New("stream was not read whole")))
@@ -83,10 +84,10 @@
 	c.Assert(long <= maxStreamAllocs, qt.IsTrue, qt.Commentf("%v", long))
 }
 
-// BenchmarkStreamDecode measures the adapter alone.
+// BenchmarkStreamDecode measures the client without a network.
 func BenchmarkStreamDecode(b *testing.B) {
 	const tokens = 1000
-	client := engine.New(canned(tokens))
+	client := engine.New(cannedAnswer(tokens))
 	r := request("127.0.0.1:1", true, 1)
 	r.ProgressTimeout = time.Minute
 	b.ReportAllocs()
@@ -98,8 +99,8 @@
 	b.ReportMetric(float64(b.N)*tokens/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// BenchmarkStreamOverLoopback measures a stand-in as fast as it can be and the
-// adapter behind it, both in this process.
+// BenchmarkStreamOverLoopback measures the client with a stand-in engine that sends as
+// fast as it can, both in this process.
 func BenchmarkStreamOverLoopback(b *testing.B) {
 	const tokens = 1000
 	c := qt.New(b)
@@ -119,8 +120,8 @@
 	b.ReportMetric(float64(b.N)*tokens/b.Elapsed().Seconds(), "tokens/s")
 }
 
-// BenchmarkPacedStreams measures 1,000 streams of 50 tokens a second each from
-// one stand-in.
+// BenchmarkPacedStreams measures 1,000 concurrent streams of 50 tokens a second each from
+// one stand-in engine.
 func BenchmarkPacedStreams(b *testing.B) {
 	const streams, tokens = 1000, 100
 	c := qt.New(b)
