--- a/inventory/apply_test.go
+++ b/inventory/apply_test.go
@@ -59,9 +59,9 @@
 	return all
 }
 
-// TestForgottenEngineStaysRemovedUntilItsEntryChanges guards against changes of other
-// engines restoring one whose address is used by another engine.
-func TestForgottenEngineStaysRemovedUntilItsEntryChanges(t *testing.T) {
+// TestExcludedEngineStaysRemovedUntilItsRegistrationChanges guards against changes of other
+// engines restoring an engine whose address is used by another one.
+func TestExcludedEngineStaysRemovedUntilItsRegistrationChanges(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	s.Apply(Change{Registered: []Engine{engine("a"), engine("b")}}, start)
--- a/inventory/edit.go
+++ b/inventory/edit.go
@@ -27,7 +27,7 @@
 	e.changes[key] = engine
 }
 
-// result returns the changed list of engines and whether it differs from the view's.
+// result returns the edited list of engines and whether it differs from the view's.
 func (e *viewEdit) result() ([]*Engine, bool) {
 	engines := e.view.Engines
 	changed := slices.Sorted(maps.Keys(e.changes))
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,6 +1,5 @@
-// Package inventory keeps the engines that register themselves in the store and
-// vanish from it. It is a list of what may get new work, nothing else: load and
-// health live in package balance.
+// Package inventory maintains the list of engines that may get new requests, from their
+// registrations in the store. Load and health are tracked by package balance.
 package inventory
 
 import (
@@ -12,40 +11,40 @@
 	"time"
 )
 
-// Engine is one start of an engine. A restart is another Engine, even under the same
-// id and at the same address: it holds and knows nothing of before.
+// Engine is one run of an engine process. After a restart it is a different Engine, even
+// with the same id and address, as it has lost its state.
 type Engine struct {
-	// ID is the instance, by which the engine knows itself. Key tells its starts apart.
+	// ID identifies the instance and stays the same across restarts, unlike Key.
 	ID string
-	// Started is when it started, by its own clock; zero when it does not tell.
+	// Started is the start time by the clock of the engine, zero if it does not report one.
 	Started time.Time
 	Service string
-	// Address is the IP and port that takes requests.
+	// Address is the IP address and port for requests.
 	Address    string
 	DataCentre string
-	// Version is that of the engine's software or weights.
+	// Version is the version of the engine's software or weights.
 	Version string
 	Slots   int
-	// Draining engines finish what they have and get nothing new.
+	// Draining is set if the engine finishes its current requests and gets no new ones.
 	Draining bool
 
-	// key is what Key returns, worked out once for the engines of a Set: with thousands
-	// of them it took most of the time of a change.
+	// key caches the result of Key for the engines of a Set. With thousands of engines,
+	// computing the keys took most of the time of a change.
 	key string
 }
 
-// Registration is what an engine says of itself.
+// Registration is an engine's report about itself.
 type Registration struct {
 	Engine Engine
-	// ColdFor is how much longer the engine is cold, as of when it said so.
+	// ColdFor is the time for which the engine remains cold, as of the registration.
 	ColdFor time.Duration
 }
 
-// keySeparator stands between id and start in a key. Ids of engines do not have it.
+// keySeparator separates the id and the start time in a key. Ids do not contain it.
 const keySeparator = "@"
 
-// Key names this start of the engine. Whatever is remembered of an engine is
-// remembered by its key, so that another start under the same id begins anew.
+// Key identifies this run of the engine. State about engines is kept by key, so that none
+// of it applies to the engine after a restart.
 func (e Engine) Key() string {
 	if e.key != "" {
 		return e.key
@@ -56,12 +55,12 @@
 	return e.ID + keySeparator + strconv.FormatInt(e.Started.UnixMilli(), 10)
 }
 
-// View is an immutable list of the engines that may get new work.
+// View is an immutable list of the engines that may get new requests.
 type View struct {
 	// Engines are sorted by key. Successive views share unmodified engines, which must not
 	// be modified.
 	Engines []*Engine
-	// Generation rises with every change.
+	// Generation is incremented with every change.
 	Generation uint64
 }
 
@@ -79,8 +78,9 @@
 	return slices.BinarySearchFunc(engines, key, func(e *Engine, key string) int { return cmp.Compare(e.key, key) })
 }
 
-// lapse is an engine whose entry vanished with an outage.
-type lapse struct {
+// lapsedEngine is an engine whose registration was lost in an outage of the store. The engine
+// stays in use until the time in until.
+type lapsedEngine struct {
 	engine *Engine
 	until  time.Time
 }
@@ -102,9 +102,9 @@
 	mu sync.Mutex
 	// listed and lapsed are keyed by id.
 	listed map[string]*Engine
-	lapsed map[string]lapse
-	// forgotten are the keys of listed engines that Forget has removed from the view.
-	forgotten map[string]struct{}
+	lapsed map[string]lapsedEngine
+	// excluded are the keys of listed engines that Exclude has removed from the view.
+	excluded map[string]struct{}
 	// interned are the names of services, data centres and versions, shared by all engines.
 	interned map[string]string
 	grace    time.Duration
@@ -112,13 +112,14 @@
 	changed  func(old, now *View)
 }
 
-// New returns an empty set that calls changed after every change, one call at a
-// time. The grace is how long an engine whose entry vanished with an outage of
-// the store is still used: most that live have registered again by then, and one
-// that has really left must get no work much longer.
+// New returns an empty set that calls changed after every change, one call at a time.
+// grace is the period for which an engine stays in use after its registration was lost
+// in an outage of the store. It should be long enough for most running engines to
+// register again, and short, as engines that have really stopped still get requests in
+// it.
 func New(grace time.Duration, changed func(old, now *View)) *Set {
 	return &Set{
-		listed: make(map[string]*Engine), lapsed: make(map[string]lapse), forgotten: make(map[string]struct{}),
+		listed: make(map[string]*Engine), lapsed: make(map[string]lapsedEngine), excluded: make(map[string]struct{}),
 		interned: make(map[string]string), grace: grace, view: &View{}, changed: changed,
 	}
 }
@@ -151,19 +152,19 @@
 	e.Service, e.DataCentre, e.Version = s.intern(e.Service), s.intern(e.DataCentre), s.intern(e.Version)
 	previous := s.listed[e.ID]
 	if l, lapsed := s.lapsed[e.ID]; lapsed {
-		// It is registered again, or has restarted and counts as another engine.
+		// The engine has registered again, or has restarted and is a different Engine.
 		delete(s.lapsed, e.ID)
 		edit.remove(l.engine)
 	}
 	if previous != nil && *previous == e {
-		if _, forgotten := s.forgotten[e.key]; !forgotten && !e.Draining {
+		if _, excluded := s.excluded[e.key]; !excluded && !e.Draining {
 			edit.put(previous)
 		}
 		return
 	}
 	if previous != nil {
 		edit.remove(previous)
-		delete(s.forgotten, previous.key)
+		delete(s.excluded, previous.key)
 	}
 	s.listed[e.ID] = &e
 	if !e.Draining {
@@ -187,25 +188,25 @@
 // maxInterned bounds the number of interned strings.
 const maxInterned = 1024
 
-// remove removes a registration. After an outage, an engine that takes work stays in use
+// remove removes a registration. After an outage, an engine that was in use stays in use
 // for the grace period. The caller holds mu.
 func (s *Set) remove(id string, outage bool, now time.Time, edit *viewEdit) {
 	e := s.listed[id]
 	if e == nil {
 		return
 	}
-	_, forgotten := s.forgotten[e.key]
+	_, excluded := s.excluded[e.key]
 	delete(s.listed, id)
-	delete(s.forgotten, e.key)
-	if outage && !e.Draining && !forgotten {
-		s.lapsed[id] = lapse{engine: e, until: now.Add(s.grace)}
+	delete(s.excluded, e.key)
+	if outage && !e.Draining && !excluded {
+		s.lapsed[id] = lapsedEngine{engine: e, until: now.Add(s.grace)}
 		return
 	}
 	edit.remove(e)
 }
 
-// Expire drops the engines that are still missing after the grace. It returns
-// when to call again, or zero.
+// Expire removes the engines that have not registered again within the grace period. It
+// returns the time for the next call, or zero if none is needed.
 func (s *Set) Expire(now time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,8 +225,8 @@
 	return next
 }
 
-// Exclude drops the engine with the key at once, because another one answered at its
-// address. Its entry is ignored until it changes.
+// Exclude removes the engine with the key from the view at once, because another engine
+// answered at its address. Its registration is ignored until it changes.
 func (s *Set) Exclude(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,7 +236,7 @@
 	}
 	e := s.view.Engines[pos]
 	if s.listed[e.ID] == e {
-		s.forgotten[key] = struct{}{}
+		s.excluded[key] = struct{}{}
 	}
 	delete(s.lapsed, e.ID)
 	edit := newViewEdit(s.view)
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -17,10 +17,10 @@
 	return e
 }
 
-// lapseGrace is that of the sets under test.
-const lapseGrace = 1200 * time.Millisecond
+// gracePeriod is the grace period of the sets under test.
+const gracePeriod = 1200 * time.Millisecond
 
-func newSet() *Set { return New(lapseGrace, func(_, _ *View) {}) }
+func newSet() *Set { return New(gracePeriod, func(_, _ *View) {}) }
 
 // replace applies a complete list of registrations.
 func replace(s *Set, engines []Engine, outage bool, now time.Time) {
@@ -45,7 +45,7 @@
 	return all
 }
 
-func TestDrainingAndGoneEnginesGetNoWork(t *testing.T) {
+func TestDrainingAndRemovedEnginesLeaveTheView(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	replace(s, []Engine{engine("b"), engine("a"), engine("c")}, false, start)
@@ -56,7 +56,7 @@
 	c.Check(known, qt.IsFalse)
 }
 
-func TestEntriesThatLapsedInAnOutageHaveTimeToComeBack(t *testing.T) {
+func TestEnginesLostInOutageStayForGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	replace(s, []Engine{engine("a"), engine("b"), engine("c")}, false, start)
@@ -65,11 +65,11 @@
 	replace(s, []Engine{engine("a"), engine("b")}, false, start.Add(time.Second))
 	c.Check(s.Expire(start.Add(time.Second)).IsZero(), qt.IsFalse)
 	c.Check(ids(s), qt.DeepEquals, []string{"a", "b", "c"})
-	c.Check(s.Expire(start.Add(lapseGrace)).IsZero(), qt.IsTrue)
+	c.Check(s.Expire(start.Add(gracePeriod)).IsZero(), qt.IsTrue)
 	c.Check(ids(s), qt.DeepEquals, []string{"a", "b"})
 }
 
-func TestDrainingEngineDoesNotReturnWithAnOutage(t *testing.T) {
+func TestDrainingEngineGetsNoGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	replace(s, []Engine{engine("a"), draining("b")}, false, start)
@@ -81,10 +81,10 @@
 	c.Check(ids(s), qt.DeepEquals, []string{"a"})
 }
 
-func TestForgottenEngineIsGoneAtOnce(t *testing.T) {
+func TestExcludedEngineIsRemovedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	changes := 0
-	s := New(lapseGrace, func(_, _ *View) { changes++ })
+	s := New(gracePeriod, func(_, _ *View) { changes++ })
 	replace(s, []Engine{engine("a"), engine("b")}, false, start)
 	s.Exclude("a")
 	s.Exclude("a")
@@ -92,28 +92,28 @@
 	c.Check(changes, qt.Equals, 2)
 }
 
-// TestEnginesThatLapseLaterDoNotKeepEarlierOnes has engines vanish one after the
-// other just after an outage: each is dropped after its own grace.
-func TestEnginesThatLapseLaterDoNotKeepEarlierOnes(t *testing.T) {
+// TestGracePeriodIsPerEngine has the registrations of two engines disappear one after the
+// other after an outage. Each engine is removed at the end of its own grace period.
+func TestGracePeriodIsPerEngine(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	replace(s, []Engine{engine("a"), engine("b"), engine("c")}, false, start)
 	replace(s, []Engine{engine("b"), engine("c")}, true, start)
-	replace(s, []Engine{engine("c")}, true, start.Add(lapseGrace/2))
-	s.Expire(start.Add(lapseGrace))
+	replace(s, []Engine{engine("c")}, true, start.Add(gracePeriod/2))
+	s.Expire(start.Add(gracePeriod))
 	c.Check(ids(s), qt.DeepEquals, []string{"b", "c"})
-	s.Expire(start.Add(lapseGrace * 3 / 2))
+	s.Expire(start.Add(gracePeriod * 3 / 2))
 	c.Check(ids(s), qt.DeepEquals, []string{"c"})
 }
 
-// started is a start of an engine.
+// started returns an engine with a start time.
 func started(id string, at time.Time) Engine {
 	e := engine(id)
 	e.Started = at
 	return e
 }
 
-func TestAnotherStartUnderTheSameIDIsAnotherEngine(t *testing.T) {
+func TestRestartWithSameIDIsDifferentEngine(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	before, after := started("a", start), started("a", start.Add(time.Millisecond))
@@ -126,7 +126,7 @@
 	c.Check(now.ID, qt.Equals, "a")
 }
 
-func TestEngineThatStartedAnewInAnOutageIsNotItsOldSelf(t *testing.T) {
+func TestRestartDuringOutageReplacesEngine(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	before, after := started("a", start), started("a", start.Add(time.Second))
@@ -138,7 +138,7 @@
 	c.Check(s.View().Engines[0].Key(), qt.Equals, after.Key())
 }
 
-func TestForgettingOneStartKeepsTheNext(t *testing.T) {
+func TestExcludeKeepsEngineStartedLater(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	before, after := started("a", start), started("a", start.Add(time.Second))
--- a/inventory/key_test.go
+++ b/inventory/key_test.go
@@ -6,9 +6,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestKeysOfAViewAreThoseOfItsEngines compares the keys that a set has worked out with
-// those of engines that it has not seen.
-func TestKeysOfAViewAreThoseOfItsEngines(t *testing.T) {
+// TestViewKeysMatchEngineKeys checks that the keys that a set caches are those that Key
+// computes for engines outside a set, and that registering either form of an engine again
+// changes nothing.
+func TestViewKeysMatchEngineKeys(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	given := []Engine{engine("a"), started("b", start)}
