--- a/config/examples_test.go
+++ b/config/examples_test.go
@@ -86,7 +86,7 @@
 // quality target of the kind and is served in at least two data centres.
 func reachable(s *Snapshot, kind *bronzeturnv1.TaskKind) bool {
 	for _, version := range s.Register().GetVersions() {
-		if _, withdrawn := s.Withdrawn(version.GetName()); withdrawn {
+		if _, withdrawn := s.Withdrawal(version.GetName()); withdrawn {
 			continue
 		}
 		centres := make(map[string]bool)
--- a/config/lookup.go
+++ b/config/lookup.go
@@ -27,9 +27,9 @@
 // unknown or has none. The slice is shared and must not be modified.
 func (s *Snapshot) VersionsOf(model string) []string { return s.byModel[model] }
 
-// Allowed reports whether the register lets the organisation use the version.
+// VersionAllowed reports whether the register lets the organisation use the version.
 // Withdrawals are not considered.
-func (s *Snapshot) Allowed(organisation, version string) bool {
+func (s *Snapshot) VersionAllowed(organisation, version string) bool {
 	a, ok := s.access[organisation]
 	return ok && a.allowed.has(version)
 }
@@ -45,8 +45,8 @@
 	return a.versions
 }
 
-// Withdrawn returns the withdrawal of the version, if there is one.
-func (s *Snapshot) Withdrawn(version string) (*bronzeturnv1.Withdrawal, bool) {
+// Withdrawal returns the withdrawal of the version, if there is one.
+func (s *Snapshot) Withdrawal(version string) (*bronzeturnv1.Withdrawal, bool) {
 	w, ok := s.withdrawals[version]
 	return w, ok
 }
--- a/config/publish.go
+++ b/config/publish.go
@@ -23,7 +23,7 @@
 }
 
 // publish writes the head and determines the outcome of the write.
-func (p *Publisher) publish(ctx context.Context, cur Stored, head *bronzeturnv1.Head, fresh []Part) (Result, error) {
+func (p *Publisher) publish(ctx context.Context, cur StoredConfig, head *bronzeturnv1.Head, fresh []Part) (Result, error) {
 	value, err := EncodeHead(head)
 	if err != nil {
 		return Result{}, err
--- a/config/publisher.go
+++ b/config/publisher.go
@@ -52,8 +52,8 @@
 	return &Publisher{store: retryingStore{store: o.Store, random: o.Random}, source: o.Parts}
 }
 
-// Stored is a configuration as read from the store.
-type Stored struct {
+// StoredConfig is a configuration as read from the store.
+type StoredConfig struct {
 	// Head is nil when there is no configuration yet.
 	Head     *bronzeturnv1.Head
 	Revision uint64
@@ -115,32 +115,32 @@
 }
 
 // Read returns the configuration in force from the store.
-func (p *Publisher) Read(ctx context.Context) (Stored, error) {
+func (p *Publisher) Read(ctx context.Context) (StoredConfig, error) {
 	obj, err := p.store.get(ctx, HeadKey)
 	if err != nil {
-		return Stored{}, fmt.Errorf("read head: %w", err)
+		return StoredConfig{}, fmt.Errorf("read head: %w", err)
 	}
 	if obj.Revision == 0 {
-		return Stored{}, nil
+		return StoredConfig{}, nil
 	}
 	head, err := DecodeHead(obj.Value)
 	if err != nil {
-		return Stored{}, err
+		return StoredConfig{}, err
 	}
 	values, err := p.values(ctx, head)
 	if err != nil {
-		return Stored{}, err
+		return StoredConfig{}, err
 	}
 	parts, err := PartsOf(head, values)
 	if err != nil {
-		return Stored{}, err
+		return StoredConfig{}, err
 	}
 	reg, rules, err := AssembleParts(parts)
 	if err != nil {
-		return Stored{}, err
+		return StoredConfig{}, err
 	}
 	p.known = values
-	return Stored{Head: head, Revision: obj.Revision, Parts: parts, Register: reg, Rules: rules}, nil
+	return StoredConfig{Head: head, Revision: obj.Revision, Parts: parts, Register: reg, Rules: rules}, nil
 }
 
 // values returns the stored bytes of the head's parts: from the last read, then from
--- a/config/publisher_test.go
+++ b/config/publisher_test.go
@@ -52,10 +52,10 @@
 		c.Assert(stored.Head.GetAppliedBy(), qt.Equals, "bea")
 		s, err := NewSnapshot(2, stored.Register, stored.Rules)
 		c.Assert(err, qt.IsNil)
-		got, ok := s.Withdrawn("nota@2")
+		got, ok := s.Withdrawal("nota@2")
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(got.GetReason(), qt.Equals, "wrong totals")
-		_, ok = s.Withdrawn("hoja@1")
+		_, ok = s.Withdrawal("hoja@1")
 		c.Assert(ok, qt.IsTrue)
 
 		again, err := p.Apply(t.Context(), Change{Withdraw: w})
--- a/config/snapshot_test.go
+++ b/config/snapshot_test.go
@@ -20,10 +20,10 @@
 func TestSnapshotSeparatesOrganisations(t *testing.T) {
 	c := qt.New(t)
 	s := exampleSnapshot(t, "campina-verde")
-	c.Assert(s.Allowed("rider-app", "dock-quick@2"), qt.IsTrue)
-	c.Assert(s.Allowed("rider-app", "diag-small@4"), qt.IsTrue)
-	c.Assert(s.Allowed("rider-app", "diag-small@5"), qt.IsFalse)
-	c.Assert(s.Allowed("nobody", "diag-small@4"), qt.IsFalse)
+	c.Assert(s.VersionAllowed("rider-app", "dock-quick@2"), qt.IsTrue)
+	c.Assert(s.VersionAllowed("rider-app", "diag-small@4"), qt.IsTrue)
+	c.Assert(s.VersionAllowed("rider-app", "diag-small@5"), qt.IsFalse)
+	c.Assert(s.VersionAllowed("nobody", "diag-small@4"), qt.IsFalse)
 	c.Assert(s.AllowedVersions("rider-app"), qt.DeepEquals, []string{"diag-small@4", "dock-quick@1", "dock-quick@2"})
 	c.Assert(s.AllowedVersions("nobody"), qt.HasLen, 0)
 	c.Assert(s.ServiceAllowed("rider-app", "lock-status"), qt.IsTrue)
@@ -61,10 +61,10 @@
 	c.Assert(kind.GetName(), qt.Equals, DefaultKind)
 	_, ok = s.Kind("unheard")
 	c.Assert(ok, qt.IsFalse)
-	w, ok := s.Withdrawn("dock-quick@1")
+	w, ok := s.Withdrawal("dock-quick@1")
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(w.GetReason(), qt.Not(qt.Equals), "")
-	_, ok = s.Withdrawn("dock-quick@2")
+	_, ok = s.Withdrawal("dock-quick@2")
 	c.Assert(ok, qt.IsFalse)
 	r, ok := s.Rollout("diag-small@5")
 	c.Assert(ok, qt.IsTrue)
@@ -106,7 +106,7 @@
 	s := exampleSnapshot(t, "campina-verde")
 	n := testing.AllocsPerRun(100, func() {
 		_, ok := s.Authenticate("key-rider-app")
-		if !ok || !s.Allowed("rider-app", "diag-small@4") || len(s.AllowedVersions("rider-app")) != 3 {
+		if !ok || !s.VersionAllowed("rider-app", "diag-small@4") || len(s.AllowedVersions("rider-app")) != 3 {
 			t.Fatal("lookup failed")
 		}
 	})
--- a/demo/report.go
+++ b/demo/report.go
@@ -169,7 +169,7 @@
 	var best *bronzeturnv1.Version
 	for _, name := range r.snapshot.AllowedVersions(organisation) {
 		version, _ := r.snapshot.Version(name)
-		_, withdrawn := r.snapshot.Withdrawn(name)
+		_, withdrawn := r.snapshot.Withdrawal(name)
 		_, rolledOut := r.snapshot.Rollout(name)
 		if withdrawn || rolledOut {
 			continue
--- a/dispatch.go
+++ b/dispatch.go
@@ -24,7 +24,7 @@
 	if f := g.fresh(time.Now()); f != nil {
 		return f
 	}
-	if _, withdrawn := g.tables().Snapshot.Withdrawn(version); withdrawn {
+	if _, withdrawn := g.tables().Snapshot.Withdrawal(version); withdrawn {
 		return failure.New(failure.CodeVersionWithdrawn, failure.RanNo, "version %s is withdrawn", version)
 	}
 	return nil
--- a/orders.go
+++ b/orders.go
@@ -49,7 +49,7 @@
 		return orders.Desired{}, false
 	}
 	withdrawn := func(version string) bool {
-		_, is := tables.Snapshot.Withdrawn(version)
+		_, is := tables.Snapshot.Withdrawal(version)
 		return is
 	}
 	return orders.FromRegister(tables.Snapshot.Generation(), tables.Snapshot.PoolEngines(pool), withdrawn, longestDeadline(tables)), true
--- a/quarantine.go
+++ b/quarantine.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 	for _, v := range tables.Snapshot.Register().GetVersions() {
-		if _, withdrawn := tables.Snapshot.Withdrawn(v.GetName()); !withdrawn {
+		if _, withdrawn := tables.Snapshot.Withdrawal(v.GetName()); !withdrawn {
 			versions = append(versions, v.GetName())
 		}
 	}
--- a/router/chat.go
+++ b/router/chat.go
@@ -146,10 +146,10 @@
 // checkUsable returns a failure unless an organisation may send new work to a
 // version.
 func checkUsable(s *config.Snapshot, organisation, version string) *failure.Error {
-	if !s.Allowed(organisation, version) {
+	if !s.VersionAllowed(organisation, version) {
 		return failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "the organisation may not use this version")
 	}
-	if _, withdrawn := s.Withdrawn(version); withdrawn {
+	if _, withdrawn := s.Withdrawal(version); withdrawn {
 		return failure.New(failure.CodeVersionWithdrawn, failure.RanNo, "version %s is withdrawn", version)
 	}
 	return nil
