--- a/config/path.go
+++ b/config/path.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// fieldPath is the position of a field. It is put into words only when a problem is
-// found, so that checking a good configuration allocates little.
+// fieldPath is the position of a field. It is formatted only when a problem is found,
+// so that checking a valid configuration allocates little.
 type fieldPath struct {
 	section string
-	// index of the entry in the section, none if the section itself is meant.
+	// index is that of the entry in the section, none for the section itself.
 	index int
 	field string
-	// item is the index in the field, none if the field itself is meant.
+	// item is the index in a list field, none for the field itself.
 	item     int
 	subfield string
 }
@@ -20,13 +20,13 @@
 // none marks an absent index.
 const none = -1
 
-// entry returns the path of an entry of a section.
-func entry(section string, i int) fieldPath { return fieldPath{section: section, index: i, item: none} }
+// entryPath returns the path of an entry of the section with the name.
+func entryPath(name string, i int) fieldPath { return fieldPath{section: name, index: i, item: none} }
 
-// whole returns the path of a section.
-func whole(section string) fieldPath { return fieldPath{section: section, index: none, item: none} }
+// sectionPath returns the path of the section with the name.
+func sectionPath(name string) fieldPath { return fieldPath{section: name, index: none, item: none} }
 
-// at returns the path of a field of the entry.
+// at returns the path of a field of the entry, or of the list item.
 func (p fieldPath) at(field string) fieldPath {
 	if p.item != none {
 		p.subfield = field
@@ -36,7 +36,7 @@
 	return p
 }
 
-// nth returns the path of an item of the field.
+// nth returns the path of an item of a list field.
 func (p fieldPath) nth(i int) fieldPath {
 	p.item = i
 	return p
--- a/engine/reports_test.go
+++ b/engine/reports_test.go
@@ -14,10 +14,10 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-func newReports(c *qt.C) *engine.Reports {
+func newReports(c *qt.C) *engine.ControlClient {
 	t := &http.Transport{}
 	c.Cleanup(t.CloseIdleConnections)
-	return engine.NewReports(t)
+	return engine.NewControlClient(t)
 }
 
 func TestOrdersAreIdempotentAndFenced(t *testing.T) {
@@ -38,14 +38,14 @@
 	_, err = r.Order(ctx, address, engine.Order{ID: "3", Op: engine.OpUnload, Version: "a", Fencing: 4})
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Fenced)
+	c.Assert(failed.Kind, qt.Equals, engine.KindFenced)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 	load, err := r.Load(ctx, address)
 	c.Assert(err, qt.IsNil)
 	c.Assert(load.Versions, qt.DeepEquals, []string{"a"})
 }
 
-func TestEngineWithoutFencingTakesOldOrders(t *testing.T) {
+func TestEngineWithoutFencingAcceptsOldOrders(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
 	address := serve(c, standin.NewEngine(standin.EngineConfig{Versions: []string{"a"}}))
@@ -111,9 +111,9 @@
 
 func TestUnreadableReportIsBroken(t *testing.T) {
 	c := qt.New(t)
-	address := answerWith(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
+	address := serveRaw(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
 	_, err := newReports(c).Load(context.Background(), address)
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
-	c.Assert(failed.Kind, qt.Equals, engine.Broken)
+	c.Assert(failed.Kind, qt.Equals, engine.KindBroken)
 }
--- a/inventory/apply_test.go
+++ b/inventory/apply_test.go
@@ -59,13 +59,13 @@
 	return all
 }
 
-// TestForgottenEngineStaysRemovedUntilItsEntryChanges guards against changes of other
-// engines restoring one whose address is used by another engine.
-func TestForgottenEngineStaysRemovedUntilItsEntryChanges(t *testing.T) {
+// TestExcludedEngineStaysRemovedUntilItsRegistrationChanges guards against changes of other
+// engines restoring an engine whose address is used by another one.
+func TestExcludedEngineStaysRemovedUntilItsRegistrationChanges(t *testing.T) {
 	c := qt.New(t)
 	s := newSet()
 	s.Apply(Change{Registered: []Engine{engine("a"), engine("b")}}, start)
-	s.Forget("a")
+	s.Exclude("a")
 	s.Apply(Change{Registered: []Engine{engine("c")}}, start)
 	c.Check(ids(s), qt.DeepEquals, []string{"b", "c"})
 	s.Apply(Change{Registered: []Engine{started("a", start)}}, start)
--- a/orders.go
+++ b/orders.go
@@ -49,7 +49,7 @@
 		return orders.DesiredState{}, false
 	}
 	withdrawn := func(version string) bool {
-		_, is := tables.Snapshot.Withdrawn(version)
+		_, is := tables.Snapshot.Withdrawal(version)
 		return is
 	}
 	return orders.DesiredFromRegister(tables.Snapshot.Generation(), tables.Snapshot.PoolEngines(pool), withdrawn, longestDeadline(tables)), true
--- a/orders/decide.go
+++ b/orders/decide.go
@@ -39,7 +39,7 @@
 
 // engineState is the last observed state of one engine and its open changes.
 type engineState struct {
-	load engine.Load
+	load engine.LoadReport
 	// fresh is true when load was read in this round.
 	fresh bool
 	// pending holds the changes already ordered, with the time after which they
@@ -59,7 +59,7 @@
 
 // update stores a load report, removes pending changes that it shows as applied
 // or that have timed out, and tracks the versions that are not desired.
-func (o *engineState) update(load engine.Load, target Target, now time.Time) {
+func (o *engineState) update(load engine.LoadReport, target Target, now time.Time) {
 	o.load = load
 	o.fresh = true
 	for c, until := range o.pending {
@@ -80,7 +80,7 @@
 }
 
 // appliedIn reports whether the load report shows the change as applied.
-func (c change) appliedIn(load engine.Load) bool {
+func (c change) appliedIn(load engine.LoadReport) bool {
 	switch c.op {
 	case engine.OpLoad:
 		return slices.Contains(load.Versions, c.version)
@@ -138,7 +138,7 @@
 
 // differences returns the changes needed to get from the reported state to the
 // target.
-func differences(target Target, load engine.Load) []change {
+func differences(target Target, load engine.LoadReport) []change {
 	var changes []change
 	for _, version := range target.Versions {
 		if !slices.Contains(load.Versions, version) {
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -70,12 +70,12 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
 
-func (f *fakeEngines) Load(ctx context.Context, address string) (engine.Load, error) {
+func (f *fakeEngines) Load(ctx context.Context, address string) (engine.LoadReport, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
 	e := f.engines[address]
-	return engine.Load{Versions: slices.Clone(e.versions), Role: e.role, RunningRequests: e.running}, ctx.Err()
+	return engine.LoadReport{Versions: slices.Clone(e.versions), Role: e.role, RunningRequests: e.running}, ctx.Err()
 }
 
 // readings returns the number of Load calls to all engines.
@@ -93,7 +93,7 @@
 	defer f.mu.Unlock()
 	e := f.engines[address]
 	if e.checks && o.Fencing < e.fencing {
-		return engine.State{}, &engine.Error{Kind: engine.Fenced, Ran: failure.RanNo}
+		return engine.State{}, &engine.Error{Kind: engine.KindFenced, Ran: failure.RanNo}
 	}
 	e.fencing = max(e.fencing, o.Fencing)
 	e.fences = append(e.fences, o.Fencing)
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -189,7 +189,7 @@
 func (p *pool) readEngines(ctx context.Context, d DesiredState) {
 	ctx, cancel := context.WithTimeout(ctx, p.runner.options.ReadTimeout)
 	defer cancel()
-	loads := make([]*engine.Load, len(d.Engines))
+	loads := make([]*engine.LoadReport, len(d.Engines))
 	var wait sync.WaitGroup
 	free := make(chan struct{}, maxConcurrentReads)
 	for i := range d.Engines {
@@ -210,7 +210,7 @@
 // recordLoads stores the load reports of one round and drops the state of
 // engines that have left the pool. An entry of loads is nil when the engine did
 // not answer.
-func (p *pool) recordLoads(d DesiredState, loads []*engine.Load) {
+func (p *pool) recordLoads(d DesiredState, loads []*engine.LoadReport) {
 	now := time.Now()
 	old := p.engines
 	p.engines = make(map[string]*engineState, len(d.Engines))
@@ -264,7 +264,7 @@
 	switch {
 	case err == nil:
 		p.logOutcome(dec, order, "taken", nil)
-	case errors.As(err, &refused) && refused.Kind == engine.Fenced:
+	case errors.As(err, &refused) && refused.Kind == engine.KindFenced:
 		p.logOutcome(dec, order, "fenced", err)
 		return
 	case errors.As(err, &refused) && refused.Ran == "no":
--- a/provider/install.go
+++ b/provider/install.go
@@ -126,7 +126,7 @@
 
 // installOrRefuse validates the complete configuration and puts it in force, or refuses it.
 func (p *Provider) installOrRefuse(c *candidate, values map[config.Digest][]byte) {
-	snapshot, err := config.Build(c.head, values)
+	snapshot, err := config.BuildSnapshot(c.head, values)
 	if err != nil {
 		p.mu.Lock()
 		p.state.refuse(c, err, time.Now())
