--- a/collect.go
+++ b/collect.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// collectInterval is the time between two collections of parts of old
-	// configurations.
+	// collectInterval is the time between two collections of the parts that only
+	// old configurations use.
 	collectInterval = 10 * time.Minute
 	// collectTimeout bounds one collection.
 	collectTimeout = 2 * time.Minute
-	// collectKeep is how many older generations keep their parts, for daemons
-	// that lag behind.
-	collectKeep = 100
-	// collectKey is the key whose preferred owner collects. Two that collect at
-	// once do no harm.
+	// keptGenerations is the number of older generations whose parts are kept,
+	// for daemons that lag behind.
+	keptGenerations = 100
+	// collectKey is the key whose preferred owner collects. Two daemons that
+	// collect at once do no harm.
 	collectKey = "config/collect"
 )
 
-// collectParts deletes the parts of old configurations from time to time, on
-// one daemon of the fleet.
+// collectParts periodically deletes the parts of old configurations. Only the
+// preferred owner of collectKey does so.
 func (d *Daemon) collectParts(ctx context.Context) error {
 	log := logging.Part(d.log, "config")
 	random := d.rand(randCollect)
@@ -33,13 +33,13 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, collectTimeout)
-		deleted, err := config.Collect(callCtx, d.platform.store, random, collectKeep)
+		deleted, err := config.Collect(callCtx, d.platform.store, random, keptGenerations)
 		cancel()
 		if err != nil {
-			log.Warn().Err(err).Int("deleted", deleted).Msg("old parts not all deleted")
+			log.Warn().Err(err).Int("deleted", deleted).Msg("deleting parts of old configurations failed")
 			continue
 		}
-		log.Info().Int("deleted", deleted).Msg("old parts deleted")
+		log.Info().Int("deleted", deleted).Msg("parts of old configurations deleted")
 	}
 	return nil
 }
--- a/compiler.go
+++ b/compiler.go
@@ -15,8 +15,8 @@
 	"github.com/bronzeturn/bronzeturn/subset"
 )
 
-// compiler turns the configuration and the list of live daemons into the tables
-// of the decisions, and swaps them in whole.
+// compiler compiles the configuration and the list of live daemons into the
+// router's tables and publishes each new set of tables atomically.
 type compiler struct {
 	name       string
 	subsetSize int
@@ -42,8 +42,8 @@
 	}
 }
 
-// setSnapshot puts a configuration in force, unless it already is. It returns
-// when the tables are published.
+// setSnapshot puts a configuration in force, unless it or a newer one already
+// is. It returns once the tables are published.
 func (c *compiler) setSnapshot(s *config.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,8 @@
 	c.log.Info().Uint64("generation", s.Generation()).Int("engines", len(c.visible)).Msg("configuration in force")
 }
 
-// setView follows the live daemons, over which engines and limits are divided.
+// setView applies a new membership view. Engines and limits are divided among
+// the live daemons.
 func (c *compiler) setView(v *membership.View) {
 	live := liveNames(v)
 	c.mu.Lock()
@@ -66,18 +67,19 @@
 	c.live = live
 	if c.snapshot != nil {
 		c.compile()
-		c.log.Info().Int("daemons", len(live)).Int("engines", len(c.visible)).Msg("engines divided anew")
+		c.log.Info().Int("daemons", len(live)).Int("engines", len(c.visible)).Msg("engines reassigned among the live daemons")
 	}
 }
 
-// visibleEngines are those that this daemon uses.
+// visibleEngines returns the engines that this daemon uses.
 func (c *compiler) visibleEngines() []*bronzeturnv1.Engine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.visible
 }
 
-// sharers is how many daemons send work to the same engines as this one.
+// sharers estimates the number of daemons that send work to an engine of this
+// daemon, itself included.
 func (c *compiler) sharers() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +93,7 @@
 	return max(len(c.live)*len(c.visible)/engines, 1)
 }
 
-// compile builds and publishes the tables. The caller holds the lock.
+// compile builds and publishes the tables. The caller holds mu.
 func (c *compiler) compile() {
 	register, rules := c.snapshot.Register(), c.snapshot.Rules()
 	selected := c.selector.Choose(c.name, c.live, register.GetEngines(), c.subsetSize)
@@ -113,9 +115,9 @@
 	c.publish(tables)
 }
 
-// setCapacities bounds the requests in progress of each version by the slots
-// of the visible engines that serve it. The engines' own queues order what
-// several daemons send at once.
+// setCapacities limits the requests in progress of each version to the slots
+// of the visible engines that serve it. Requests that several daemons send to
+// an engine at once wait in the engine's own queue.
 func (c *compiler) setCapacities(register *bronzeturnv1.Register) {
 	slots := make(map[string]int)
 	for _, e := range c.visible {
@@ -128,8 +130,9 @@
 	}
 }
 
-// dropBreakers forgets the breakers of service instances that are gone, since
-// hosts are replaced all the time.
+// dropBreakers removes the circuit breakers of service instances that are no
+// longer in the register. Without it they would pile up, as hosts are replaced
+// all the time.
 func (c *compiler) dropBreakers(register *bronzeturnv1.Register) {
 	listed := make(map[string]struct{})
 	for _, s := range register.GetServices() {
@@ -143,7 +146,7 @@
 	})
 }
 
-// liveNames are the daemons among which work is divided.
+// liveNames returns the names of the live daemons, among which work is divided.
 func liveNames(v *membership.View) []string {
 	var names []string
 	for _, m := range v.Members {
--- a/configuration.go
+++ b/configuration.go
@@ -18,20 +18,21 @@
 	"github.com/bronzeturn/bronzeturn/provider"
 )
 
-// newsInterval is the time between two exchanges of news between the provider
-// and the heartbeats.
-const newsInterval = 250 * time.Millisecond
-
-// Parts of the configuration spread from the watchers over a few trees, which
-// order the live daemons differently. So the connections of a daemon do not
-// grow with the fleet, and a part passes few daemons on its way.
+// confirmationInterval is the time between two exchanges of the configuration's
+// confirmation age between the provider and the heartbeats.
+const confirmationInterval = 250 * time.Millisecond
+
+// Parts of the configuration spread from the watchers along several trees, each
+// of which orders the live daemons differently. This bounds the connections of
+// a daemon independently of the fleet's size, and a part reaches every daemon
+// in a few hops.
 const (
 	partTrees = 3
-	// partChildren is how many daemons ask the same one in one tree.
+	// partChildren is the number of children of a daemon in one tree.
 	partChildren = 8
 )
 
-// newProvider builds the part that keeps the configuration in force.
+// newProvider returns the provider, which keeps the configuration up to date.
 func newProvider(d *Daemon, f *fleet) (*provider.Provider, error) {
 	return provider.New(provider.Options{
 		Store:      d.platform.store,
@@ -45,8 +46,8 @@
 	})
 }
 
-// headTable adapts the flooded table to the provider. A head that is refused
-// there would reach nobody, so it is logged as an error.
+// headTable adapts the flooded table to the provider. A head that the table
+// refuses reaches no other daemon, so it is logged as an error.
 type headTable struct {
 	sharedTable
 	log zerolog.Logger
@@ -59,7 +60,7 @@
 	}
 }
 
-// configurationPeers are the daemons that may be asked for the configuration.
+// configurationPeers selects the daemons to fetch the configuration from.
 type configurationPeers struct {
 	members   *membership.Membership
 	directory *peer.Directory
@@ -77,9 +78,10 @@
 	Top(key string, n int) []string
 }
 
-// partSourcesOf returns the daemons that a daemon asks for parts: its parent in
-// each tree, and others when these are fewer than the trees. Daemons whose views
-// differ ask other ones for a while, which does no harm.
+// partSourcesOf returns the daemons that a daemon fetches parts from: its parent
+// in each tree and, if these are fewer than partTrees, further daemons. Daemons
+// whose membership views differ use different trees for a while, which does no
+// harm.
 func partSourcesOf(self string, watchers []string, live int, order preference) []string {
 	var sources []string
 	add := func(name string) {
@@ -100,8 +102,9 @@
 	return sources
 }
 
-// parentOf returns the parent in the tree of an order of the daemons. The
-// watchers are its roots.
+// parentOf returns the parent of self in the tree that the order of the daemons
+// defines, with the watchers as its roots. It reports false for a watcher, for a
+// daemon that is not in the order, and if there are no watchers.
 func parentOf(self string, watchers, order []string) (parent string, ok bool) {
 	isWatcher := func(name string) bool { return slices.Contains(watchers, name) }
 	var tree, others []string
@@ -124,7 +127,7 @@
 	return p.directory.Dial(name)
 }
 
-// watcher tells whether this daemon watches the store, and when that changes.
+// watcher reports whether this daemon watches the store, and signals changes.
 type watcher struct {
 	members *membership.Membership
 
@@ -165,10 +168,11 @@
 	return w.changed
 }
 
-// exchangeNews carries the age of the configuration's news between the
-// provider and the heartbeats, which relay it from daemon to daemon.
-func (f *fleet) exchangeNews(ctx context.Context) error {
-	for backoff.Sleep(ctx, newsInterval) == nil {
+// exchangeConfirmations passes the time since the configuration was confirmed as
+// the newest between the provider and the heartbeats, which relay it from daemon
+// to daemon.
+func (f *fleet) exchangeConfirmations(ctx context.Context) error {
+	for backoff.Sleep(ctx, confirmationInterval) == nil {
 		status := f.provider.Status()
 		f.members.SetNews(status.Generation, status.StoreConfirmed)
 		if age, ok := f.members.News(); ok && status.Generation > 0 {
--- a/configuration_test.go
+++ b/configuration_test.go
@@ -11,15 +11,16 @@
 	"github.com/bronzeturn/bronzeturn/rendezvous"
 )
 
-// Bounds of the exchange of parts in a fleet of the target size.
+// Bounds on the distribution of parts in a fleet of the target size.
 const (
 	targetDaemons  = 410
 	targetWatchers = 4
-	// maxAskers bounds how many daemons ask the same one: the children in each
-	// tree, and a few that have one parent in two trees.
-	maxAskers = partTrees*partChildren + 4
-	// maxPasses bounds the daemons that hand a part on until all have it.
-	maxPasses = 3
+	// maxClients bounds the daemons that fetch from the same one: its children in
+	// each tree, and a few that replace a source because two of their trees have
+	// the same parent.
+	maxClients = partTrees*partChildren + 4
+	// maxHops bounds the hops of a part until all daemons have it.
+	maxHops = 3
 )
 
 func TestPartsReachTheFleetOverFewConnections(t *testing.T) {
@@ -29,25 +30,25 @@
 		names = append(names, fmt.Sprintf("entry-%03d", i))
 	}
 	live, watchers := rendezvous.NewSet(names), names[:targetWatchers]
-	asked := make(map[string]int)
+	clients := make(map[string]int)
 	sources := make(map[string][]string)
 	for _, name := range names {
 		sources[name] = partSourcesOf(name, watchers, len(names), live)
 		c.Assert(sources[name], qt.HasLen, partTrees)
 		for _, source := range sources[name] {
 			c.Assert(source, qt.Not(qt.Equals), name)
-			asked[source]++
+			clients[source]++
 		}
 	}
-	for name, n := range asked {
-		c.Check(n <= maxAskers, qt.IsTrue, qt.Commentf("%s is asked by %d", name, n))
+	for name, n := range clients {
+		c.Check(n <= maxClients, qt.IsTrue, qt.Commentf("%d daemons fetch from %s", n, name))
 	}
-	c.Assert(passes(names, watchers, sources) <= maxPasses, qt.IsTrue)
+	c.Assert(countHops(names, watchers, sources) <= maxHops, qt.IsTrue)
 }
 
-// passes returns how often a part is handed on until all have it, one more than
-// there are names when it does not reach all.
-func passes(names, watchers []string, sources map[string][]string) int {
+// countHops returns the number of hops until all daemons have a part, or one more
+// than there are names if it does not reach all.
+func countHops(names, watchers []string, sources map[string][]string) int {
 	has := make(map[string]bool)
 	for _, name := range watchers {
 		has[name] = true
@@ -77,8 +78,8 @@
 	}{
 		{"watcher", "b", []string{"a", "b", "c"}, three, 2},
 		{"no watcher known", "b", nil, three, 2},
-		{"one that the others do not know yet", "new", []string{"a"}, three, 3},
-		{"alone", "a", []string{"a"}, rendezvous.NewSet([]string{"a"}), 0},
+		{"daemon that the others do not know yet", "new", []string{"a"}, three, 3},
+		{"only daemon", "a", []string{"a"}, rendezvous.NewSet([]string{"a"}), 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			sources := partSourcesOf(tt.self, tt.watchers, tt.live.Len(), tt.live)
--- a/daemon.go
+++ b/daemon.go
@@ -1,5 +1,6 @@
-// Package bronzeturn is the daemon: it joins the outside systems, the fleet of
-// daemons, the decisions and the router. A main needs a few lines:
+// Package bronzeturn implements the daemon. It connects the clients of the
+// external systems, the fleet of daemons, the routing decisions and the router.
+// A main function needs a few lines:
 //
 //	d, err := bronzeturn.New(settings, bronzeturn.Options{})
 //	if err != nil { ... }
@@ -24,7 +25,7 @@
 	"github.com/bronzeturn/bronzeturn/security"
 )
 
-// Daemon is one entry host's part of the system. All daemons are equal.
+// Daemon is the process that runs on an entry host. All daemons are equal.
 type Daemon struct {
 	settings *bronzeturnv1.Settings
 	options  Options
@@ -47,9 +48,9 @@
 	leaving atomic.Bool
 }
 
-// New provisions a daemon: it checks the settings' files, opens all listeners
-// and builds all parts. On an error nothing is left open. Nothing is served
-// before Run.
+// New returns a daemon: it opens all listeners, loads the certificates that the
+// settings name and builds all components. On an error nothing is left open.
+// Nothing is served before Run.
 func New(settings *bronzeturnv1.Settings, options Options) (*Daemon, error) {
 	d := &Daemon{settings: settings, options: options.withDefaults()}
 	d.log = logging.New(settings, d.options.LogWriter)
@@ -64,7 +65,7 @@
 	return d, nil
 }
 
-// provision builds the parts in the order of their dependencies.
+// provision builds the components in the order of their dependencies.
 func (d *Daemon) provision() error {
 	var err error
 	if d.tls, err = loadCredentials(d); err != nil {
@@ -88,26 +89,27 @@
 	return nil
 }
 
-// CallerAddress is the address that callers connect to.
+// CallerAddress returns the address that callers connect to.
 func (d *Daemon) CallerAddress() string { return d.listeners.callerAddress }
 
-// PeerAddress is the address that other daemons connect to.
+// PeerAddress returns the address that other daemons connect to.
 func (d *Daemon) PeerAddress() string { return d.listeners.peerAddress }
 
-// OperatorAddress is the address that operators connect to.
+// OperatorAddress returns the address that operators connect to.
 func (d *Daemon) OperatorAddress() string { return d.listeners.operator.Addr().String() }
 
-// AdminAddress is the address of metrics and health.
+// AdminAddress returns the address that serves metrics and health checks.
 func (d *Daemon) AdminAddress() string { return d.listeners.admin.Addr().String() }
 
-// Ready tells whether the daemon takes requests.
+// Ready reports whether the daemon accepts requests.
 func (d *Daemon) Ready() bool { return readiness{d}.Ready() == nil }
 
-// LiveDaemons returns how many live daemons this one knows, itself included.
+// LiveDaemons returns the number of live daemons that this one knows, itself
+// included.
 func (d *Daemon) LiveDaemons() int { return d.fleet.members.View().Live() }
 
-// Generation returns the generation of the configuration in force, zero before
-// the first one.
+// Generation returns the generation of the configuration in force, or zero
+// before the first one.
 func (d *Daemon) Generation() uint64 {
 	tables := d.tables.Load()
 	if tables == nil {
@@ -116,9 +118,10 @@
 	return tables.Snapshot.Generation()
 }
 
-// Run serves until ctx ends, then stops gracefully: the daemon leaves the
-// address answers, refuses new work with the addresses to use, finishes every
-// request in progress, flushes its records and returns. It may be called once.
+// Run serves until ctx ends and then shuts down gracefully: the daemon announces
+// that it leaves, so that callers are no longer given its address, refuses new
+// requests and names other addresses, waits up to the stop timeout for the
+// requests in progress, flushes its records and returns. It may be called once.
 func (d *Daemon) Run(ctx context.Context) error {
 	for _, warning := range security.Warnings(d.settings) {
 		d.log.Warn().Msg(warning)
@@ -133,7 +136,7 @@
 	return d.stop()
 }
 
-// start begins the loops of all parts under the tomb.
+// start starts the loops of all components under the tomb.
 func (d *Daemon) start() {
 	d.fleet.start(d)
 	d.decisions.start(d)
@@ -145,17 +148,17 @@
 	}
 }
 
-// goLoop runs a loop under the tomb. Its context ends with the daemon.
+// goLoop runs a loop under the tomb. The loop's context ends with the daemon.
 func (d *Daemon) goLoop(name string, f func(ctx context.Context) error) {
 	process.Go(&d.tomb, name, f)
 }
 
-// rand returns a random source for one part.
-func (d *Daemon) rand(part uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(d.options.Seed, part))
+// rand returns the random source of one component.
+func (d *Daemon) rand(stream uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(d.options.Seed, stream))
 }
 
-// Parts of the daemon that have a random source of their own.
+// Streams of the random sources, one for each component that needs one.
 const (
 	randMembership uint64 = iota + 1
 	randLedger
@@ -169,13 +172,13 @@
 	randQuarantine
 )
 
-// Bounds of a stop.
+// Times of a shutdown.
 const (
-	// announceTime lets the news of leaving reach the other daemons before new
-	// work is refused.
-	announceTime = 500 * time.Millisecond
-	flushTimeout = 30 * time.Second
-	closeTimeout = 5 * time.Second
+	// leaveAnnounceTime is how long the daemon still accepts requests after it
+	// has announced that it leaves, so that the other daemons learn of it first.
+	leaveAnnounceTime = 500 * time.Millisecond
+	flushTimeout      = 30 * time.Second
+	closeTimeout      = 5 * time.Second
 )
 
 // stop carries out the graceful shutdown.
@@ -183,7 +186,7 @@
 	d.leaving.Store(true)
 	d.log.Info().Int("in_progress", d.router.InProgress()).Msg("daemon leaves")
 	d.fleet.members.Leave()
-	time.Sleep(announceTime)
+	time.Sleep(leaveAnnounceTime)
 	d.router.StopAdmitting()
 	d.drain()
 	d.learning.stop()
@@ -196,20 +199,20 @@
 	return err
 }
 
-// drain waits for the requests in progress.
+// drain waits for the requests in progress, up to the stop timeout.
 func (d *Daemon) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.GetStopTimeout().AsDuration())
 	defer cancel()
 	if err := d.router.Drain(ctx); err != nil {
-		d.log.Error().Err(err).Int("in_progress", d.router.InProgress()).Msg("requests cut at stop timeout")
+		d.log.Error().Err(err).Int("in_progress", d.router.InProgress()).Msg("stop timeout reached with requests in progress")
 	}
 }
 
-// flush writes the records that are still in memory.
+// flush writes the ledger records that are still in memory.
 func (d *Daemon) flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := d.fleet.ledger.Flush(ctx); err != nil {
-		d.log.Error().Err(err).Msg("records not flushed")
+		d.log.Error().Err(err).Msg("ledger records could not be flushed")
 	}
 }
--- a/daemon_test.go
+++ b/daemon_test.go
@@ -18,11 +18,11 @@
 	"github.com/bronzeturn/bronzeturn/security"
 )
 
-// waitLimit bounds waits for what has to happen; it is no measure of time.
+// waitLimit bounds each wait. It is generous and asserts nothing about speed.
 const waitLimit = 30 * time.Second
 
-// startFleet starts a platform and daemons that are ready. They find each other
-// through the store alone.
+// startFleet starts a platform and daemons, and waits until these are ready. The
+// daemons have no seeds and find each other through the store.
 func startFleet(c *qt.C, example string, daemons int) (*demo.Platform, *demo.Fleet) {
 	p, err := demo.StartPlatform(example, daemons)
 	c.Assert(err, qt.IsNil)
@@ -37,7 +37,7 @@
 	return p, f
 }
 
-func TestChatIsAnsweredWholeAndStreamed(t *testing.T) {
+func TestChatIsAnsweredWithAndWithoutStreaming(t *testing.T) {
 	c := qt.New(t)
 	_, f := startFleet(c, examples.CampinaVerde, 1)
 	for _, stream := range []bool{false, true} {
@@ -57,7 +57,7 @@
 	parts := shards + len(p.Rules.GetLimits()) + len(register.GetVersions()) + len(register.GetPools())
 	holders := roleHolders(c, f)
 	for limit := time.Now().Add(waitLimit); len(holders) < parts && time.Now().Before(limit); {
-		// A daemon knows the shards once it has read the layout of the ledger.
+		// A daemon knows the shards only after it has read the ledger's layout.
 		holders = roleHolders(c, f)
 	}
 	c.Assert(holders, qt.HasLen, parts)
@@ -66,7 +66,7 @@
 	}
 }
 
-// roleHolders counts the daemons that hold each part of each role.
+// roleHolders returns the number of daemons that hold each part of each role.
 func roleHolders(c *qt.C, f *demo.Fleet) map[string]int {
 	holders := make(map[string]int)
 	for _, d := range f.Daemons {
@@ -82,6 +82,6 @@
 	return holders
 }
 
-// plaintext speaks HTTP/2 without TLS, as the operators' listener does under
-// its insecure flag.
+// plaintext is a client for HTTP/2 without TLS, which the operators' listener
+// serves when --insecure-plaintext-operators is set.
 var plaintext = &http.Client{Transport: security.NewTransport(nil, (&net.Dialer{}).DialContext)}
--- a/decisions.go
+++ b/decisions.go
@@ -18,11 +18,11 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// reviewInterval is the time between two comparisons of the engines.
+// reviewInterval is the time between two comparisons of the engines' latencies.
 const reviewInterval = time.Second
 
-// staleRetryAfter is what callers of an isolated daemon are told. The other
-// addresses can be used at once.
+// staleRetryAfter is the Retry-After time given to callers of a daemon without
+// a fresh configuration. They can use the other addresses at once.
 const staleRetryAfter = time.Second
 
 // decisions holds the state of the decision packages.
@@ -77,22 +77,23 @@
 	}
 }
 
-// start begins the loops that feed the decisions.
+// start starts the loops that supply the decisions with data.
 func (n *decisions) start(d *Daemon) {
 	d.fleet.provider.Subscribe(d.compiler.setSnapshot)
 	d.fleet.members.Subscribe(d.compiler.setView)
-	reporter := &loadReporter{
+	poller := &loadPoller{
 		reports: d.platform.reports, state: n.engines, occupancy: n.occupancy, engines: d.compiler.visibleEngines,
 		log: logging.Part(d.log, "engine"),
 	}
-	d.goLoop("load reports", reporter.run)
+	d.goLoop("load reports", poller.run)
 	d.goLoop("samples", n.sampler.run)
 	d.goLoop("admission", n.admission.Run)
 	d.goLoop("engine review", d.reviewEngines)
-	d.goLoop("room", d.keepRoom)
+	d.goLoop("room", d.updateRoom)
 }
 
-// reviewEngines compares the engines from time to time.
+// reviewEngines periodically compares the engines' latencies and logs ejections
+// and re-admissions.
 func (d *Daemon) reviewEngines(ctx context.Context) error {
 	log := logging.Part(d.log, "balance")
 	for backoff.Sleep(ctx, reviewInterval) == nil {
@@ -101,41 +102,44 @@
 			continue
 		}
 		for _, c := range d.decisions.engines.Review(tables.Engines, time.Now()) {
-			log.Info().Str("engine", c.Engine).Str("phase", c.Phase).Float64("ratio", c.Ratio).Msg("engine reviewed")
+			log.Info().Str("engine", c.Engine).Str("phase", c.Phase).Float64("ratio", c.Ratio).Msg("engine phase changed")
 		}
 	}
 	return nil
 }
 
 const (
-	// newsWait bounds how long a request waits for a daemon that stood still to
-	// learn whether its configuration is the newest. The store or the peers tell
-	// it within some round trips, unless none of them answers.
-	newsWait = 300 * time.Millisecond
-	// newsPoll is the time between two looks.
-	newsPoll = 5 * time.Millisecond
+	// freshnessWait bounds how long a request waits, after the daemon's process
+	// was paused, until the daemon knows whether its configuration is still the
+	// newest. The store or the peers tell it within a few round trips, unless
+	// none of them answers.
+	freshnessWait = 300 * time.Millisecond
+	// freshnessPollInterval is the time between two checks during that wait.
+	freshnessPollInterval = 5 * time.Millisecond
 )
 
-// fresh refuses work when this daemon hears neither the store nor most of its
-// peers, since it may be the one that missed a withdrawal.
-func (d *Daemon) fresh(now time.Time) *failure.Error {
-	_, f := d.news(now)
+// checkFresh returns an error when this daemon hears neither the store nor most
+// of its peers, since it may have missed the withdrawal of a version.
+func (d *Daemon) checkFresh(now time.Time) *failure.Error {
+	_, f := d.freshness(now)
 	return f
 }
 
-// awaitFresh is fresh for a request: one that reaches a daemon which has just
-// resumed waits until the daemon has asked for the newest configuration.
+// awaitFresh is checkFresh for requests: if the daemon's process has just resumed
+// from a pause, the request waits until the daemon has asked for the newest
+// configuration.
 func (d *Daemon) awaitFresh(now time.Time) *failure.Error {
-	reason, f := d.news(now)
-	for waited := time.Duration(0); f != nil && reason == provider.ReasonResumed && waited < newsWait; waited += newsPoll {
-		time.Sleep(newsPoll)
-		reason, f = d.news(time.Now())
+	reason, f := d.freshness(now)
+	for waited := time.Duration(0); f != nil && reason == provider.ReasonResumed && waited < freshnessWait; waited += freshnessPollInterval {
+		time.Sleep(freshnessPollInterval)
+		reason, f = d.freshness(time.Now())
 	}
 	return f
 }
 
-// news tells whether this daemon may take work, and why.
-func (d *Daemon) news(now time.Time) (provider.Reason, *failure.Error) {
+// freshness returns an error if this daemon may accept no work because its
+// configuration may be stale, and in either case the provider's reason.
+func (d *Daemon) freshness(now time.Time) (provider.Reason, *failure.Error) {
 	members := d.fleet.members
 	ok, reason := d.fleet.provider.Fresh(now, members.PeersHeard(), members.PeersKnown(), members.View().Live()-1)
 	if ok {
@@ -145,9 +149,9 @@
 	return reason, failure.New(failure.CodeConfigurationStale, failure.RanNo, "this address has no fresh configuration: %s", reason).After(staleRetryAfter)
 }
 
-// publishNewest compiles a configuration that the provider has installed and the
-// tables lack yet. Without it a daemon whose news is fresh again could still
-// decide by the tables from before.
+// publishNewest compiles the provider's configuration if the tables in use are
+// older. Otherwise a daemon whose configuration has just become fresh again
+// could still decide by outdated tables.
 func (d *Daemon) publishNewest() {
 	newest, tables := d.fleet.provider.Snapshot(), d.tables.Load()
 	if newest == nil {
@@ -158,7 +162,7 @@
 	}
 }
 
-// newRouter joins the parts for the way of a request.
+// newRouter returns the router with the components that it uses.
 func newRouter(d *Daemon) *router.Router {
 	n := d.decisions
 	return router.New(router.Options{
@@ -175,7 +179,7 @@
 		Breakers:      n.breakers,
 		Admission:     n.admission,
 		Ledger:        d.fleet.ledger,
-		Members:       routerMembers{members: d.fleet.members, dataCentre: d.settings.GetDataCentre(), longest: d.settings.GetEntriesKeep().AsDuration()},
+		Members:       routerMembers{members: d.fleet.members, dataCentre: d.settings.GetDataCentre(), maxKeep: d.settings.GetEntriesKeep().AsDuration()},
 		Sampler:       n.sampler,
 		Quarantine:    d.quarantine,
 		EngineClient:  gatedEngines{gate: d.dispatchGate(), next: d.platform.engines},
--- a/dispatch.go
+++ b/dispatch.go
@@ -10,18 +10,18 @@
 	"github.com/bronzeturn/bronzeturn/router"
 )
 
-// dispatchGate checks, at the moment of each dispatch, what may have changed
-// since the router decided: a daemon that stood still in between may hold a
-// decision from before a withdrawal.
+// dispatchGate checks, right before each dispatch, that the router's decision
+// still holds. If the process was paused after the decision, the version may
+// have been withdrawn since.
 type dispatchGate struct {
-	fresh  func(now time.Time) *failure.Error
-	tables func() *router.Tables
+	checkFresh func(now time.Time) *failure.Error
+	tables     func() *router.Tables
 }
 
-// refusal returns why nothing may be dispatched now, or nil. An empty version
-// stands for a plain service.
+// refusal returns the reason why a request to the version must not be dispatched
+// now, or nil. Calls of plain services have an empty version.
 func (g dispatchGate) refusal(version string) *failure.Error {
-	if f := g.fresh(time.Now()); f != nil {
+	if f := g.checkFresh(time.Now()); f != nil {
 		return f
 	}
 	if _, withdrawn := g.tables().Snapshot.Withdrawn(version); withdrawn {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// gatedEngines sends to engines through the gate.
+// gatedEngines sends requests to engines after the gate's check.
 type gatedEngines struct {
 	gate dispatchGate
 	next router.EngineClient
@@ -44,7 +44,7 @@
 	return g.next.Open(ctx, r)
 }
 
-// gatedServices calls plain services through the gate.
+// gatedServices calls plain services after the gate's check.
 type gatedServices struct {
 	gate dispatchGate
 	next router.ServiceClient
@@ -59,5 +59,5 @@
 }
 
 func (d *Daemon) dispatchGate() dispatchGate {
-	return dispatchGate{fresh: d.awaitFresh, tables: d.tables.Load}
+	return dispatchGate{checkFresh: d.awaitFresh, tables: d.tables.Load}
 }
--- a/edge_bench_test.go
+++ b/edge_bench_test.go
@@ -30,11 +30,11 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/httpstore"
 )
 
-// The benchmarks here start the real programs as processes. Run them with
+// These benchmarks build the programs and start them as processes. Run them with
 //
 //	go test -run XXX -bench 'AddedLatency|StreamedTokens' -benchtime 1x .
 
-// benchKey is the key of the organisation of the benchmarks.
+// benchKey is the API key of the benchmarks' organisation.
 const benchKey = "key-bench"
 
 const benchRules = `
@@ -42,16 +42,18 @@
   - {name: default, quality_target: 0.5, idempotent: true, deadline: 60s, progress_timeout: 10s, expected_completion_tokens: 32}
 `
 
-// benchSite is a platform and one daemon, each part a process.
-type benchSite struct {
+// benchSystem is a platform and one daemon, each program a process of its own. It
+// holds the addresses of the engines, the caller listener and the admin listener,
+// and the daemon's process ID.
+type benchSystem struct {
 	engines []string
 	daemon  string
 	admin   string
 	pid     int
 }
 
-// startProgram starts a program, reads its lines until accept takes one, and
-// drops the rest.
+// startProgram starts a program and reads its output until accept returns true
+// for a line. Later output is discarded. It returns the process ID.
 func startProgram(c *qt.C, environ []string, accept func(line string) bool, path string, args ...string) int {
 	cmd := exec.Command(path, args...)
 	cmd.Env = append(os.Environ(), environ...)
@@ -68,7 +70,7 @@
 	reader := bufio.NewReader(out)
 	for {
 		line, err := reader.ReadString('\n')
-		c.Assert(err, qt.IsNil, qt.Commentf("%s ended: %s", path, line))
+		c.Assert(err, qt.IsNil, qt.Commentf("%s ended before the expected line: %s", path, line))
 		if accept(line) {
 			break
 		}
@@ -77,8 +79,9 @@
 	return cmd.Process.Pid
 }
 
-// startBench builds and starts everything.
-func startBench(b *testing.B, engines int, environ []string, engineFlags ...string) *benchSite {
+// startBench builds all programs and starts the platform and the daemon. The
+// environ variables are set for the daemon only.
+func startBench(b *testing.B, engines int, environ []string, engineFlags ...string) *benchSystem {
 	c := qt.New(b)
 	folder := b.TempDir()
 	out, err := exec.Command("go", "build", "-o", folder, "./cmd/...").CombinedOutput()
@@ -90,8 +93,8 @@
 		}, filepath.Join(folder, "bronzeturn-standin"), args...)
 		return started.Address
 	}
-	store, hosts := standIn("object-api"), standIn("host-list", "--hosts", benchHosts(c, folder))
-	s := &benchSite{}
+	store, hosts := standIn("object-api"), standIn("host-list", "--hosts", writeHosts(c, folder))
+	s := &benchSystem{}
 	for range engines {
 		s.engines = append(s.engines, standIn(append([]string{"engine", "--versions", "small@1"}, engineFlags...)...))
 	}
@@ -106,13 +109,13 @@
 	s.daemon, s.admin = started.Callers, started.Admin
 	deadline := time.Now().Add(waitLimit)
 	for !s.ready() {
-		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("daemon never ready"))
+		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("daemon not ready within %s", waitLimit))
 		time.Sleep(20 * time.Millisecond)
 	}
 	return s
 }
 
-func (s *benchSite) ready() bool {
+func (s *benchSystem) ready() bool {
 	resp, err := http.Get("http://" + s.admin + "/readyz")
 	if err != nil {
 		return false
@@ -121,14 +124,15 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func benchHosts(c *qt.C, folder string) string {
+// writeHosts writes an empty host list and returns its path.
+func writeHosts(c *qt.C, folder string) string {
 	path := filepath.Join(folder, "hosts.json")
 	c.Assert(os.WriteFile(path, []byte("[]"), 0o600), qt.IsNil)
 	return path
 }
 
-// publish puts a configuration with the engines in force.
-func (s *benchSite) publish(c *qt.C, store string) {
+// publish writes a configuration with the engines to the store.
+func (s *benchSystem) publish(c *qt.C, store string) {
 	sum := sha256.Sum256([]byte(benchKey))
 	register := &bronzeturnv1.Register{
 		DataCentres: []*bronzeturnv1.DataCentre{{Name: "hall"}},
@@ -155,22 +159,24 @@
 // benchSlots is the number of slots of each engine.
 const benchSlots = 512
 
-// benchClient keeps enough idle connections for the whole load.
+// benchClient returns a client that keeps an idle connection for each concurrent
+// request.
 func benchClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096, DisableCompression: true}}
 }
 
-// timing is when parts of one answer came, since the request was due.
-type timing struct{ first, content, end time.Duration }
+// timing holds the times at which the header, the last content and the end of one
+// response were read, measured from the due time of the request.
+type timing struct{ header, content, end time.Duration }
 
 var (
-	errBenchAnswer = fmt.Errorf("not a whole answer")
-	contentMark    = []byte(`"content":"`)
-	doneMark       = []byte("data: [DONE]")
+	errIncomplete = fmt.Errorf("response has an error status or is incomplete")
+	contentMark   = []byte(`"content":"`)
+	doneMark      = []byte("data: [DONE]")
 )
 
-// benchSend sends one request and reads its answer event by event.
-func benchSend(client *http.Client, address string, stream bool, due time.Time) (timing, error) {
+// sendTimed sends one request and reads its response line by line.
+func sendTimed(client *http.Client, address string, stream bool, due time.Time) (timing, error) {
 	body := `{"model":"small@1","stream":` + strconv.FormatBool(stream) + `,"messages":[{"role":"user","content":"battery of bike 7?"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+callerapi.PathChatCompletions, strings.NewReader(body))
 	if err != nil {
@@ -182,15 +188,15 @@
 		return timing{}, err
 	}
 	defer resp.Body.Close()
-	t := timing{first: time.Since(due)}
-	whole := !stream
+	t := timing{header: time.Since(due)}
+	complete := !stream
 	reader := bufio.NewReader(resp.Body)
 	for {
 		line, err := reader.ReadSlice('\n')
 		if bytes.Contains(line, contentMark) {
 			t.content = time.Since(due)
 		}
-		whole = whole || bytes.HasPrefix(line, doneMark)
+		complete = complete || bytes.HasPrefix(line, doneMark)
 		if err == io.EOF {
 			break
 		}
@@ -199,13 +205,14 @@
 		}
 	}
 	t.end = time.Since(due)
-	if !whole || resp.StatusCode != http.StatusOK {
-		return t, errBenchAnswer
+	if !complete || resp.StatusCode != http.StatusOK {
+		return t, errIncomplete
 	}
 	return t, nil
 }
 
-// openLoop sends requests at a fixed rate, however long answers take.
+// openLoop sends requests at a fixed rate, independently of the responses, and
+// collects their timings.
 type openLoop struct {
 	mu      sync.Mutex
 	timings []timing
@@ -218,10 +225,11 @@
 	for i := range int(length / interval) {
 		due := start.Add(time.Duration(i) * interval)
 		time.Sleep(time.Until(due))
-		// Lateness of this process's own timer is no part of the figures.
+		// Measured from the actual start, since a late timer of this process must
+		// not count as latency.
 		sent := time.Now()
 		sending.Go(func() {
-			t, err := benchSend(client, address, stream, sent)
+			t, err := sendTimed(client, address, stream, sent)
 			o.mu.Lock()
 			defer o.mu.Unlock()
 			if err != nil {
@@ -244,8 +252,9 @@
 	return float64(values[int(q*float64(len(values)-1))].Nanoseconds()) / 1000
 }
 
-// BenchmarkAddedLatency calls the same engine directly and through one daemon,
-// at the same time, 500 requests a second each.
+// BenchmarkAddedLatency measures the latency that a daemon adds. It sends 500
+// requests per second to an engine directly and, at the same time, as many through
+// a daemon.
 func BenchmarkAddedLatency(b *testing.B) {
 	const rate = 500
 	const length = 10 * time.Second
@@ -265,17 +274,19 @@
 				if direct.failed+through.failed > 0 {
 					b.Fatalf("%d direct and %d requests through the daemon failed", direct.failed, through.failed)
 				}
-				reportAdded(b, "first", &direct, &through, func(t timing) time.Duration { return t.first })
+				reportAddedLatency(b, "first", &direct, &through, func(t timing) time.Duration { return t.header })
 				if stream {
-					reportAdded(b, "content", &direct, &through, func(t timing) time.Duration { return t.content })
+					reportAddedLatency(b, "content", &direct, &through, func(t timing) time.Duration { return t.content })
 				}
-				reportAdded(b, "end", &direct, &through, func(t timing) time.Duration { return t.end })
+				reportAddedLatency(b, "end", &direct, &through, func(t timing) time.Duration { return t.end })
 			}
 		})
 	}
 }
 
-func reportAdded(b *testing.B, what string, direct, through *openLoop, of func(timing) time.Duration) {
+// reportAddedLatency reports quantiles of the direct requests and how much higher
+// those of the requests through the daemon are.
+func reportAddedLatency(b *testing.B, what string, direct, through *openLoop, of func(timing) time.Duration) {
 	for name, q := range map[string]float64{"p50": 0.5, "p99": 0.99} {
 		d, t := direct.quantile(q, of), through.quantile(q, of)
 		b.ReportMetric(d, what+"-direct-"+name+"-us")
@@ -283,8 +294,8 @@
 	}
 }
 
-// processorTime is what a process has used so far.
-func processorTime(c *qt.C, pid int) time.Duration {
+// cpuTime returns the user and system CPU time that a process has used.
+func cpuTime(c *qt.C, pid int) time.Duration {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	c.Assert(err, qt.IsNil)
 	fields := strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))
@@ -298,8 +309,8 @@
 	return time.Duration(ticks) * time.Second / ticksPerSecond
 }
 
-// BenchmarkStreamedTokens reads as many streams as the case says through one
-// daemon that may use one core, and counts the tokens.
+// BenchmarkStreamedTokens measures how many streamed tokens a daemon limited to
+// one core relays to a number of concurrent callers.
 func BenchmarkStreamedTokens(b *testing.B) {
 	cases := []struct {
 		name    string
@@ -307,9 +318,9 @@
 		callers int
 		flags   []string
 	}{
-		// Engines write 32 tokens at a time, as fast as they are read.
+		// The engines write 32 tokens at once, as fast as they are read.
 		{"batched", 2, 16, []string{"--tokens-per-second", "0", "--answer-tokens", "4000"}},
-		// 1,200 streams of 50 tokens a second, each token in a write of its own.
+		// 1,200 streams of 50 tokens per second, each token in its own write.
 		{"paced", 4, 1200, []string{"--tokens-per-second", "50", "--answer-tokens", "500"}},
 	}
 	for _, test := range cases {
@@ -318,14 +329,15 @@
 			flags := append([]string{"--slots", strconv.Itoa(benchSlots), "--queue-limit", "0", "--prefill-tokens-per-second", "0"}, test.flags...)
 			s := startBench(b, test.engines, []string{"GOMAXPROCS=1"}, flags...)
 			for b.Loop() {
-				s.countTokens(b, c, test.callers)
+				s.measureTokens(b, c, test.callers)
 			}
 		})
 	}
 }
 
-// countTokens measures between a start, in which streams get going, and an end.
-func (s *benchSite) countTokens(b *testing.B, c *qt.C, callers int) {
+// measureTokens reads streams with concurrent callers and reports the token rates,
+// measured for a fixed time after a warm-up.
+func (s *benchSystem) measureTokens(b *testing.B, c *qt.C, callers int) {
 	const warmUp, length = 4 * time.Second, 8 * time.Second
 	ctx, cancel := context.WithCancel(context.Background())
 	var tokens, failed atomic.Int64
@@ -342,12 +354,12 @@
 		})
 	}
 	time.Sleep(warmUp)
-	start, before, used := time.Now(), tokens.Load(), processorTime(c, s.pid)
+	start, before, used := time.Now(), tokens.Load(), cpuTime(c, s.pid)
 	if path := os.Getenv("BRONZETURN_BENCH_PROFILE"); path != "" {
-		profile(c, s.admin, path)
+		writeProfile(c, s.admin, path)
 	}
 	time.Sleep(time.Until(start.Add(length)))
-	elapsed, count, spent := time.Since(start), float64(tokens.Load()-before), processorTime(c, s.pid)-used
+	elapsed, count, spent := time.Since(start), float64(tokens.Load()-before), cpuTime(c, s.pid)-used
 	cancel()
 	reading.Wait()
 	b.ReportMetric(count/elapsed.Seconds(), "tokens/s")
@@ -356,8 +368,8 @@
 	b.ReportMetric(float64(failed.Load()), "failed")
 }
 
-// profile writes a processor profile of the daemon.
-func profile(c *qt.C, admin, path string) {
+// writeProfile writes a CPU profile of the daemon to a file.
+func writeProfile(c *qt.C, admin, path string) {
 	resp, err := http.Get("http://" + admin + "/debug/pprof/profile?seconds=5")
 	c.Assert(err, qt.IsNil)
 	defer resp.Body.Close()
@@ -366,8 +378,8 @@
 	c.Assert(os.WriteFile(path, data, 0o600), qt.IsNil)
 }
 
-// readTokens counts the tokens of one stream as they come.
-func (s *benchSite) readTokens(ctx context.Context, client *http.Client, prompt string, tokens *atomic.Int64) error {
+// readTokens reads one stream and adds its tokens to the counter as they arrive.
+func (s *benchSystem) readTokens(ctx context.Context, client *http.Client, prompt string, tokens *atomic.Int64) error {
 	body := fmt.Sprintf(`{"stream":true,"messages":[{"role":"user","content":%q}]}`, prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.daemon+callerapi.PathChatCompletions, strings.NewReader(body))
 	if err != nil {
@@ -380,7 +392,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return &net.OpError{Op: "status " + resp.Status, Err: errBenchAnswer}
+		return &net.OpError{Op: "status " + resp.Status, Err: errIncomplete}
 	}
 	buf := make([]byte, 64<<10)
 	for {
--- a/feedback.go
+++ b/feedback.go
@@ -16,21 +16,21 @@
 	"github.com/bronzeturn/bronzeturn/router"
 )
 
-// Bounds of the feedback from outside systems.
+// Limits of load reports and rating samples.
 const (
-	// reportCallsPerSecond bounds the load reports that a daemon asks for.
+	// reportCallsPerSecond bounds the rate at which a daemon requests load reports.
 	reportCallsPerSecond = 12
-	// reportInterval is the least time between two reports of one engine.
+	// reportInterval is the minimum time between two reports of one engine.
 	reportInterval = time.Second
 	reportTimeout  = 2 * time.Second
-	// sampleQueue bounds the samples that wait for the rating service. More are
-	// dropped: ratings are samples anyway.
-	sampleQueue   = 256
-	sampleTimeout = 2 * time.Second
+	// sampleQueueLen bounds the samples that wait for the rating service. Further
+	// ones are dropped, as only a share of the answers is rated anyway.
+	sampleQueueLen = 256
+	sampleTimeout  = 2 * time.Second
 )
 
-// loadReporter asks the visible engines for their load, in turn.
-type loadReporter struct {
+// loadPoller requests load reports from the visible engines, one after the other.
+type loadPoller struct {
 	reports   *engine.Reports
 	state     *balance.State
 	occupancy *occupancy
@@ -38,64 +38,65 @@
 	log       zerolog.Logger
 
 	mu sync.Mutex
-	// sequences holds the newest cache event seen of each engine.
+	// sequences holds the sequence number of the last cache event of each engine.
 	sequences map[string]uint64
 }
 
-// run asks one engine after the other until ctx ends.
-func (l *loadReporter) run(ctx context.Context) error {
+// run polls the engines until ctx ends.
+func (l *loadPoller) run(ctx context.Context) error {
 	l.sequences = make(map[string]uint64)
 	for ctx.Err() == nil {
 		engines := l.engines()
 		if len(engines) == 0 {
-			_ = backoff.Sleep(ctx, reportInterval) // The loop sees that ctx ended.
+			_ = backoff.Sleep(ctx, reportInterval) // The loop checks ctx.
 			continue
 		}
-		l.askAll(ctx, engines)
+		l.pollEngines(ctx, engines)
 	}
 	return nil
 }
 
-// askAll asks each engine once, spread over at least reportInterval.
-func (l *loadReporter) askAll(ctx context.Context, engines []*bronzeturnv1.Engine) {
+// pollEngines polls each engine once, evenly spread over at least reportInterval.
+func (l *loadPoller) pollEngines(ctx context.Context, engines []*bronzeturnv1.Engine) {
 	pace := max(time.Second/reportCallsPerSecond, reportInterval/time.Duration(len(engines)))
 	for _, e := range engines {
-		go l.ask(ctx, e)
+		go l.pollEngine(ctx, e)
 		if backoff.Sleep(ctx, pace) != nil {
 			return
 		}
 	}
 }
 
-// ask takes in the report of one engine.
-func (l *loadReporter) ask(ctx context.Context, e *bronzeturnv1.Engine) {
+// pollEngine requests the load report of one engine and applies it.
+func (l *loadPoller) pollEngine(ctx context.Context, e *bronzeturnv1.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	load, err := l.reports.LoadSince(ctx, e.GetAddress(), l.seen(e.GetName()))
+	load, err := l.reports.LoadSince(ctx, e.GetAddress(), l.lastSequence(e.GetName()))
 	if err != nil {
-		l.log.Debug().Err(err).Str("engine", e.GetName()).Msg("no load report")
+		l.log.Debug().Err(err).Str("engine", e.GetName()).Msg("engine gave no load report")
 		return
 	}
 	now := time.Now()
-	l.occupancy.reported(e.GetName(), load, now)
+	l.occupancy.record(e.GetName(), load, now)
 	l.state.LoadReported(balance.LoadReported{
 		Engine:   e.GetName(),
 		Requests: int64(load.QueuedRequests + load.RunningRequests),
 		Tokens:   load.QueuedTokens,
 		AsOf:     earlier(load.AsOf, now),
 	})
-	l.cacheEvents(e.GetName(), load, now)
+	l.applyCacheEvents(e.GetName(), load, now)
 }
 
-func (l *loadReporter) seen(name string) uint64 {
+func (l *loadPoller) lastSequence(name string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sequences[name]
 }
 
-// cacheEvents passes on what is new, and that something was missed.
-func (l *loadReporter) cacheEvents(name string, load engine.Load, now time.Time) {
-	last := l.seen(name)
+// applyCacheEvents applies the new cache events of a report. A gap in their
+// sequence numbers is applied as an event of its own.
+func (l *loadPoller) applyCacheEvents(name string, load engine.Load, now time.Time) {
+	last := l.lastSequence(name)
 	for _, ev := range load.CacheEvents {
 		if ev.Sequence > last+1 && last > 0 {
 			l.state.CacheEvent(balance.CacheEvent{Engine: name, Kind: balance.CacheGap, At: now})
@@ -112,7 +113,8 @@
 	l.sequences[name] = max(last, load.Sequence)
 }
 
-// earlier bounds the clock of another host by this one's.
+// earlier returns the earlier of two times. It keeps a time read on another
+// host's clock from lying in the future of this one's.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -120,7 +122,7 @@
 	return b
 }
 
-// sampler sends a share of the answers to the rating service.
+// sampler submits a random share of the answers to the rating service.
 type sampler struct {
 	client  *rating.Client
 	share   float64
@@ -131,22 +133,22 @@
 }
 
 func newSampler(client *rating.Client, share float64, rng *rand.Rand, log zerolog.Logger) *sampler {
-	return &sampler{client: client, share: share, rng: rng, log: log, samples: make(chan router.AnswerSample, sampleQueue)}
+	return &sampler{client: client, share: share, rng: rng, log: log, samples: make(chan router.AnswerSample, sampleQueueLen)}
 }
 
 // Sample implements router.Sampler.
 func (s *sampler) Sample(a router.AnswerSample) {
-	if s.client == nil || !s.chosen() {
+	if s.client == nil || !s.selects() {
 		return
 	}
 	select {
 	case s.samples <- a:
 	default:
-		// A full queue means that the rating service is slow or silent.
+		// The queue is full: the rating service is slow or does not answer.
 	}
 }
 
-func (s *sampler) chosen() bool {
+func (s *sampler) selects() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64() < s.share
@@ -171,6 +173,6 @@
 		RequestID: a.RequestID, Organisation: a.Organisation, Version: a.Version, Kind: a.Kind, Accepted: a.Accepted,
 	})
 	if err != nil {
-		s.log.Debug().Err(err).Msg("sample not submitted")
+		s.log.Debug().Err(err).Msg("sample could not be submitted to the rating service")
 	}
 }
--- a/fleet.go
+++ b/fleet.go
@@ -16,17 +16,18 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// Bounds of the flooded table beyond those of membership.
+// Limits of the classes of the flooded table that membership does not define.
 const (
 	maxHeadBytes     = 64 << 10
 	maxTableVersions = 512
 	maxTableBytes    = 4 << 10
 )
 
-// holderCandidates is how many daemons may hold copies of a daemon's records.
+// holderCandidates is the number of daemons that may hold copies of this daemon's
+// ledger records.
 const holderCandidates = 4
 
-// fleet is what this daemon shares with the others.
+// fleet holds the components that communicate with the other daemons.
 type fleet struct {
 	traffic   *peer.Traffic
 	directory *peer.Directory
@@ -35,7 +36,7 @@
 	ledger    *ledger.Ledger
 }
 
-// newFleet builds the overlay, the configuration and the ledger.
+// newFleet builds the overlay, the configuration provider and the ledger.
 func newFleet(d *Daemon) (*fleet, error) {
 	f := &fleet{}
 	var err error
@@ -53,7 +54,8 @@
 	return f, err
 }
 
-// peerAddress resolves names once membership exists.
+// peerAddress returns the peer address of a daemon. It must not be called before
+// members is set.
 func (f *fleet) peerAddress(name string) (string, bool) {
 	return f.members.PeerAddress(name)
 }
@@ -102,7 +104,7 @@
 	}
 }
 
-// owners are the preferred writers of the ledger's shards.
+// owners names the preferred writers of the ledger's shards.
 type owners struct{ *membership.Membership }
 
 // Second implements ledger.Seconds.
@@ -115,8 +117,8 @@
 	return top[1], top[1] == view.Self
 }
 
-// holders names the daemons that hold second copies, those in other data
-// centres first.
+// holders names the daemons that may hold the second copies of records, those in
+// other data centres first.
 type holders struct {
 	members    *membership.Membership
 	self       string
@@ -142,17 +144,18 @@
 	return all[:min(len(all), holderCandidates)]
 }
 
-// start joins the fleet and begins to keep the configuration.
+// start joins the fleet and starts the components and their loops.
 func (f *fleet) start(d *Daemon) {
 	f.members.Start()
 	f.ledger.Start()
 	f.provider.Start()
-	d.goLoop("news", f.exchangeNews)
+	d.goLoop("news", f.exchangeConfirmations)
 	d.goLoop("bootstrap", newRegistrar(d, f).Run)
 	d.goLoop("collect", d.collectParts)
 }
 
-// newRegistrar lets this daemon find others through the store.
+// newRegistrar returns the registrar, which registers this daemon in the store and
+// finds others there.
 func newRegistrar(d *Daemon, f *fleet) *bootstrap.Registrar {
 	return bootstrap.New(bootstrap.Options{
 		Store: d.platform.store,
@@ -171,8 +174,8 @@
 func (f *fleet) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = f.provider.Stop() // Its loops end with the daemon; there is nothing to save.
-	_ = f.ledger.Stop()   // Flush has reported what could not be written.
+	_ = f.provider.Stop() // Nothing is lost: it has no state to save.
+	_ = f.ledger.Stop()   // Daemon.flush has logged records that could not be written.
 	_ = f.members.Stop(ctx)
 	f.directory.Close()
 }
@@ -181,14 +184,15 @@
 type routerMembers struct {
 	members    *membership.Membership
 	dataCentre string
-	longest    time.Duration
+	// maxKeep bounds how long callers may keep the addresses.
+	maxKeep time.Duration
 }
 
-// Entries implements router.Members. Callers are taken to be in the data
-// centre of the daemon that they ask.
+// Entries implements router.Members. Callers are assumed to be in the data centre
+// of the daemon that they ask.
 func (m routerMembers) Entries(rng *rand.Rand) ([]string, time.Duration) {
 	addresses, keep := m.members.Entries(m.dataCentre, rng)
-	return addresses, min(keep, m.longest)
+	return addresses, min(keep, m.maxKeep)
 }
 
 // BackendLeaving implements router.Members.
--- a/listeners.go
+++ b/listeners.go
@@ -6,33 +6,34 @@
 	"net"
 )
 
-// listeners are the four separate entrances of a daemon.
+// listeners holds the four listeners of a daemon.
 type listeners struct {
 	caller   net.Listener
 	peer     net.Listener
 	operator net.Listener
 	admin    net.Listener
-	// callerAddress and peerAddress are what others are told.
+	// callerAddress and peerAddress are the addresses advertised to callers and
+	// to other daemons.
 	callerAddress string
 	peerAddress   string
 }
 
-// openListeners opens all of them, or none.
+// openListeners opens all listeners. On an error it leaves none open.
 func openListeners(d *Daemon) (*listeners, error) {
 	l := &listeners{}
 	s := d.settings
 	err := errors.Join(
-		d.open(&l.caller, "caller-listen", s.GetCallerListen()),
-		d.open(&l.peer, "peer-listen", s.GetPeerListen()),
-		d.open(&l.operator, "operator-listen", s.GetOperatorListen()),
-		d.open(&l.admin, "admin-listen", s.GetAdminListen()),
+		d.openListener(&l.caller, "caller-listen", s.GetCallerListen()),
+		d.openListener(&l.peer, "peer-listen", s.GetPeerListen()),
+		d.openListener(&l.operator, "operator-listen", s.GetOperatorListen()),
+		d.openListener(&l.admin, "admin-listen", s.GetAdminListen()),
 	)
 	if err != nil {
 		l.close()
 		return nil, err
 	}
-	l.callerAddress = advertised(s.GetCallerAddress(), l.caller)
-	l.peerAddress = advertised(s.GetPeerAddress(), l.peer)
+	l.callerAddress = advertisedAddress(s.GetCallerAddress(), l.caller)
+	l.peerAddress = advertisedAddress(s.GetPeerAddress(), l.peer)
 	return l, nil
 }
 
@@ -51,7 +52,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-func (d *Daemon) open(into *net.Listener, flag, address string) error {
+func (d *Daemon) openListener(into *net.Listener, flag, address string) error {
 	l, err := d.options.Listen(address)
 	if err != nil {
 		return &ListenError{Flag: flag, Address: address, Cause: err}
@@ -60,8 +61,9 @@
 	return nil
 }
 
-// advertised returns the address given in the settings, or the one listened on.
-func advertised(address string, l net.Listener) string {
+// advertisedAddress returns the address given in the settings or, if that is
+// empty, the one listened on.
+func advertisedAddress(address string, l net.Listener) string {
 	if address != "" {
 		return address
 	}
--- a/options.go
+++ b/options.go
@@ -11,24 +11,25 @@
 	"github.com/bronzeturn/bronzeturn/process"
 )
 
-// Options replace what a daemon takes from its process: the network, the
-// random source, the log and the metrics. The zero value suits a daemon.
+// Options replaces what a daemon otherwise takes from its process: the network,
+// the random seed, the log output and the metrics registry. The zero value is
+// valid.
 type Options struct {
-	// LogWriter takes one line per call. Nil means standard error.
+	// LogWriter receives one log line per Write call. Nil means standard error.
 	LogWriter io.Writer
 	// Registry collects the metrics. Nil means a new one.
 	Registry *prometheus.Registry
 	// Listen opens a listener. Nil means TCP.
 	Listen func(address string) (net.Listener, error)
-	// Dial opens a connection to an outside system. Nil means TCP.
+	// Dial opens a connection to an external system. Nil means net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Seed feeds all random sources. Zero means a random seed.
+	// Seed is the seed of all random sources. Zero means a random seed.
 	Seed uint64
-	// ProgramVersion is shown to operators.
+	// ProgramVersion is the version reported to operators.
 	ProgramVersion string
 }
 
-// withDefaults returns the options with every field set.
+// withDefaults returns the options with unset fields replaced by their defaults.
 func (o Options) withDefaults() Options {
 	if o.LogWriter == nil {
 		o.LogWriter = os.Stderr
--- a/orders.go
+++ b/orders.go
@@ -7,8 +7,8 @@
 	"github.com/bronzeturn/bronzeturn/router"
 )
 
-// newOrders builds the part that keeps engines at their desired versions, or
-// nil when the settings name no weight store.
+// newOrders returns the runner that orders engines to load their desired versions,
+// or nil when the settings name no weight store.
 func newOrders(d *Daemon) (*orders.Runner, error) {
 	if d.platform.weights == nil {
 		return nil, nil
@@ -25,7 +25,7 @@
 	}, orders.DefaultOptions(d.settings.GetName()))
 }
 
-// poolSource tells what the configuration in force asks of each pool.
+// poolSource reads the desired state of each pool from the configuration in force.
 type poolSource struct{ d *Daemon }
 
 // Pools implements orders.Source.
@@ -41,11 +41,11 @@
 	return names
 }
 
-// Desired implements orders.Source. A daemon without fresh news gives no
-// orders.
+// Desired implements orders.Source. It reports false while the configuration may be
+// stale, so that the daemon sends no orders.
 func (s poolSource) Desired(pool string) (orders.Desired, bool) {
 	tables := s.d.tables.Load()
-	if tables == nil || s.d.fresh(time.Now()) != nil {
+	if tables == nil || s.d.checkFresh(time.Now()) != nil {
 		return orders.Desired{}, false
 	}
 	withdrawn := func(version string) bool {
@@ -55,7 +55,8 @@
 	return orders.FromRegister(tables.Snapshot.Generation(), tables.Snapshot.PoolEngines(pool), withdrawn, longestDeadline(tables)), true
 }
 
-// longestDeadline is how long a request can run on a withdrawn version.
+// longestDeadline returns the longest deadline of all task kinds, which bounds how
+// long a request can still run on a withdrawn version.
 func longestDeadline(tables *router.Tables) time.Duration {
 	var longest time.Duration
 	for _, kind := range tables.Snapshot.Rules().GetKinds() {
--- a/platform.go
+++ b/platform.go
@@ -15,18 +15,18 @@
 	"github.com/bronzeturn/bronzeturn/weightstore"
 )
 
-// Bounds of connections to outside systems.
+// Time-outs and limits of connections to external systems.
 const (
 	dialTimeout       = time.Second
 	keepAliveInterval = 5 * time.Second
 	idleTimeout       = 90 * time.Second
-	// idlePerHost bounds the idle connections kept to one backend server.
-	idlePerHost = 256
-	// idleTotal bounds the idle connections kept in all.
-	idleTotal = 4096
+	// maxIdlePerHost bounds the idle connections kept to one address.
+	maxIdlePerHost = 256
+	// maxIdleTotal bounds the idle connections of one transport.
+	maxIdleTotal = 4096
 )
 
-// platform holds the adapters of the outside systems.
+// platform holds the clients of the external systems.
 type platform struct {
 	store    *httpstore.Store
 	hosts    *hostlist.Client
@@ -37,9 +37,10 @@
 	services *plainservice.Client
 }
 
-// newPlatform builds the adapters. Ratings and weights are nil when the
-// settings name none. Backend servers have a transport each, so that one whose
-// connections went silent does not cost the others theirs.
+// newPlatform builds the clients. Those of the rating service and the weight store
+// are nil when the settings name none. Each backend server has a transport of its
+// own, so that closing the connections of an unresponsive one does not close those
+// of others.
 func newPlatform(d *Daemon) *platform {
 	transport := attempt.NewTransports(newTransport(d))
 	client := &http.Client{Transport: newTransport(d)}
@@ -59,20 +60,20 @@
 	return p
 }
 
-// newTransport returns the transport towards outside systems. It never asks a
-// proxy of the environment.
+// newTransport returns a transport for external systems. It ignores the proxy
+// settings of the environment.
 func newTransport(d *Daemon) *http.Transport {
 	return &http.Transport{
 		Proxy:               nil,
 		DialContext:         d.options.Dial,
 		IdleConnTimeout:     idleTimeout,
-		MaxIdleConns:        idleTotal,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConns:        maxIdleTotal,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		DisableCompression:  true,
 	}
 }
 
-// hostList adapts the host list to what membership needs.
+// hostList adapts the host list's client to membership.HostList.
 type hostList struct {
 	client *hostlist.Client
 }
--- a/quarantine.go
+++ b/quarantine.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	// recordsInterval is the mean time between two listings of the records. Convictions in
-	// between arrive in crash reports, which outlive the interval.
+	// recordsInterval is the mean time between two listings of the records. In between, the
+	// crash reports of other daemons tell of new crashes. They live longer than the interval.
 	recordsInterval = 4 * time.Minute
 	// recordsMaxRetryDelay bounds the delay after a failed listing.
 	recordsMaxRetryDelay = 10 * time.Second
-	// recordsTimeout bounds one listing, recordsPageSize the records per call.
-	recordsTimeout  = 5 * time.Second
+	// recordsTimeout bounds one listing.
+	recordsTimeout = 5 * time.Second
+	// recordsPageSize is the maximum number of records per call of the store.
 	recordsPageSize = 256
 )
 
@@ -33,7 +34,7 @@
 	listAttempted atomic.Bool
 }
 
-// newQuarantine returns a quarantine without records.
+// newQuarantine returns a quarantine that holds no records yet.
 func newQuarantine(d *Daemon) *requestQuarantine {
 	log := logging.Part(d.log, "quarantine")
 	publish := func(key string, version uint64, value []byte) {
@@ -75,7 +76,7 @@
 	d.goLoop("quarantine lists", q.followRecords)
 }
 
-// receiveReport applies a report of another daemon. It ignores the reports of this daemon.
+// receiveReport applies the crash report of another daemon. It ignores those of this daemon.
 func (q *requestQuarantine) receiveReport(key string, version uint64, value []byte) {
 	if !strings.HasPrefix(key, quarantine.TablePrefix+q.Self+"/") {
 		q.ReceiveEntry(key, version, value)
@@ -106,8 +107,8 @@
 	return mean/2 + time.Duration(random.Int64N(int64(mean)))
 }
 
-// listRecords replaces the known records by those in the store. Records that cannot be
-// decoded are skipped.
+// listRecords replaces the known records with those in the store. It skips records that
+// cannot be decoded.
 func (q *requestQuarantine) listRecords(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
--- a/quarantine_test.go
+++ b/quarantine_test.go
@@ -24,8 +24,8 @@
 // restartDelay is how long a crashed engine refuses connections.
 const restartDelay = 700 * time.Millisecond
 
-// crashingEngine crashes on requests with crashPrompt and restarts at the same address after
-// restartDelay.
+// crashingEngine is an engine that crashes on requests with crashPrompt and restarts at the
+// same address after restartDelay.
 type crashingEngine struct {
 	address string
 	engine  http.Handler
@@ -36,8 +36,8 @@
 	server *http.Server
 }
 
-// startCrashingEngines replaces the engines of a platform by crashing ones and returns the
-// count of their crashes.
+// startCrashingEngines replaces the engines of a platform with crashing ones and returns a
+// counter of their crashes.
 func startCrashingEngines(c *qt.C, p *demo.Platform) *atomic.Int64 {
 	crashes := &atomic.Int64{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,11 +68,11 @@
 	return nil
 }
 
-// crash closes the server and all its connections.
+// crash closes the server and all its connections, as the end of the process would.
 func (e *crashingEngine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = e.server.Close() // The engine is discarded.
+	_ = e.server.Close() // The server is not used again.
 }
 
 // ServeHTTP implements http.Handler.
@@ -96,10 +96,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// TestDaemonsQuarantineARequestThatCrashesEngines guards against a request that is repeated
-// at several daemons crashing engine after engine. All daemons together may lose three
-// engines before the request is quarantined and three more afterwards, including after a
-// restart of all daemons. Other requests are served.
+// TestDaemonsQuarantineARequestThatCrashesEngines guards against a request that a caller repeats
+// at several daemons and that crashes one engine after the other. All daemons together may lose
+// three engines before the request is in quarantine and three more afterwards, including after a
+// restart of all daemons. Other requests must still be served.
 func TestDaemonsQuarantineARequestThatCrashesEngines(t *testing.T) {
 	const daemons, maxCrashes, repeats = 3, 3 + 3, 20
 	c := qt.New(t)
--- a/ratings.go
+++ b/ratings.go
@@ -15,16 +15,17 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Bounds of the polling of ratings.
+// Polling of the rating service.
 const (
-	pollInterval = time.Second
-	pollTimeout  = 5 * time.Second
+	ratingsPollInterval = time.Second
+	ratingsPollTimeout  = 5 * time.Second
 	// ratingsKey is the key whose preferred owner polls the rating service. The
-	// others hear of the ratings as merged estimates.
+	// other daemons receive the ratings merged into quality estimates.
 	ratingsKey = "ratings"
 )
 
-// learning takes in ratings and spreads what they tell.
+// learning receives ratings and shares the quality estimates and the state of
+// roll-outs that follow from them with the other daemons.
 type learning struct {
 	versions *selection.Policy
 	exchange *quality.Exchange
@@ -32,8 +33,9 @@
 	client   *rating.Client
 	owner    func(key string) (name string, self bool)
 	log      zerolog.Logger
-	// last is the highest sequence of a rating taken in by this daemon.
-	last uint64
+	// lastSequence is the highest sequence number of the ratings that this daemon
+	// has received.
+	lastSequence uint64
 }
 
 func newLearning(d *Daemon) *learning {
@@ -59,53 +61,56 @@
 	return l
 }
 
-// judge runs the sequential test over ratings merged by this daemon.
+// judge runs the sequential test of a version's quality on ratings that this daemon
+// has merged, and shares the result.
 func (l *learning) judge(c quality.Counts, now time.Time) {
 	l.sync.Changed(c.Version, l.versions.Judge(c, now))
 }
 
-// start begins to exchange and to poll.
+// start starts the exchange with other daemons and, with a rating service, the
+// polling of ratings.
 func (l *learning) start(d *Daemon) {
 	l.sync.Start()
 	l.exchange.Start()
 	if l.client != nil {
-		d.goLoop("ratings", l.poll)
+		d.goLoop("ratings", l.pollRatings)
 	}
 }
 
-// stop hands over what was not yet reported.
+// stop reports the ratings that have not been reported to the aggregators yet.
 func (l *learning) stop() {
 	if err := l.exchange.Stop(); err != nil {
-		l.log.Warn().Err(err).Msg("ratings not handed over")
+		l.log.Warn().Err(err).Msg("last ratings could not be reported to other daemons")
 	}
 }
 
-// poll asks for ratings while this daemon is the preferred owner of the task.
-// Ratings polled by two daemons at once are sorted out by the rating's sequence
-// in each daemon only, so an overlap at a change of owner can count a page of
-// ratings twice; estimates discount, and no promise rests on them.
-func (l *learning) poll(ctx context.Context) error {
-	for backoff.Sleep(ctx, pollInterval) == nil {
+// pollRatings polls the rating service while this daemon is the preferred owner of
+// ratingsKey. Each daemon removes duplicates by sequence number only among the
+// ratings that it has polled itself, so a page of ratings may be counted twice
+// when the owner changes. This is harmless: the estimates discount old ratings, and
+// no guarantee depends on them.
+func (l *learning) pollRatings(ctx context.Context) error {
+	for backoff.Sleep(ctx, ratingsPollInterval) == nil {
 		if _, self := l.owner(ratingsKey); !self {
 			continue
 		}
 		if err := l.pollOnce(ctx); err != nil {
-			l.log.Debug().Err(err).Msg("no ratings")
+			l.log.Debug().Err(err).Msg("rating service could not be polled")
 		}
 	}
 	return nil
 }
 
 func (l *learning) pollOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ratingsPollTimeout)
 	defer cancel()
-	ratings, err := l.client.Poll(ctx, l.last)
+	ratings, err := l.client.Poll(ctx, l.lastSequence)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
 	for _, r := range ratings {
-		l.last = max(l.last, r.Sequence)
+		l.lastSequence = max(l.lastSequence, r.Sequence)
 		err := l.exchange.Rated(quality.Rated{
 			Organisation: r.Organisation, Version: r.Version, Kind: r.Kind,
 			Accepted: r.Accepted, Score: r.Score, At: now,
@@ -117,7 +122,7 @@
 	return nil
 }
 
-// sharedTable adapts the flooded table to users that handle its refusals.
+// sharedTable adapts the flooded table to users that handle the errors of Publish.
 type sharedTable struct{ node *gossip.Node }
 
 // Publish implements quality.Table and rollout.Table.
--- a/roles.go
+++ b/roles.go
@@ -6,7 +6,7 @@
 	"github.com/bronzeturn/bronzeturn/quality"
 )
 
-// roles lists the work for the fleet that this daemon is preferred for now.
+// roles returns the fleet-wide tasks of which this daemon is the preferred owner now.
 func (d *Daemon) roles() []*bronzeturnv1.Role {
 	var roles []*bronzeturnv1.Role
 	if d.fleet.members.Watching() {
@@ -29,15 +29,16 @@
 	for _, p := range tables.Snapshot.Register().GetPools() {
 		pools = append(pools, p.GetName())
 	}
-	roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_QUALITY_AGGREGATOR, d.owned(quality.TablePrefix, versions))
+	roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_QUALITY_AGGREGATOR, d.ownedNames(quality.TablePrefix, versions))
 	if d.orders != nil {
-		roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_POOL_ORDERS, d.owned(orders.KeyPrefix, pools))
+		roles = appendRole(roles, bronzeturnv1.RoleKind_ROLE_KIND_POOL_ORDERS, d.ownedNames(orders.KeyPrefix, pools))
 	}
 	return roles
 }
 
-// owned returns those names whose keys this daemon is the preferred owner of.
-func (d *Daemon) owned(prefix string, names []string) []string {
+// ownedNames returns the names for whose keys, prefix and name, this daemon is the
+// preferred owner.
+func (d *Daemon) ownedNames(prefix string, names []string) []string {
 	var owned []string
 	for _, name := range names {
 		if _, self := d.fleet.members.Owner(prefix + name); self {
@@ -47,7 +48,7 @@
 	return owned
 }
 
-// appendRole adds a role that covers at least one part.
+// appendRole appends the role unless it covers no part.
 func appendRole(roles []*bronzeturnv1.Role, kind bronzeturnv1.RoleKind, parts []string) []*bronzeturnv1.Role {
 	if len(parts) == 0 {
 		return roles
--- a/room.go
+++ b/room.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// roomInterval is the time between two updates of what admission knows of
-	// the engines.
+	// roomInterval is the time between two updates of the engines' load in
+	// admission and of this daemon's load in membership.
 	roomInterval = time.Second
-	// roomFresh is how long a load report counts.
-	roomFresh = 10 * time.Second
+	// reportMaxAge is the age above which a load report is ignored.
+	reportMaxAge = 10 * time.Second
 )
 
-// occupancy remembers what each engine last reported, for admission's bound on
-// bulk work. It is safe for concurrent use.
+// occupancy holds the last load report of each engine, from which admission
+// bounds bulk requests. It is safe for concurrent use.
 type occupancy struct {
 	mu      sync.Mutex
-	reports map[string]occupied
+	reports map[string]engineLoad
 }
 
-// occupied is the last report of one engine.
-type occupied struct {
+// engineLoad is the last load report of one engine.
+type engineLoad struct {
 	requests int
 	at       time.Time
 }
 
-func newOccupancy() *occupancy { return &occupancy{reports: make(map[string]occupied)} }
+func newOccupancy() *occupancy { return &occupancy{reports: make(map[string]engineLoad)} }
 
-// reported takes in a load report.
-func (o *occupancy) reported(name string, load engine.Load, at time.Time) {
+// record stores a load report.
+func (o *occupancy) record(name string, load engine.Load, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.reports[name] = occupied{requests: load.RunningRequests + load.QueuedRequests, at: at}
+	o.reports[name] = engineLoad{requests: load.RunningRequests + load.QueuedRequests, at: at}
 }
 
-// rooms adds up the engines of each version. Engines without a fresh report are
-// left out.
+// rooms sums up the load of the engines of each version. It ignores engines without
+// a recent report.
 func (o *occupancy) rooms(engines []*bronzeturnv1.Engine, sharers int, now time.Time) map[string]admission.Room {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	rooms := make(map[string]admission.Room)
 	for _, e := range engines {
 		report, ok := o.reports[e.GetName()]
-		if !ok || now.Sub(report.at) > roomFresh {
+		if !ok || now.Sub(report.at) > reportMaxAge {
 			continue
 		}
 		for _, version := range e.GetVersions() {
@@ -63,12 +63,13 @@
 	return rooms
 }
 
-// fullLoad is the multiple of a daemon's fair part of the engine slots at which
-// it counts as fully loaded, so that callers are sent elsewhere.
-const fullLoad = 2
+// fullLoadFactor is the multiple of its fair share of the engine slots at which a
+// daemon reports full load, so that callers are directed to other daemons.
+const fullLoadFactor = 2
 
-// loadShare is the share of this daemon's capacity in use, 0 to 1: its requests in
-// progress against its fair part of the slots of the engines that it sees.
+// loadShare returns the share of this daemon's capacity in use, 0 to 1: its requests
+// in progress divided by fullLoadFactor times its fair share of the slots of the
+// engines that it uses.
 func (d *Daemon) loadShare() float64 {
 	slots := 0
 	for _, e := range d.compiler.visibleEngines() {
@@ -78,12 +79,12 @@
 		return 0
 	}
 	fair := float64(slots) / float64(d.compiler.sharers())
-	return min(float64(d.router.InProgress())/(fullLoad*fair), 1)
+	return min(float64(d.router.InProgress())/(fullLoadFactor*fair), 1)
 }
 
-// keepRoom tells admission about the engines, and the fleet about the load of
-// this daemon, until ctx ends.
-func (d *Daemon) keepRoom(ctx context.Context) error {
+// updateRoom periodically passes the engines' load to admission and this daemon's
+// load to membership, until ctx ends.
+func (d *Daemon) updateRoom(ctx context.Context) error {
 	for backoff.Sleep(ctx, roomInterval) == nil {
 		visible, sharers := d.compiler.visibleEngines(), d.compiler.sharers()
 		for version, room := range d.decisions.occupancy.rooms(visible, sharers, time.Now()) {
@@ -94,8 +95,8 @@
 	return nil
 }
 
-// reachable estimates how many live daemons this one hears, itself included,
-// from the sample that membership keeps.
+// reachable estimates the number of live daemons that this one hears, itself
+// included, from the sample of neighbours that membership keeps.
 func (f *fleet) reachable() int {
 	live := f.members.View().Live()
 	known, heard := f.members.PeersKnown(), f.members.PeersHeard()
--- a/servers.go
+++ b/servers.go
@@ -17,16 +17,16 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// headerTimeout bounds the reading of a request's headers.
+// headerTimeout bounds the time to read a request's headers.
 const headerTimeout = 5 * time.Second
 
-// maxHeaderBytes bounds the headers of a request.
+// maxHeaderBytes bounds the size of a request's headers.
 const maxHeaderBytes = 32 << 10
 
-// callerIdleTimeout is how long a caller's idle connection is kept.
-const callerIdleTimeout = 2 * time.Minute
+// clientIdleTimeout is how long an idle connection of a client is kept open.
+const clientIdleTimeout = 2 * time.Minute
 
-// servers answer on the four listeners.
+// servers holds the servers of the four listeners.
 type servers struct {
 	caller   *http.Server
 	operator *http.Server
@@ -36,21 +36,21 @@
 
 // newServers builds the servers.
 func newServers(d *Daemon) *servers {
-	answers := operator.NewServer(statusSource{d}, operatorPeers{d}, billSource{d})
+	operatorServer := operator.NewServer(statusSource{d}, operatorPeers{d}, billSource{d})
 	s := &servers{
 		caller:   newHTTPServer(d.router.Handler(), serverTLS(d.tls.caller)),
-		operator: newHTTPServer(operatorHandler(answers), serverTLS(d.tls.operator)),
+		operator: newHTTPServer(operatorHandler(operatorServer), serverTLS(d.tls.operator)),
 		admin:    newHTTPServer(adminHandler(d), nil),
 	}
 	s.caller.ErrorLog = d.errorLog("callers")
 	s.operator.ErrorLog = d.errorLog("operators")
 	s.admin.ErrorLog = d.errorLog("admin")
-	s.peer = peer.NewServer(d.listeners.peer, peerHandler(d, answers), serverTLS(d.tls.peer), d.fleet.traffic)
+	s.peer = peer.NewServer(d.listeners.peer, peerHandler(d, operatorServer), serverTLS(d.tls.peer), d.fleet.traffic)
 	s.peer.SetErrorLog(d.errorLog("peers"))
 	return s
 }
 
-// errorLog takes what a listener's server says about connections that failed.
+// errorLog returns the logger for connection errors of a listener's server.
 func (d *Daemon) errorLog(listener string) *log.Logger {
 	return log.New(logging.Part(d.log, "http").With().Str("listener", listener).Logger(), "", 0)
 }
@@ -66,7 +66,7 @@
 		Protocols:         protocols,
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		IdleTimeout:       callerIdleTimeout,
+		IdleTimeout:       clientIdleTimeout,
 	}
 }
 
@@ -76,7 +76,7 @@
 	return mux
 }
 
-// peerHandler serves everything that daemons ask each other.
+// peerHandler serves the calls between daemons.
 func peerHandler(d *Daemon, s *operator.Server) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(gossip.NewHandler(d.fleet.members.Table()))
@@ -100,7 +100,7 @@
 	return mux
 }
 
-// start begins to serve on all listeners.
+// start starts serving on all listeners.
 func (s *servers) start(d *Daemon) {
 	s.peer.Start()
 	d.serve("callers", s.caller, d.listeners.caller)
@@ -134,7 +134,7 @@
 	return s.ServeTLS(l, "", "")
 }
 
-// ServeError reports a listener that failed while the daemon ran.
+// ServeError reports that serving on a listener failed while the daemon ran.
 type ServeError struct {
 	Name  string
 	Cause error
@@ -146,7 +146,8 @@
 // Unwrap returns the cause.
 func (e *ServeError) Unwrap() error { return e.Cause }
 
-// stop closes the listeners. Requests in progress have ended by then.
+// stop shuts down the caller, operator and admin servers. The requests in progress
+// have ended before, or the stop timeout has passed.
 func (s *servers) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -157,10 +158,10 @@
 	}
 }
 
-// readiness tells load checks whether the daemon takes requests.
+// readiness reports to readiness checks whether the daemon accepts requests.
 type readiness struct{ d *Daemon }
 
-// Reasons why a daemon takes no requests.
+// Reasons why a daemon accepts no requests.
 var (
 	errLeaving             = errors.New("daemon is leaving")
 	errNoConfiguration     = errors.New("no configuration in force")
@@ -178,7 +179,7 @@
 	if !r.d.quarantine.listAttempted.Load() {
 		return errNoQuarantineRecords
 	}
-	if f := r.d.fresh(time.Now()); f != nil {
+	if f := r.d.checkFresh(time.Now()); f != nil {
 		return f
 	}
 	return nil
--- a/status.go
+++ b/status.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/operator"
 )
 
-// statusSource tells operators the state of this daemon.
+// statusSource reports the state of this daemon to operators.
 type statusSource struct{ d *Daemon }
 
 // Status implements operator.StatusSource.
@@ -32,7 +32,7 @@
 		NewestAccepted:    known.Accepted,
 		NewsAge:           durationpb.New(known.NewsAge(time.Now())),
 		Roles:             d.roles(),
-		Rejected:          rejected(known.Accepted, known.Rejected),
+		Rejected:          rejectedConfiguration(known.Accepted, known.Rejected),
 		ProgramVersion:    d.options.ProgramVersion,
 	}
 	if d.leaving.Load() {
@@ -45,8 +45,9 @@
 	return status
 }
 
-// rejected describes a configuration that was refused.
-func rejected(generation uint64, err error) *bronzeturnv1.RejectedConfiguration {
+// rejectedConfiguration describes a configuration that failed validation with err.
+// It returns nil without an error.
+func rejectedConfiguration(generation uint64, err error) *bronzeturnv1.RejectedConfiguration {
 	if err == nil {
 		return nil
 	}
@@ -62,7 +63,7 @@
 	return r
 }
 
-// sightings is what this daemon knows about the others.
+// sightings returns the health of the other daemons as this one sees it.
 func (d *Daemon) sightings() []*bronzeturnv1.Sighting {
 	var all []*bronzeturnv1.Sighting
 	for _, m := range d.fleet.members.View().Members {
@@ -72,20 +73,20 @@
 		all = append(all, &bronzeturnv1.Sighting{
 			Observer: d.settings.GetName(),
 			Name:     m.Name,
-			Health:   healths[m.State],
+			Health:   daemonHealth[m.State],
 		})
 	}
 	return all
 }
 
-// healths maps member states to the operators' words.
-var healths = map[membership.State]bronzeturnv1.DaemonHealth{
+// daemonHealth maps the states of members to the health reported to operators.
+var daemonHealth = map[membership.State]bronzeturnv1.DaemonHealth{
 	membership.Live:      bronzeturnv1.DaemonHealth_DAEMON_HEALTH_LIVE,
 	membership.Leaving:   bronzeturnv1.DaemonHealth_DAEMON_HEALTH_LEAVING,
 	membership.Suspected: bronzeturnv1.DaemonHealth_DAEMON_HEALTH_SUSPECTED,
 }
 
-// engineStatuses lists the engines that this daemon uses.
+// engineStatuses returns the status of each engine that this daemon uses.
 func (d *Daemon) engineStatuses() []*bronzeturnv1.EngineStatus {
 	var all []*bronzeturnv1.EngineStatus
 	for _, e := range d.compiler.visibleEngines() {
@@ -98,7 +99,7 @@
 	return all
 }
 
-// operatorPeers are the other daemons that operators want to hear of.
+// operatorPeers gives access to the other daemons for queries about the fleet.
 type operatorPeers struct{ d *Daemon }
 
 // Names implements operator.Peers.
@@ -117,13 +118,13 @@
 	return p.d.fleet.directory.Dial(name)
 }
 
-// billSource reads the bills of the whole fleet from the ledger.
+// billSource reads the bills of the whole fleet from the ledger's objects.
 type billSource struct{ d *Daemon }
 
 // Totals implements operator.Bills.
 func (b billSource) Totals(ctx context.Context, request *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
 	if request.GetFromDay() != "" || request.GetThroughDay() != "" {
-		return b.byDay(ctx, request)
+		return b.totalsByDay(ctx, request)
 	}
 	totals, err := ledger.Totals(ctx, b.d.platform.store)
 	if err != nil {
@@ -142,17 +143,17 @@
 	return all, nil
 }
 
-// billKey groups itemised bills.
+// billKey is the key by which itemised bills are summed.
 type billKey struct {
 	organisation, version, day string
 }
 
-// byDay sums itemised bills by UTC day.
-func (b billSource) byDay(ctx context.Context, request *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
+// totalsByDay sums the itemised bills by organisation, version and UTC day.
+func (b billSource) totalsByDay(ctx context.Context, request *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
 	sums := make(map[billKey]*bronzeturnv1.BillTotal)
 	err := ledger.EachBill(ctx, b.d.platform.store, func(bill ledger.Bill) error {
 		key := billKey{bill.Organisation, bill.Version, bill.At.UTC().Format(time.DateOnly)}
-		if !wantsBill(request, key) {
+		if !matchesRequest(request, key) {
 			return nil
 		}
 		total := sums[key]
@@ -173,11 +174,11 @@
 	for _, total := range sums {
 		all = append(all, total)
 	}
-	slices.SortFunc(all, compareBills)
+	slices.SortFunc(all, compareTotals)
 	return all, nil
 }
 
-func wantsBill(request *bronzeturnv1.BillsRequest, key billKey) bool {
+func matchesRequest(request *bronzeturnv1.BillsRequest, key billKey) bool {
 	if o := request.GetOrganisation(); o != "" && o != key.organisation {
 		return false
 	}
@@ -188,7 +189,7 @@
 	return through == "" || key.day <= through
 }
 
-func compareBills(a, b *bronzeturnv1.BillTotal) int {
+func compareTotals(a, b *bronzeturnv1.BillTotal) int {
 	return cmp.Or(
 		cmp.Compare(a.GetOrganisation(), b.GetOrganisation()),
 		cmp.Compare(a.GetVersion(), b.GetVersion()),
--- a/tls_test.go
+++ b/tls_test.go
@@ -27,8 +27,9 @@
 // loopback is the host of all daemons in these tests.
 const loopback = "127.0.0.1"
 
-// certificates writes the certificates of one deployment and returns the folder.
-func certificates(c *qt.C) string {
+// writeCertificates writes authorities and certificates of their own for one
+// deployment and returns the folder.
+func writeCertificates(c *qt.C) string {
 	folder := c.TempDir()
 	_, err := security.WriteDevelopment(folder, security.Development{
 		Hosts: []string{loopback}, Start: time.Now(), Validity: time.Hour,
@@ -37,7 +38,8 @@
 	return folder
 }
 
-// filesOf names a certificate in a folder. The authority is trusted's.
+// filesOf returns the paths of the named certificate in folder, with the authority
+// of the role in the folder trusted.
 func filesOf(folder, trusted, name, role string) security.Files {
 	return security.Files{
 		Cert: filepath.Join(folder, name+".pem"),
@@ -46,7 +48,7 @@
 	}
 }
 
-// tlsArguments are the flags of a daemon with the certificates of folder that
+// tlsArguments returns the flags of a daemon that has the certificates in folder and
 // trusts the authorities in trusted.
 func tlsArguments(folder, trusted string) []string {
 	var arguments []string
@@ -58,7 +60,7 @@
 	return arguments
 }
 
-// startDaemon runs a daemon until the test ends.
+// startDaemon starts a daemon, which is stopped when the test ends.
 func startDaemon(c *qt.C, p *demo.Platform, log io.Writer, name string, seeds []string, arguments ...string) *bronzeturn.Daemon {
 	const anyPort = loopback + ":0"
 	s, err := settings.Parse(append([]string{
@@ -81,52 +83,53 @@
 	return d
 }
 
-// lines keeps the log of a daemon.
-type lines struct {
+// logBuffer is a writer that stores the log of a daemon.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// wait waits for a line that holds the words.
-func (l *lines) wait(words string) string {
+// waitFor waits for a line that contains the text and returns it, or "" after
+// waitLimit.
+func (l *logBuffer) waitFor(text string) string {
 	deadline := time.Now().Add(waitLimit)
-	for l.with(words) == "" && time.Now().Before(deadline) {
+	for l.find(text) == "" && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return l.with(words)
+	return l.find(text)
 }
 
-// with returns the first line that holds the words, or "".
-func (l *lines) with(words string) string {
+// find returns the first line that contains the text, or "".
+func (l *logBuffer) find(text string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for line := range strings.Lines(l.text.String()) {
-		if strings.Contains(line, words) {
+		if strings.Contains(line, text) {
 			return line
 		}
 	}
 	return ""
 }
 
-// waitLive waits until a daemon takes requests and knows so many daemons.
+// waitLive waits until a daemon is ready and knows at least that many live daemons.
 func waitLive(c *qt.C, d *bronzeturn.Daemon, live int) {
 	deadline := time.Now().Add(waitLimit)
 	for !d.Ready() || d.LiveDaemons() < live {
 		if time.Now().After(deadline) {
-			c.Fatalf("%d live daemons, %d wanted; ready %v", d.LiveDaemons(), live, d.Ready())
+			c.Fatalf("the daemon knows %d live daemons, want %d; ready: %v", d.LiveDaemons(), live, d.Ready())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// localStatus asks the peer listener of a daemon for its own status.
+// localStatus requests a daemon's own status at its peer listener.
 func localStatus(credentials *security.Credentials, address string) (*bronzeturnv1.StatusResponse, error) {
 	traffic, err := peer.NewTraffic(nil)
 	if err != nil {
@@ -135,10 +138,10 @@
 	directory := peer.NewDirectory(nil, credentials, traffic)
 	defer directory.Close()
 	client, base := directory.At(address)
-	return status(operator.NewClient(client, base), true)
+	return fetchStatus(operator.NewClient(client, base), true)
 }
 
-func status(client interface {
+func fetchStatus(client interface {
 	Status(context.Context, *connect.Request[bronzeturnv1.StatusRequest]) (*connect.Response[bronzeturnv1.StatusResponse], error)
 }, local bool) (*bronzeturnv1.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -150,7 +153,7 @@
 	return response.Msg, nil
 }
 
-func load(c *qt.C, files security.Files) *security.Credentials {
+func loadCredentials(c *qt.C, files security.Files) *security.Credentials {
 	credentials, err := security.Load(files, nil)
 	c.Assert(err, qt.IsNil)
 	return credentials
@@ -162,9 +165,9 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(p.Stop)
 	c.Assert(p.Publish(context.Background()), qt.IsNil)
-	good, other := certificates(c), certificates(c)
+	good, other := writeCertificates(c), writeCertificates(c)
 
-	log := &lines{}
+	log := &logBuffer{}
 	first := startDaemon(c, p, log, demo.DaemonName(0), nil, tlsArguments(good, good)...)
 	seeds := []string{first.PeerAddress()}
 	stranger := startDaemon(c, p, io.Discard, demo.DaemonName(1), seeds, tlsArguments(other, good)...)
@@ -174,15 +177,15 @@
 	waitLive(c, second, 2)
 
 	peerFiles := filesOf(good, good, loopback+"-peer", "peer")
-	_, err = localStatus(load(c, peerFiles), first.PeerAddress())
+	_, err = localStatus(loadCredentials(c, peerFiles), first.PeerAddress())
 	c.Assert(err, qt.IsNil)
 	strangerFiles := filesOf(other, good, loopback+"-peer", "peer")
-	_, err = localStatus(load(c, strangerFiles), first.PeerAddress())
-	c.Assert(err, qt.IsNotNil, qt.Commentf("a certificate of another authority was taken"))
+	_, err = localStatus(loadCredentials(c, strangerFiles), first.PeerAddress())
+	c.Assert(err, qt.IsNotNil, qt.Commentf("a certificate of another authority was accepted"))
 	_, err = localStatus(nil, first.PeerAddress())
-	c.Assert(err, qt.IsNotNil, qt.Commentf("plain text was taken without its flag"))
+	c.Assert(err, qt.IsNotNil, qt.Commentf("plain text was accepted although its flag is not set"))
 
-	c.Assert(log.wait("TLS handshake error"), qt.Contains, `"listener":"peers"`)
+	c.Assert(log.waitFor("TLS handshake error"), qt.Contains, `"listener":"peers"`)
 
 	c.Assert(first.LiveDaemons(), qt.Equals, 2)
 	c.Assert(stranger.LiveDaemons(), qt.Equals, 1)
@@ -190,22 +193,22 @@
 
 	operatorURL := "https://" + first.OperatorAddress()
 	dial := (&net.Dialer{}).DialContext
-	transport := security.NewTransport(load(c, filesOf(good, good, "operator", "operator")), dial)
+	transport := security.NewTransport(loadCredentials(c, filesOf(good, good, "operator", "operator")), dial)
 	defer transport.CloseIdleConnections()
-	all, err := status(operator.NewClient(&http.Client{Transport: transport}, operatorURL), false)
+	all, err := fetchStatus(operator.NewClient(&http.Client{Transport: transport}, operatorURL), false)
 	c.Assert(err, qt.IsNil)
 	c.Assert(all.GetDaemons(), qt.HasLen, 2)
-	anonymous := security.NewTransport(load(c, security.Files{CA: filepath.Join(good, "operator-ca.pem")}), dial)
+	anonymous := security.NewTransport(loadCredentials(c, security.Files{CA: filepath.Join(good, "operator-ca.pem")}), dial)
 	defer anonymous.CloseIdleConnections()
-	_, err = status(operator.NewClient(&http.Client{Transport: anonymous}, operatorURL), false)
-	c.Assert(err, qt.IsNotNil, qt.Commentf("an operator without a certificate was answered"))
+	_, err = fetchStatus(operator.NewClient(&http.Client{Transport: anonymous}, operatorURL), false)
+	c.Assert(err, qt.IsNotNil, qt.Commentf("a request of an operator without a certificate was accepted"))
 
 	request := demo.Chat{Key: "key-dock-kiosks", Kind: "quick", Prompt: "lock of bike 7?", Stream: true}
 	got := request.Send(context.Background(), http.DefaultClient, second.CallerAddress())
 	c.Assert(got.Check(request), qt.IsNil)
 }
 
-func TestPlaintextNeedsItsFlag(t *testing.T) {
+func TestPlaintextRequiresItsFlag(t *testing.T) {
 	c := qt.New(t)
 	s, err := settings.Parse([]string{
 		"--name", "daemon", "--data-centre", "d", "--store-url", "http://127.0.0.1:1", "--host-list-url", "http://127.0.0.1:1",
