--- a/settings/contradiction.go
+++ b/settings/contradiction.go
@@ -6,7 +6,8 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// contradictions returns the faults of settings that are right one by one.
+// contradictions returns the faults of settings that are valid one by one but not
+// together.
 func contradictions(s *bronzeturnv1.Settings) problems {
 	var found problems
 	checkTLS(&found, "peer", s.GetPeerTlsCert(), s.GetPeerTlsKey(), s.GetPeerTlsCa(),
@@ -20,12 +21,13 @@
 	return found
 }
 
-// checkTLS reports files that are missing, or given beside plain text.
-func checkTLS(found *problems, who, cert, key, ca, plaintextFlag string, plaintext bool) {
+// checkTLS reports TLS files that are missing, or given although plain text is
+// allowed. All three are required unless it is.
+func checkTLS(found *problems, listener, cert, key, ca, plaintextFlag string, plaintext bool) {
 	files := []struct{ flag, path string }{
-		{who + "-tls-cert", cert},
-		{who + "-tls-key", key},
-		{who + "-tls-ca", ca},
+		{listener + "-tls-cert", cert},
+		{listener + "-tls-key", key},
+		{listener + "-tls-ca", ca},
 	}
 	for _, file := range files {
 		switch {
@@ -37,6 +39,8 @@
 	}
 }
 
+// checkCallerTLS reports files that are not of use without the others. Callers may
+// be served in plain text without a flag.
 func checkCallerTLS(found *problems, s *bronzeturnv1.Settings) {
 	cert, key := s.GetCallerTlsCert(), s.GetCallerTlsKey()
 	if cert == "" && key != "" {
@@ -50,8 +54,8 @@
 	}
 }
 
-// checkAdvertised reports an address that must be given because the listener
-// accepts on every address of the host.
+// checkAdvertised reports a missing address to advertise. It is required when the
+// listener accepts connections on every address of the host.
 func checkAdvertised(found *problems, flag, address, listenFlag, listen string) {
 	a, err := netip.ParseAddrPort(listen)
 	if address == "" && err == nil && a.Addr().IsUnspecified() {
@@ -59,7 +63,7 @@
 	}
 }
 
-// checkListeners reports listeners that would collide.
+// checkListeners reports listeners whose addresses overlap.
 func checkListeners(found *problems, s *bronzeturnv1.Settings) {
 	listeners := []struct{ flag, listen string }{
 		{"caller-listen", s.GetCallerListen()},
@@ -69,14 +73,15 @@
 	}
 	for i, one := range listeners {
 		for _, other := range listeners[:i] {
-			if collide(one.listen, other.listen) {
+			if overlap(one.listen, other.listen) {
 				found.add(one.flag, "is the same address as --%s", other.flag)
 			}
 		}
 	}
 }
 
-func collide(one, other string) bool {
+// overlap reports whether two listen addresses can't be used at the same time.
+func overlap(one, other string) bool {
 	a, errA := netip.ParseAddrPort(one)
 	b, errB := netip.ParseAddrPort(other)
 	if errA != nil || errB != nil || a.Port() == 0 || a.Port() != b.Port() {
--- a/settings/document.go
+++ b/settings/document.go
@@ -19,7 +19,7 @@
 |---|---|---|---|---|---|
 `
 
-// WriteDocument writes the table of settings as Markdown.
+// WriteDocument writes the reference of all settings as a Markdown table.
 func WriteDocument(w io.Writer) error {
 	var b strings.Builder
 	b.WriteString(documentHead)
@@ -39,7 +39,7 @@
 		return "`" + o.flag.GetDefault() + "`"
 	case o.flag.GetRequired():
 		return "none, required"
-	case o.isSwitch():
+	case o.isBool():
 		return "`false`"
 	default:
 		return ""
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -9,51 +9,53 @@
 	"github.com/alecthomas/kong"
 )
 
-// programName is the name shown by the help.
+// programName is the program's name in the help text.
 const programName = "bronzeturnd"
 
-// switchText keeps the text of a switch, so that a wrong value is reported
-// together with the other faults instead of ending the parse.
-type switchText string
+// boolText is the unparsed value of a boolean flag. As kong does not parse it, an
+// invalid value does not end the parse and is reported with the other faults.
+type boolText string
 
 // IsBool implements kong.BoolMapperValue.
-func (*switchText) IsBool() bool { return true }
+func (*boolText) IsBool() bool { return true }
 
 // Decode implements kong.MapperValue.
-func (t *switchText) Decode(ctx *kong.DecodeContext) error {
+func (t *boolText) Decode(ctx *kong.DecodeContext) error {
 	*t = "true"
 	if ctx.Scan.Peek().Type == kong.FlagValueToken {
-		*t = switchText(fmt.Sprint(ctx.Scan.Pop().Value))
+		*t = boolText(fmt.Sprint(ctx.Scan.Pop().Value))
 	}
 	return nil
 }
 
-// flagStruct returns a pointer to a new struct with one text field per option
-// and kong's tags.
+// flagStruct returns a pointer to a new struct for kong, with one field for the
+// unparsed value of each option.
 func flagStruct() reflect.Value {
 	fields := make([]reflect.StructField, len(options))
 	for i, o := range options {
 		fields[i] = reflect.StructField{
 			Name: fmt.Sprintf("Field%d", o.field.Number()),
 			Type: o.textType(),
-			Tag:  o.tag(),
+			Tag:  o.kongTag(),
 		}
 	}
 	return reflect.New(reflect.StructOf(fields))
 }
 
+// textType returns the type of the option's field in flagStruct.
 func (o option) textType() reflect.Type {
 	switch {
 	case o.field.IsList():
 		return reflect.TypeFor[[]string]()
-	case o.isSwitch():
-		return reflect.TypeFor[switchText]()
+	case o.isBool():
+		return reflect.TypeFor[boolText]()
 	default:
 		return reflect.TypeFor[string]()
 	}
 }
 
-func (o option) tag() reflect.StructTag {
+// kongTag returns the tag of the option's field in flagStruct.
+func (o option) kongTag() reflect.StructTag {
 	help := fmt.Sprintf("%s ($%s)", o.flag.GetHelp(), o.flag.GetEnv())
 	tag := fmt.Sprintf("name:%q help:%q", o.flag.GetName(), help)
 	if o.flag.GetDefault() != "" {
@@ -69,14 +71,14 @@
 	return kong.New(target,
 		kong.Name(programName),
 		kong.Description("Daemon of bronzeturn. Each flag can be given by its environment variable."),
-		kong.Resolvers(environment(environ)),
+		kong.Resolvers(environmentResolver(environ)),
 		kong.Writers(w, w),
 		kong.Exit(func(int) {}),
 	)
 }
 
-// parseFlags returns the texts of each flag: those of the command line, else
-// that of its variable, else the default.
+// parseFlags returns the unparsed values by flag name: those of the command line,
+// else of the environment variable, else the default.
 func parseFlags(args, environ []string) (map[string][]string, error) {
 	for _, arg := range args {
 		if arg == "--help" || arg == "-h" {
@@ -98,6 +100,7 @@
 	return texts, nil
 }
 
+// fieldTexts returns the values in a field of flagStruct.
 func fieldTexts(v reflect.Value) []string {
 	if list, ok := v.Interface().([]string); ok {
 		return list
@@ -108,8 +111,9 @@
 	return []string{v.String()}
 }
 
-// environment resolves flags by their variables in environ.
-func environment(environ []string) kong.Resolver {
+// environmentResolver returns a resolver that takes the values of flags from their
+// variables in environ.
+func environmentResolver(environ []string) kong.Resolver {
 	values := make(map[string]string)
 	for _, entry := range environ {
 		key, value, _ := strings.Cut(entry, "=")
@@ -124,9 +128,10 @@
 	})
 }
 
-// inspectArgs reports the arguments that the parser would stop at, so that
-// they are listed with the other faults, and returns the rest.
-func inspectArgs(args []string) (rest []string, found problems) {
+// checkArgs reports the arguments at which the parser would stop, so that they are
+// listed together with the other faults, and returns the remaining ones. If the
+// arguments ask for help, it returns that argument only.
+func checkArgs(args []string) (rest []string, found problems) {
 	for i := 0; i < len(args); i++ {
 		arg := args[i]
 		if arg == "--help" || arg == "-h" {
@@ -138,7 +143,7 @@
 		switch {
 		case !strings.HasPrefix(arg, "--") || !known:
 			found = append(found, Problem{Flag: arg, Message: "no such setting"})
-		case hasValue || o.isSwitch():
+		case hasValue || o.isBool():
 			rest = append(rest, arg)
 		case !next:
 			found.add(name, "needs a value")
@@ -150,7 +155,7 @@
 	return rest, found
 }
 
-// WriteHelp writes the list of flags with their variables and defaults.
+// WriteHelp writes the help text: all flags with their variables and defaults.
 func WriteHelp(w io.Writer) error {
 	parser, err := newParser(flagStruct().Interface(), nil, w)
 	if err != nil {
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -6,13 +6,13 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// option is one field of Settings with the description of its flag.
+// option is a field of message Settings with the description of its flag.
 type option struct {
 	field protoreflect.FieldDescriptor
 	flag  *bronzeturnv1.Flag
 }
 
-// options holds all settings in the order of the schema.
+// options holds all settings in the order of the fields of message Settings.
 var options = readOptions()
 
 func readOptions() []option {
@@ -26,7 +26,7 @@
 	return list
 }
 
-// optionNamed returns the option of a flag name without dashes.
+// optionNamed returns the option of a flag. The name has no leading dashes.
 func optionNamed(name string) (option, bool) {
 	for _, o := range options {
 		if o.flag.GetName() == name {
@@ -36,4 +36,4 @@
 	return option{}, false
 }
 
-func (o option) isSwitch() bool { return o.field.Kind() == protoreflect.BoolKind }
+func (o option) isBool() bool { return o.field.Kind() == protoreflect.BoolKind }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,9 +1,10 @@
 // Package settings reads the settings of a daemon from flags and environment
-// variables. The schema of message Settings names each flag with its variable,
-// default, unit and bounds; this package derives the rest from it.
+// variables. The flag option of each field in message Settings defines the flag,
+// its environment variable, default, unit and bounds. This package derives the
+// command line, the checks and the documentation from it.
 //
-// A flag goes before its variable, a variable before the default. An empty
-// variable counts as absent.
+// A flag takes precedence over its variable, and the variable over the default. An
+// empty variable counts as absent.
 package settings
 
 import (
@@ -14,18 +15,19 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// ErrHelp reports that the arguments ask for help. WriteHelp gives it.
+// ErrHelp reports that the arguments ask for help, which WriteHelp writes.
 var ErrHelp = errors.New("help requested")
 
 // Problem is one fault of the settings.
 type Problem struct {
-	// Flag is the name of the flag at fault, with dashes. It is the argument
-	// itself when no flag has that name.
+	// Flag is the name of the invalid flag, with dashes, or the argument itself
+	// if it names no flag.
 	Flag    string
 	Message string
 }
 
-// Error holds every fault found, in the order of the schema.
+// Error lists every fault found: first arguments that name no flag or lack their
+// value, then invalid values in the order of message Settings.
 type Error struct {
 	Problems []Problem
 }
@@ -54,10 +56,12 @@
 }
 
 // Parse returns the settings given by args, which exclude the program's name,
-// and by environ, which holds entries of the form "key=value". It fails with
-// ErrHelp, or with an *Error that lists every wrong or contradictory setting.
+// and by environ, which holds entries of the form "key=value". It returns ErrHelp
+// if the arguments ask for help, and an *Error that lists every fault if settings
+// are invalid. Contradictions between settings are checked only if there is no other
+// fault.
 func Parse(args, environ []string) (*bronzeturnv1.Settings, error) {
-	args, found := inspectArgs(args)
+	args, found := checkArgs(args)
 	texts, err := parseFlags(args, environ)
 	if errors.Is(err, ErrHelp) {
 		return nil, err
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,12 +12,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var update = flag.Bool("update", false, "write docs/operating/settings.md anew")
+var update = flag.Bool("update", false, "rewrite docs/operating/settings.md")
 
 const documentPath = "../docs/operating/settings.md"
 
-// minimal returns the fewest arguments that are accepted, followed by more.
-func minimal(more ...string) []string {
+// withRequired returns the required arguments, followed by more.
+func withRequired(more ...string) []string {
 	args := []string{
 		"--name=h1", "--data-centre=hall-centro",
 		"--store-url=http://127.0.0.1:9000", "--host-list-url=http://127.0.0.1:9001",
@@ -26,13 +26,13 @@
 	return append(args, more...)
 }
 
-func TestParseTakesFlagBeforeVariableBeforeDefault(t *testing.T) {
+func TestParsePrefersFlagOverVariableOverDefault(t *testing.T) {
 	c := qt.New(t)
 	environ := []string{
 		"BRONZETURN_RATING_URL=http://r", "BRONZETURN_STOP_TIMEOUT=20s",
 		"BRONZETURN_SEEDS=10.0.0.1:1,10.0.0.2:2", "BRONZETURN_ADMIN_PPROF=true", "BRONZETURN_LOG_LEVEL=",
 	}
-	s, err := Parse(minimal("--stop-timeout", "30s", "--ledger-fleet-writes=2.5"), environ)
+	s, err := Parse(withRequired("--stop-timeout", "30s", "--ledger-fleet-writes=2.5"), environ)
 	c.Assert(err, qt.IsNil)
 	c.Check(s.GetName(), qt.Equals, "h1")
 	c.Check(s.GetRatingUrl(), qt.Equals, "http://r")
@@ -46,33 +46,33 @@
 	c.Check(s.GetMaxBodyBytes(), qt.Equals, int64(4<<20))
 }
 
-func TestParseNamesTheFlagAtFault(t *testing.T) {
+func TestParseNamesInvalidFlags(t *testing.T) {
 	tests := []struct {
 		name    string
 		args    []string
 		environ []string
 		flags   []string
 	}{
-		{name: "unknown flag", args: minimal("--nmae=x"), flags: []string{"--nmae=x"}},
-		{name: "positional argument", args: minimal("x"), flags: []string{"x"}},
-		{name: "flag without a value", args: minimal("--rating-url"), flags: []string{"--rating-url"}},
-		{name: "number below its bound", args: minimal("--max-body-bytes=5"), flags: []string{"--max-body-bytes"}},
-		{name: "number above its bound", args: minimal("--engine-subset-size=10001"), flags: []string{"--engine-subset-size"}},
-		{name: "not a number", args: minimal("--retry-budget-ratio=NaN"), flags: []string{"--retry-budget-ratio"}},
-		{name: "fraction of a whole number", args: minimal("--ledger-shards=1.5"), flags: []string{"--ledger-shards"}},
-		{name: "duration without a unit", args: minimal("--stop-timeout=5"), flags: []string{"--stop-timeout"}},
-		{name: "duration above its bound", args: minimal("--entries-keep=11m"), flags: []string{"--entries-keep"}},
-		{name: "wrong switch in a variable", args: minimal(), environ: []string{"BRONZETURN_ADMIN_PPROF=maybe"}, flags: []string{"--admin-pprof"}},
-		{name: "unknown choice", args: minimal("--log-format=xml"), flags: []string{"--log-format"}},
-		{name: "host name as an address", args: minimal("--caller-address=localhost:80"), flags: []string{"--caller-address"}},
-		{name: "unspecified advertised address", args: minimal("--peer-address=0.0.0.0:80"), flags: []string{"--peer-address"}},
-		{name: "one wrong seed", args: minimal("--seeds=10.0.0.1:1,x"), flags: []string{"--seeds"}},
-		{name: "URL with a password", args: minimal("--rating-url=http://a:b@h/"), flags: []string{"--rating-url"}},
-		{name: "listen everywhere without an address", args: minimal("--caller-listen=0.0.0.0:80", "--peer-listen=[::]:81"), flags: []string{"--caller-address", "--peer-address"}},
-		{name: "two listeners on one port", args: minimal("--admin-listen=0.0.0.0:8080"), flags: []string{"--admin-listen"}},
-		{name: "TLS files beside plain text", args: minimal("--peer-tls-cert=c"), flags: []string{"--peer-tls-cert"}},
-		{name: "caller certificate without a key", args: minimal("--caller-tls-cert=c"), flags: []string{"--caller-tls-key"}},
-		{name: "caller authority alone", args: minimal("--caller-tls-ca=c"), flags: []string{"--caller-tls-ca"}},
+		{name: "unknown flag", args: withRequired("--nmae=x"), flags: []string{"--nmae=x"}},
+		{name: "positional argument", args: withRequired("x"), flags: []string{"x"}},
+		{name: "flag without a value", args: withRequired("--rating-url"), flags: []string{"--rating-url"}},
+		{name: "number below its bound", args: withRequired("--max-body-bytes=5"), flags: []string{"--max-body-bytes"}},
+		{name: "number above its bound", args: withRequired("--engine-subset-size=10001"), flags: []string{"--engine-subset-size"}},
+		{name: "not a number", args: withRequired("--retry-budget-ratio=NaN"), flags: []string{"--retry-budget-ratio"}},
+		{name: "fraction of a whole number", args: withRequired("--ledger-shards=1.5"), flags: []string{"--ledger-shards"}},
+		{name: "duration without a unit", args: withRequired("--stop-timeout=5"), flags: []string{"--stop-timeout"}},
+		{name: "duration above its bound", args: withRequired("--entries-keep=11m"), flags: []string{"--entries-keep"}},
+		{name: "invalid boolean in a variable", args: withRequired(), environ: []string{"BRONZETURN_ADMIN_PPROF=maybe"}, flags: []string{"--admin-pprof"}},
+		{name: "unknown choice", args: withRequired("--log-format=xml"), flags: []string{"--log-format"}},
+		{name: "host name as an address", args: withRequired("--caller-address=localhost:80"), flags: []string{"--caller-address"}},
+		{name: "unspecified advertised address", args: withRequired("--peer-address=0.0.0.0:80"), flags: []string{"--peer-address"}},
+		{name: "one invalid seed", args: withRequired("--seeds=10.0.0.1:1,x"), flags: []string{"--seeds"}},
+		{name: "URL with a password", args: withRequired("--rating-url=http://a:b@h/"), flags: []string{"--rating-url"}},
+		{name: "listeners on all addresses without an address to advertise", args: withRequired("--caller-listen=0.0.0.0:80", "--peer-listen=[::]:81"), flags: []string{"--caller-address", "--peer-address"}},
+		{name: "two listeners on the same port", args: withRequired("--admin-listen=0.0.0.0:8080"), flags: []string{"--admin-listen"}},
+		{name: "TLS file although plain text is allowed", args: withRequired("--peer-tls-cert=c"), flags: []string{"--peer-tls-cert"}},
+		{name: "caller certificate without a key", args: withRequired("--caller-tls-cert=c"), flags: []string{"--caller-tls-key"}},
+		{name: "caller authority without a certificate", args: withRequired("--caller-tls-ca=c"), flags: []string{"--caller-tls-ca"}},
 		{
 			name:  "all faults at once",
 			args:  []string{"--name=a b", "--store-url=x", "--host-list-url=http://h", "--wrong", "--log-level=loud"},
@@ -113,7 +113,7 @@
 			continue
 		}
 		for _, text := range []string{o.flag.GetMin(), o.flag.GetMax(), o.flag.GetDefault()} {
-			_, err := o.value(text)
+			_, err := o.parse(text)
 			c.Check(err, qt.IsNil, qt.Commentf("%s: %q", name, text))
 		}
 	}
@@ -143,12 +143,12 @@
 	c.Check(string(have), qt.Equals, b.String(), qt.Commentf("run: go test ./settings -run TestDocument -update"))
 }
 
-func FuzzParseNeverAcceptsHalf(f *testing.F) {
+func FuzzParseNeverAcceptsMissingSettings(f *testing.F) {
 	f.Add("--name=x", "--stop-timeout", "1h", "BRONZETURN_SEEDS=1.2.3.4:5")
 	f.Add("--", "-", "--=", "=")
 	f.Add("--admin-pprof=false", "--no-admin-pprof", "--seeds=,", "BRONZETURN_ADMIN_PPROF=1")
 	f.Fuzz(func(t *testing.T, a, b, c, env string) {
-		s, err := Parse(minimal(a, b, c), []string{env})
+		s, err := Parse(withRequired(a, b, c), []string{env})
 		if err == nil && (s.GetName() == "" || s.GetStoreUrl() == "" || s.GetStopTimeout().AsDuration() < time.Second) {
 			t.Fatalf("accepted without required settings: %v", s)
 		}
--- a/settings/value.go
+++ b/settings/value.go
@@ -17,17 +17,17 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Faults of a single value.
+// Errors for a single value.
 var (
-	errMissing = errors.New("must be given")
-	errSwitch  = errors.New("must be true or false")
-	errInteger = errors.New("must be a whole number")
-	errNumber  = errors.New("must be a number")
-	errTime    = errors.New(`must be a duration such as "500ms" or "2m"`)
-	errName    = errors.New("must be made of letters, digits, dots, dashes and underscores")
-	errAddress = errors.New("must be an IP address and a port, such as 10.0.0.1:8080")
-	errListen  = errors.New("must be an IP address and a port, such as 0.0.0.0:8080")
-	errURL     = errors.New("must be an http or https URL without query")
+	errMissing  = errors.New("must be given")
+	errBool     = errors.New("must be true or false")
+	errInteger  = errors.New("must be a whole number")
+	errNumber   = errors.New("must be a number")
+	errDuration = errors.New(`must be a duration such as "500ms" or "2m"`)
+	errName     = errors.New("must be made of letters, digits, dots, dashes and underscores")
+	errAddress  = errors.New("must be an IP address and a port, such as 10.0.0.1:8080")
+	errListen   = errors.New("must be an IP address and a port, such as 0.0.0.0:8080")
+	errURL      = errors.New("must be an http or https URL without query")
 )
 
 // boundError reports a value outside its bounds.
@@ -40,7 +40,7 @@
 	return strings.TrimSpace(fmt.Sprintf("must be from %s to %s %s", e.min, e.max, e.unit))
 }
 
-// choiceError reports a value that is not one of the accepted ones.
+// choiceError reports a value that is not among the accepted ones.
 type choiceError struct {
 	values []string
 }
@@ -50,7 +50,7 @@
 	return "must be one of " + strings.Join(e.values, ", ")
 }
 
-// set checks the texts of the option and stores them in the message.
+// set converts and checks the values of the option and stores them in the message.
 func (o option) set(m protoreflect.Message, texts []string) error {
 	if len(texts) == 0 {
 		if o.flag.GetRequired() {
@@ -61,7 +61,7 @@
 	if o.field.IsList() {
 		return o.setList(m, texts)
 	}
-	value, err := o.value(texts[0])
+	value, err := o.parse(texts[0])
 	if err != nil {
 		return err
 	}
@@ -69,10 +69,11 @@
 	return nil
 }
 
+// setList is set for a repeated field.
 func (o option) setList(m protoreflect.Message, texts []string) error {
 	list := m.Mutable(o.field).List()
 	for _, text := range texts {
-		value, err := o.value(text)
+		value, err := o.parse(text)
 		if err != nil {
 			return err
 		}
@@ -81,22 +82,22 @@
 	return nil
 }
 
-// value converts and checks one text.
-func (o option) value(text string) (protoreflect.Value, error) {
+// parse converts one value to the type of the option's field and checks it.
+func (o option) parse(text string) (protoreflect.Value, error) {
 	switch o.field.Kind() {
 	case protoreflect.BoolKind:
 		b, err := strconv.ParseBool(text)
 		if err != nil {
-			return protoreflect.Value{}, errSwitch
+			return protoreflect.Value{}, errBool
 		}
 		return protoreflect.ValueOfBool(b), nil
 	case protoreflect.Int32Kind, protoreflect.Int64Kind:
-		return o.integer(text)
+		return o.parseInteger(text)
 	case protoreflect.DoubleKind:
-		n, err := o.bounded(text, number, errNumber)
+		n, err := o.parseBounded(text, parseNumber, errNumber)
 		return protoreflect.ValueOfFloat64(n), err
 	case protoreflect.MessageKind:
-		seconds, err := o.bounded(text, seconds, errTime)
+		seconds, err := o.parseBounded(text, parseSeconds, errDuration)
 		d := durationpb.New(time.Duration(math.Round(seconds * float64(time.Second))))
 		return protoreflect.ValueOfMessage(d.ProtoReflect()), err
 	default:
@@ -104,12 +105,12 @@
 	}
 }
 
-func (o option) integer(text string) (protoreflect.Value, error) {
+func (o option) parseInteger(text string) (protoreflect.Value, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return protoreflect.Value{}, errInteger
 	}
-	if _, err := o.bounded(text, number, errInteger); err != nil {
+	if _, err := o.parseBounded(text, parseNumber, errInteger); err != nil {
 		return protoreflect.Value{}, err
 	}
 	if o.field.Kind() == protoreflect.Int32Kind {
@@ -118,11 +119,12 @@
 	return protoreflect.ValueOfInt64(n), nil
 }
 
-// bounded converts the text and compares it with the bounds of the flag.
-func (o option) bounded(text string, convert func(string) (float64, error), fault error) (float64, error) {
+// parseBounded converts the text and checks it against the bounds of the flag. It
+// returns invalid if the text can't be converted.
+func (o option) parseBounded(text string, convert func(string) (float64, error), invalid error) (float64, error) {
 	n, err := convert(text)
 	if err != nil || math.IsNaN(n) {
-		return 0, fault
+		return 0, invalid
 	}
 	low, _ := convert(o.flag.GetMin())
 	high, _ := convert(o.flag.GetMax())
@@ -132,7 +134,8 @@
 	return n, nil
 }
 
-// boundUnit returns the unit to print after a bound. Durations carry theirs.
+// boundUnit returns the unit to print after a bound. The bounds of durations include
+// their units.
 func (o option) boundUnit() string {
 	if o.field.Kind() == protoreflect.MessageKind {
 		return ""
@@ -140,47 +143,52 @@
 	return o.flag.GetUnit()
 }
 
-func number(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
+func parseNumber(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
 
-func seconds(text string) (float64, error) {
+func parseSeconds(text string) (float64, error) {
 	d, err := time.ParseDuration(text)
 	return d.Seconds(), err
 }
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
 
+// checkText checks a string against the accepted values and the format of the flag.
 func (o option) checkText(text string) error {
 	if values := o.flag.GetValues(); len(values) > 0 && !slices.Contains(values, text) {
 		return &choiceError{values: values}
 	}
 	switch o.flag.GetFormat() {
 	case bronzeturnv1.Format_FORMAT_NAME:
-		return check(namePattern.MatchString(text), errName)
+		return errorUnless(namePattern.MatchString(text), errName)
 	case bronzeturnv1.Format_FORMAT_ADDRESS:
-		return check(isAddress(text), errAddress)
+		return errorUnless(isAddress(text), errAddress)
 	case bronzeturnv1.Format_FORMAT_LISTEN:
 		_, err := netip.ParseAddrPort(text)
-		return check(err == nil, errListen)
+		return errorUnless(err == nil, errListen)
 	case bronzeturnv1.Format_FORMAT_URL:
-		return check(isURL(text), errURL)
+		return errorUnless(isURL(text), errURL)
 	default:
 		return nil
 	}
 }
 
-func check(ok bool, fault error) error {
+// errorUnless returns nil if ok is true, otherwise err.
+func errorUnless(ok bool, err error) error {
 	if ok {
 		return nil
 	}
-	return fault
+	return err
 }
 
-// isAddress tells whether others can connect to the text.
+// isAddress reports whether the text is an address and port that others can connect
+// to: neither may be unspecified.
 func isAddress(text string) bool {
 	a, err := netip.ParseAddrPort(text)
 	return err == nil && a.Port() != 0 && !a.Addr().IsUnspecified()
 }
 
+// isURL reports whether the text is an http or https URL without query, fragment and
+// credentials.
 func isURL(text string) bool {
 	u, err := url.Parse(text)
 	if err != nil || u.Host == "" || u.RawQuery != "" || u.Fragment != "" || u.User != nil {
