--- a/configuration_test.go
+++ b/configuration_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	for name, n := range clients {
-		c.Check(n <= maxClients, qt.IsTrue, qt.Commentf("%d daemons fetch from %s", n, name))
+		c.Check(n <= maxClients, qt.IsTrue, qt.Commentf("%s serves %d daemons", name, n))
 	}
 	c.Assert(countHops(names, watchers, sources) <= maxHops, qt.IsTrue)
 }
--- a/edge_bench_test.go
+++ b/edge_bench_test.go
@@ -109,7 +109,7 @@
 	s.daemon, s.admin = started.Callers, started.Admin
 	deadline := time.Now().Add(waitLimit)
 	for !s.ready() {
-		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("daemon not ready within %s", waitLimit))
+		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("daemon not ready in time"))
 		time.Sleep(20 * time.Millisecond)
 	}
 	return s
