--- a/security/development.go
+++ b/security/development.go
@@ -17,20 +17,21 @@
 	"time"
 )
 
-// serialBits is the size of random serial numbers.
+// serialBits is the size of the random serial numbers.
 const serialBits = 120
 
-// clockTolerance moves the start of validity back, for clocks that are behind.
+// clockTolerance is how long before Start the certificates are already valid, for
+// hosts whose clocks are behind.
 const clockTolerance = 5 * time.Minute
 
-// Permissions of the files written.
+// Permissions of the directory and the files written.
 const (
 	directoryMode   = 0o755
 	certificateMode = 0o644
 	keyMode         = 0o600
 )
 
-// Roles of certificates. Each has its own authority, so that a certificate for
+// Roles of certificates. Each role has its own authority, so that a certificate for
 // one listener is refused by the others.
 const (
 	rolePeer     = "peer"
@@ -38,24 +39,25 @@
 	roleCaller   = "caller"
 )
 
-// ErrHostName reports a host that can't be a file name and a subject.
+// ErrHostName reports a host that can't be used as a file name and as the subject of
+// a certificate.
 var ErrHostName = errors.New("host must be an IP address or a DNS name")
 
 var hostPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9.:-]*$`)
 
-// Development describes certificates for trying things out.
+// Development describes certificates for development and tests.
 type Development struct {
 	// Hosts are the IP addresses or DNS names of the daemons.
 	Hosts []string
-	// Start and Validity bound the time in which the certificates hold.
+	// Start and Validity define the period in which the certificates are valid.
 	Start    time.Time
 	Validity time.Duration
 }
 
-// WriteDevelopment creates, in directory, an authority for each of peers,
-// operators and callers, a certificate of each for every host, and one client
-// certificate for the operator. It returns the paths written. Existing files
-// are never overwritten: the call fails at the first one.
+// WriteDevelopment creates in directory an authority for each role (peer, operator,
+// caller), a certificate of each authority for every host, and one client
+// certificate for the operator. It returns the paths written. It never overwrites a
+// file: it fails at the first one that exists.
 func WriteDevelopment(directory string, d Development) ([]string, error) {
 	for _, host := range d.Hosts {
 		if !hostPattern.MatchString(host) {
@@ -65,7 +67,7 @@
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return nil, fmt.Errorf("create directory: %w", err)
 	}
-	w := &writer{directory: directory}
+	w := &certificateWriter{directory: directory}
 	for _, role := range []string{rolePeer, roleOperator, roleCaller} {
 		if err := w.writeRole(role, d); err != nil {
 			return w.paths, err
@@ -74,18 +76,19 @@
 	return w.paths, nil
 }
 
-// writer writes certificates into a directory and remembers the paths.
-type writer struct {
+// certificateWriter writes certificates into a directory and records the paths.
+type certificateWriter struct {
 	directory string
 	paths     []string
 }
 
-func (w *writer) writeRole(role string, d Development) error {
+// writeRole writes the authority and the certificates of a role.
+func (w *certificateWriter) writeRole(role string, d Development) error {
 	authority, err := newAuthority("bronzeturn development "+role, d.Start, d.Validity)
 	if err != nil {
 		return err
 	}
-	if err := w.write(role+"-ca", authority); err != nil {
+	if err := w.writePair(role+"-ca", authority); err != nil {
 		return err
 	}
 	for _, host := range d.Hosts {
@@ -93,7 +96,7 @@
 		if err != nil {
 			return err
 		}
-		if err := w.write(host+"-"+role, pair); err != nil {
+		if err := w.writePair(host+"-"+role, pair); err != nil {
 			return err
 		}
 	}
@@ -104,21 +107,21 @@
 	if err != nil {
 		return err
 	}
-	return w.write(role, pair)
+	return w.writePair(role, pair)
 }
 
-func (w *writer) write(name string, p *pair) error {
+func (w *certificateWriter) writePair(name string, p *keyPair) error {
 	key, err := x509.MarshalPKCS8PrivateKey(p.key)
 	if err != nil {
 		return fmt.Errorf("encode key: %w", err)
 	}
-	if err := w.create(name+".pem", "CERTIFICATE", p.certificate.Raw, certificateMode); err != nil {
+	if err := w.createFile(name+".pem", "CERTIFICATE", p.certificate.Raw, certificateMode); err != nil {
 		return err
 	}
-	return w.create(name+"-key.pem", "PRIVATE KEY", key, keyMode)
+	return w.createFile(name+"-key.pem", "PRIVATE KEY", key, keyMode)
 }
 
-func (w *writer) create(name, kind string, content []byte, mode os.FileMode) error {
+func (w *certificateWriter) createFile(name, kind string, content []byte, mode os.FileMode) error {
 	path := filepath.Join(w.directory, name)
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
@@ -129,31 +132,31 @@
 	return errors.Join(err, file.Close())
 }
 
-// pair is a certificate with its key.
-type pair struct {
+// keyPair is a certificate with its private key.
+type keyPair struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// subject says whom a certificate is for.
+// subject describes the holder of a certificate and its uses.
 type subject struct {
 	name           string
 	hosts          []string
 	server, client bool
 }
 
-func newAuthority(name string, start time.Time, validity time.Duration) (*pair, error) {
+func newAuthority(name string, start time.Time, validity time.Duration) (*keyPair, error) {
 	template, err := newTemplate(name, start, validity)
 	if err != nil {
 		return nil, err
 	}
 	template.IsCA = true
 	template.KeyUsage = x509.KeyUsageCertSign
-	return sign(template, nil)
+	return signTemplate(template, nil)
 }
 
 // issue returns a certificate signed by the authority p.
-func (p *pair) issue(s subject, start time.Time, validity time.Duration) (*pair, error) {
+func (p *keyPair) issue(s subject, start time.Time, validity time.Duration) (*keyPair, error) {
 	template, err := newTemplate(s.name, start, validity)
 	if err != nil {
 		return nil, err
@@ -172,13 +175,13 @@
 		}
 		template.DNSNames = append(template.DNSNames, host)
 	}
-	return sign(template, p)
+	return signTemplate(template, p)
 }
 
 func newTemplate(name string, start time.Time, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, fmt.Errorf("draw serial number: %w", err)
+		return nil, fmt.Errorf("generate serial number: %w", err)
 	}
 	return &x509.Certificate{
 		SerialNumber:          serial,
@@ -189,8 +192,9 @@
 	}, nil
 }
 
-// sign makes a key for the template and signs with it, or with the authority.
-func sign(template *x509.Certificate, authority *pair) (*pair, error) {
+// signTemplate generates a key and returns a certificate for it, signed by the
+// authority, or self-signed if that is nil.
+func signTemplate(template *x509.Certificate, authority *keyPair) (*keyPair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("generate key: %w", err)
@@ -207,5 +211,5 @@
 	if err != nil {
 		return nil, fmt.Errorf("parse certificate: %w", err)
 	}
-	return &pair{certificate: certificate, key: key}, nil
+	return &keyPair{certificate: certificate, key: key}, nil
 }
--- a/security/security.go
+++ b/security/security.go
@@ -1,9 +1,9 @@
-// Package security builds the TLS of the listeners and clients between daemons,
-// operators and callers with the standard library. Peers and operators present
-// certificates to each other; each listener trusts only its own authorities.
+// Package security provides the TLS configurations of the listeners and clients of
+// daemons, operators and callers. Connections between peers and those of operators
+// use mutual TLS, and each listener trusts only its own authorities.
 //
-// Certificates may be replaced while the process runs: files that changed are
-// read again at the next handshake. Established connections stay as they are.
+// Certificates may be replaced while the process runs: changed files are reloaded at
+// the next handshake. Established connections are not affected.
 package security
 
 import (
@@ -18,19 +18,20 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// checkInterval bounds how often the files are looked at.
+// checkInterval is the minimum time between two checks of the files for changes.
 const checkInterval = time.Second
 
-// protocolHTTP2 and protocolHTTP1 are the protocols offered by ALPN.
+// Protocols offered by ALPN.
 const (
 	protocolHTTP2 = "h2"
 	protocolHTTP1 = "http/1.1"
 )
 
-// ErrNoAuthority reports a file of authorities without a certificate.
+// ErrNoAuthority reports a CA file that contains no certificate.
 var ErrNoAuthority = errors.New("no certificate found")
 
-// FileError reports a certificate or key file that can't be used.
+// FileError reports a certificate, key or CA file that can't be used. For an invalid
+// key or one of another certificate, Path names the certificate.
 type FileError struct {
 	Path  string
 	Cause error
@@ -42,29 +43,28 @@
 // Unwrap returns the cause.
 func (e *FileError) Unwrap() error { return e.Cause }
 
-// Files are the paths of one certificate, its key, and the authorities that
-// sign the other side. All are PEM.
+// Files holds the paths of a certificate, its private key, and the authorities that
+// the other side's certificate is verified with. All files are PEM.
 type Files struct {
 	Cert, Key, CA string
 }
 
-// PeerFiles returns the files used between daemons.
+// PeerFiles returns the files for connections between daemons.
 func PeerFiles(s *bronzeturnv1.Settings) Files {
 	return Files{Cert: s.GetPeerTlsCert(), Key: s.GetPeerTlsKey(), CA: s.GetPeerTlsCa()}
 }
 
-// OperatorFiles returns the files used towards operators.
+// OperatorFiles returns the files of the operators' listener.
 func OperatorFiles(s *bronzeturnv1.Settings) Files {
 	return Files{Cert: s.GetOperatorTlsCert(), Key: s.GetOperatorTlsKey(), CA: s.GetOperatorTlsCa()}
 }
 
-// CallerFiles returns the files used towards callers.
+// CallerFiles returns the files of the callers' listener.
 func CallerFiles(s *bronzeturnv1.Settings) Files {
 	return Files{Cert: s.GetCallerTlsCert(), Key: s.GetCallerTlsKey(), CA: s.GetCallerTlsCa()}
 }
 
-// Warnings returns what an operator should know about insecure settings, one
-// short sentence each, to be logged at start.
+// Warnings returns a message for each insecure setting, to be logged at start.
 func Warnings(s *bronzeturnv1.Settings) []string {
 	var list []string
 	if s.GetInsecurePlaintextPeers() {
@@ -79,58 +79,59 @@
 	return list
 }
 
-// material is what one reading of the files gave.
-type material struct {
+// keyMaterial is the content of the files, as read at one time.
+type keyMaterial struct {
 	certificates []tls.Certificate
 	authorities  *x509.CertPool
-	modified     modified
+	modified     modTimes
 }
 
-// modified holds the modification times of the files.
-type modified struct {
+// modTimes holds the modification times of the files.
+type modTimes struct {
 	cert, key, ca time.Time
 }
 
-// Credentials holds the certificate and authorities of one listener or client.
-// It is safe for concurrent use.
+// Credentials holds the certificate and authorities of one listener or client and
+// reloads them when the files change. It is safe for concurrent use.
 type Credentials struct {
 	files    Files
 	onReload func(error)
 
 	mu      sync.Mutex
-	current material
+	current keyMaterial
 	checked time.Time
 }
 
-// Load reads the files. An empty Cert gives a client without certificate, an
-// empty CA a server that asks for none and a client that trusts the system's
-// authorities. onReload, which may be nil, is told of each later reading: nil
-// when new files are in use, an error when they can't be used and the old ones
-// stay.
+// Load reads the files. With an empty Cert, clients present no certificate. With an
+// empty CA, servers request none and clients trust the system's authorities.
+//
+// If onReload is not nil, it is called after each later reload: with nil if the new
+// files are in use, or with an error if they are invalid and the previous ones stay
+// in use.
 func Load(files Files, onReload func(error)) (*Credentials, error) {
 	if onReload == nil {
 		onReload = func(error) {}
 	}
-	m, err := read(files)
+	m, err := readFiles(files)
 	if err != nil {
 		return nil, err
 	}
 	return &Credentials{files: files, onReload: onReload, current: m, checked: time.Now()}, nil
 }
 
-// material returns what is in the files, read again if they changed.
-func (c *Credentials) material() material {
+// latest returns the key material, reloaded if the files have changed.
+func (c *Credentials) latest() keyMaterial {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if time.Since(c.checked) < checkInterval {
 		return c.current
 	}
 	c.checked = time.Now()
-	times, err := stat(c.files)
+	times, err := statFiles(c.files)
 	if err == nil && times == c.current.modified {
 		return c.current
 	}
-	m, err := read(c.files)
+	m, err := readFiles(c.files)
 	c.onReload(err)
 	if err == nil {
 		c.current = m
@@ -138,16 +139,16 @@
 	return c.current
 }
 
-func read(files Files) (material, error) {
-	times, err := stat(files)
+func readFiles(files Files) (keyMaterial, error) {
+	times, err := statFiles(files)
 	if err != nil {
-		return material{}, err
+		return keyMaterial{}, err
 	}
-	m := material{modified: times}
+	m := keyMaterial{modified: times}
 	if files.Cert != "" {
 		certificate, err := tls.LoadX509KeyPair(files.Cert, files.Key)
 		if err != nil {
-			return material{}, &FileError{Path: files.Cert, Cause: err}
+			return keyMaterial{}, &FileError{Path: files.Cert, Cause: err}
 		}
 		m.certificates = []tls.Certificate{certificate}
 	}
@@ -169,8 +170,8 @@
 	return pool, nil
 }
 
-func stat(files Files) (modified, error) {
-	var m modified
+func statFiles(files Files) (modTimes, error) {
+	var m modTimes
 	times := []struct {
 		path string
 		time *time.Time
--- a/security/security_test.go
+++ b/security/security_test.go
@@ -18,8 +18,8 @@
 
 const host = "127.0.0.1"
 
-// development writes certificates into a new directory.
-func development(t *testing.T, start time.Time) string {
+// writeDevelopment writes certificates into a new directory.
+func writeDevelopment(t *testing.T, start time.Time) string {
 	t.Helper()
 	directory := t.TempDir()
 	_, err := WriteDevelopment(directory, Development{Hosts: []string{host}, Start: start, Validity: time.Hour})
@@ -27,8 +27,9 @@
 	return directory
 }
 
-// files returns the files named cert in directory, with the authority of role.
-func files(directory, cert, role string) Files {
+// filesOf returns the paths of the certificate named cert in directory, with the
+// authority of role.
+func filesOf(directory, cert, role string) Files {
 	return Files{
 		Cert: filepath.Join(directory, cert+".pem"),
 		Key:  filepath.Join(directory, cert+"-key.pem"),
@@ -36,8 +37,8 @@
 	}
 }
 
-// serve starts an HTTP/2 server with the files and returns its URL.
-func serve(t *testing.T, f Files) string {
+// startServer starts an HTTP/2 server with the files and returns its URL.
+func startServer(t *testing.T, f Files) string {
 	t.Helper()
 	credentials, err := Load(f, nil)
 	qt.Assert(t, err, qt.IsNil)
@@ -52,15 +53,16 @@
 	return server.URL
 }
 
-// ask sends one request on a new connection and returns the protocol used.
-func ask(t *testing.T, f Files, url string) (string, error) {
+// requestProtocol sends a request on a new connection and returns the protocol used.
+func requestProtocol(t *testing.T, f Files, url string) (string, error) {
 	t.Helper()
 	credentials, err := Load(f, nil)
 	qt.Assert(t, err, qt.IsNil)
-	return askWith(credentials, url)
+	return requestProtocolWith(credentials, url)
 }
 
-func askWith(credentials *Credentials, url string) (string, error) {
+// requestProtocolWith is requestProtocol with loaded credentials.
+func requestProtocolWith(credentials *Credentials, url string) (string, error) {
 	transport := NewTransport(credentials, (&net.Dialer{}).DialContext)
 	defer transport.CloseIdleConnections()
 	answer, err := (&http.Client{Transport: transport}).Get(url)
@@ -74,33 +76,33 @@
 
 func TestHandshake(t *testing.T) {
 	now := time.Now()
-	good, other := development(t, now), development(t, now)
-	expired := development(t, now.Add(-2*time.Hour))
+	good, other := writeDevelopment(t, now), writeDevelopment(t, now)
+	expired := writeDevelopment(t, now.Add(-2*time.Hour))
 	peer := host + "-peer"
-	noCert := files(good, peer, "peer")
+	noCert := filesOf(good, peer, "peer")
 	noCert.Cert, noCert.Key = "", ""
-	expiredClient := files(expired, peer, "peer")
-	expiredClient.CA = files(good, peer, "peer").CA
-	otherClient := files(other, peer, "peer")
-	otherClient.CA = files(good, peer, "peer").CA
+	expiredClient := filesOf(expired, peer, "peer")
+	expiredClient.CA = filesOf(good, peer, "peer").CA
+	otherClient := filesOf(other, peer, "peer")
+	otherClient.CA = filesOf(good, peer, "peer").CA
 	tests := []struct {
 		name           string
 		server, client Files
 		accepted       bool
 	}{
-		{"peers of one authority", files(good, peer, "peer"), files(good, peer, "peer"), true},
-		{"operator of the operators' authority", files(good, host+"-operator", "operator"), files(good, "operator", "operator"), true},
-		{"client without certificate", files(good, peer, "peer"), noCert, false},
-		{"client of another authority", files(good, peer, "peer"), otherClient, false},
-		{"expired client", files(good, peer, "peer"), expiredClient, false},
-		{"server of another authority", files(other, peer, "peer"), files(good, peer, "peer"), false},
-		{"expired server", files(expired, peer, "peer"), files(expired, peer, "peer"), false},
-		{"operator at the peers' listener", files(good, peer, "peer"), Files{Cert: files(good, "operator", "").Cert, Key: files(good, "operator", "").Key, CA: files(good, "", "peer").CA}, false},
-		{"server certificate used as a client", files(good, host+"-operator", "operator"), files(good, host+"-operator", "operator"), false},
+		{"peers with the same authority", filesOf(good, peer, "peer"), filesOf(good, peer, "peer"), true},
+		{"operator with the operators' authority", filesOf(good, host+"-operator", "operator"), filesOf(good, "operator", "operator"), true},
+		{"client without certificate", filesOf(good, peer, "peer"), noCert, false},
+		{"client of another authority", filesOf(good, peer, "peer"), otherClient, false},
+		{"expired client", filesOf(good, peer, "peer"), expiredClient, false},
+		{"server of another authority", filesOf(other, peer, "peer"), filesOf(good, peer, "peer"), false},
+		{"expired server", filesOf(expired, peer, "peer"), filesOf(expired, peer, "peer"), false},
+		{"operator certificate at the peers' listener", filesOf(good, peer, "peer"), Files{Cert: filesOf(good, "operator", "").Cert, Key: filesOf(good, "operator", "").Key, CA: filesOf(good, "", "peer").CA}, false},
+		{"server certificate used by a client", filesOf(good, host+"-operator", "operator"), filesOf(good, host+"-operator", "operator"), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			protocol, err := ask(t, test.client, serve(t, test.server))
+			protocol, err := requestProtocol(t, test.client, startServer(t, test.server))
 			if test.accepted {
 				qt.Assert(t, err, qt.IsNil)
 				qt.Check(t, protocol, qt.Equals, "HTTP/2.0")
@@ -112,27 +114,27 @@
 }
 
 func TestOlderTLSIsRefused(t *testing.T) {
-	directory := development(t, time.Now())
-	f := files(directory, host+"-peer", "peer")
+	directory := writeDevelopment(t, time.Now())
+	f := filesOf(directory, host+"-peer", "peer")
 	credentials, err := Load(f, nil)
 	qt.Assert(t, err, qt.IsNil)
 	config := credentials.Client(host)
 	config.MinVersion, config.MaxVersion = 0, 0x0303
 	transport := &http.Transport{TLSClientConfig: config}
-	_, err = (&http.Client{Transport: transport}).Get(serve(t, f))
+	_, err = (&http.Client{Transport: transport}).Get(startServer(t, f))
 	qt.Check(t, err, qt.IsNotNil)
 }
 
-func TestServerOfAnotherNameIsRefused(t *testing.T) {
+func TestServerWithWrongHostNameIsRefused(t *testing.T) {
 	directory := t.TempDir()
 	_, err := WriteDevelopment(directory, Development{Hosts: []string{host, "10.9.9.9"}, Start: time.Now(), Validity: time.Hour})
 	qt.Assert(t, err, qt.IsNil)
-	url := serve(t, files(directory, "10.9.9.9-peer", "peer"))
-	_, err = ask(t, files(directory, host+"-peer", "peer"), url)
+	url := startServer(t, filesOf(directory, "10.9.9.9-peer", "peer"))
+	_, err = requestProtocol(t, filesOf(directory, host+"-peer", "peer"), url)
 	qt.Check(t, err, qt.IsNotNil)
 }
 
-func TestPlainTextSpeaksHTTP2(t *testing.T) {
+func TestPlainTextTransportUsesHTTP2(t *testing.T) {
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Proto)
 	}))
@@ -140,13 +142,14 @@
 	server.Config.Protocols.SetUnencryptedHTTP2(true)
 	server.Start()
 	defer server.Close()
-	protocol, err := askWith(nil, server.URL)
+	protocol, err := requestProtocolWith(nil, server.URL)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, protocol, qt.Equals, "HTTP/2.0")
 }
 
-// replace copies the files of from over those of to with a newer time.
-func replace(t *testing.T, from, to Files, newer time.Time) {
+// replaceFiles overwrites the files of to with those of from and sets their
+// modification times to newer.
+func replaceFiles(t *testing.T, from, to Files, newer time.Time) {
 	t.Helper()
 	for _, paths := range [][2]string{{from.Cert, to.Cert}, {from.Key, to.Key}, {from.CA, to.CA}} {
 		content, err := os.ReadFile(paths[0])
@@ -156,8 +159,9 @@
 	}
 }
 
-// expireCheck makes the next handshake look at the files.
-func expireCheck(c *Credentials) {
+// forceFileCheck makes the next handshake check the files, regardless of
+// checkInterval.
+func forceFileCheck(c *Credentials) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.checked = time.Time{}
@@ -166,38 +170,38 @@
 func TestReplacedFilesAreUsedWithoutRestart(t *testing.T) {
 	c := qt.New(t)
 	peer := host + "-peer"
-	first, second := files(development(t, time.Now()), peer, "peer"), files(development(t, time.Now()), peer, "peer")
+	first, second := filesOf(writeDevelopment(t, time.Now()), peer, "peer"), filesOf(writeDevelopment(t, time.Now()), peer, "peer")
 	var reloads []error
 	credentials, err := Load(first, func(err error) { reloads = append(reloads, err) })
 	c.Assert(err, qt.IsNil)
-	before, authorities := credentials.server().Certificates[0].Leaf, credentials.Client(host).RootCAs
+	before, authorities := credentials.serverConfig().Certificates[0].Leaf, credentials.Client(host).RootCAs
 
-	replace(t, second, first, time.Now().Add(time.Minute))
-	expireCheck(credentials)
-	after := credentials.server()
+	replaceFiles(t, second, first, time.Now().Add(time.Minute))
+	forceFileCheck(credentials)
+	after := credentials.serverConfig()
 	c.Check(after.Certificates[0].Leaf.Equal(before), qt.IsFalse)
 	c.Check(after.ClientCAs.Equal(authorities), qt.IsFalse)
 	c.Check(credentials.Client(host).RootCAs.Equal(authorities), qt.IsFalse)
 	c.Check(reloads, qt.DeepEquals, []error{nil})
 
-	url := serve(t, second)
-	_, err = askWith(credentials, url)
+	url := startServer(t, second)
+	_, err = requestProtocolWith(credentials, url)
 	c.Check(err, qt.IsNil)
 }
 
-func TestBrokenReplacementKeepsTheOldFiles(t *testing.T) {
+func TestInvalidReplacementKeepsPreviousFiles(t *testing.T) {
 	c := qt.New(t)
-	f := files(development(t, time.Now()), host+"-peer", "peer")
+	f := filesOf(writeDevelopment(t, time.Now()), host+"-peer", "peer")
 	var last error
 	credentials, err := Load(f, func(err error) { last = err })
 	c.Assert(err, qt.IsNil)
-	before := credentials.server().Certificates[0].Leaf
+	before := credentials.serverConfig().Certificates[0].Leaf
 
 	c.Assert(os.WriteFile(f.CA, []byte("half"), 0o600), qt.IsNil)
 	later := time.Now().Add(time.Minute)
 	c.Assert(os.Chtimes(f.CA, later, later), qt.IsNil)
-	expireCheck(credentials)
-	after := credentials.server()
+	forceFileCheck(credentials)
+	after := credentials.serverConfig()
 	c.Check(after.Certificates[0].Leaf.Equal(before), qt.IsTrue)
 	c.Check(after.ClientCAs, qt.IsNotNil)
 	var fault *FileError
@@ -206,11 +210,11 @@
 	c.Check(errors.Is(last, ErrNoAuthority), qt.IsTrue)
 }
 
-func TestLoadNamesTheFileAtFault(t *testing.T) {
-	directory := development(t, time.Now())
-	good := files(directory, host+"-peer", "peer")
+func TestLoadErrorNamesTheInvalidFile(t *testing.T) {
+	directory := writeDevelopment(t, time.Now())
+	good := filesOf(directory, host+"-peer", "peer")
 	wrongKey, noFile, noAuthority := good, good, good
-	wrongKey.Key = files(directory, "operator", "").Key
+	wrongKey.Key = filesOf(directory, "operator", "").Key
 	noFile.Cert = filepath.Join(directory, "absent.pem")
 	noAuthority.CA = good.Key
 	for path, f := range map[string]Files{wrongKey.Cert: wrongKey, noFile.Cert: noFile, noAuthority.CA: noAuthority} {
@@ -221,9 +225,9 @@
 	}
 }
 
-func TestWriteDevelopmentProtectsWhatExists(t *testing.T) {
+func TestWriteDevelopmentDoesNotOverwriteFiles(t *testing.T) {
 	c := qt.New(t)
-	directory := development(t, time.Now())
+	directory := writeDevelopment(t, time.Now())
 	info, err := os.Stat(filepath.Join(directory, "peer-ca-key.pem"))
 	c.Assert(err, qt.IsNil)
 	c.Check(info.Mode().Perm(), qt.Equals, os.FileMode(keyMode))
--- a/security/transport.go
+++ b/security/transport.go
@@ -8,32 +8,34 @@
 	"time"
 )
 
-// Bounds of client connections.
+// Time-outs of client connections.
 const (
 	handshakeTimeout = 5 * time.Second
 	idleTimeout      = 90 * time.Second
-	// pingInterval is the silence after which a connection is probed, pingTimeout
-	// how long the probe may take before the connection is dropped.
+	// pingInterval is the time without received data after which a connection is
+	// probed with a ping.
 	pingInterval = 10 * time.Second
-	pingTimeout  = 5 * time.Second
+	// pingTimeout is the time without an answer after which it is closed.
+	pingTimeout = 5 * time.Second
 )
 
-// Server returns the configuration of a listener. With authorities, every
-// client has to present a certificate that they signed. Sessions are not
-// resumed, so that replaced files hold for every new connection.
+// Server returns the TLS configuration of a listener. If there are authorities, every
+// client must present a certificate that they signed. Session resumption is disabled,
+// so that replaced files apply to every new connection.
 func (c *Credentials) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocolHTTP2, protocolHTTP1},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return c.server(), nil
+			return c.serverConfig(), nil
 		},
 		SessionTicketsDisabled: true,
 	}
 }
 
-func (c *Credentials) server() *tls.Config {
-	m := c.material()
+// serverConfig returns the configuration of one handshake.
+func (c *Credentials) serverConfig() *tls.Config {
+	m := c.latest()
 	config := &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		NextProtos:             []string{protocolHTTP2, protocolHTTP1},
@@ -47,10 +49,10 @@
 	return config
 }
 
-// Client returns the configuration of one new connection to the named server.
-// It must not be kept, since the files may change.
+// Client returns the TLS configuration of one new connection to the named server. It
+// must not be reused for later connections, since the files may change.
 func (c *Credentials) Client(serverName string) *tls.Config {
-	m := c.material()
+	m := c.latest()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{protocolHTTP2, protocolHTTP1},
@@ -63,8 +65,9 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns an HTTP/2 transport over dial that authenticates with c.
-// A nil Credentials gives plain text. Silent connections are probed and dropped.
+// NewTransport returns an HTTP/2 transport that connects with dial and authenticates
+// with c. If c is nil, it uses plain text. Connections without traffic are probed, and
+// closed if the probe is not answered.
 func NewTransport(c *Credentials, dial DialFunc) *http.Transport {
 	protocols := new(http.Protocols)
 	t := &http.Transport{
@@ -83,7 +86,8 @@
 	return t
 }
 
-// dialTLS returns a function that opens a connection and authenticates it.
+// dialTLS returns a function that opens a connection with dial and performs the TLS
+// handshake.
 func (c *Credentials) dialTLS(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		name, _, err := net.SplitHostPort(address)
