--- a/gen/bronzeturn/v1/bronzeturnv1connect/config.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/config.connect.go
@@ -45,7 +45,7 @@
 type ConfigurationServiceClient interface {
 	// Current returns the head in force on the answering daemon.
 	Current(context.Context, *connect.Request[v1.CurrentRequest]) (*connect.Response[v1.CurrentResponse], error)
-	// FetchParts returns the stored bytes of parts that the daemon holds.
+	// FetchParts returns the stored bytes of those requested parts that the daemon has.
 	FetchParts(context.Context, *connect.Request[v1.FetchPartsRequest]) (*connect.Response[v1.FetchPartsResponse], error)
 }
 
@@ -96,7 +96,7 @@
 type ConfigurationServiceHandler interface {
 	// Current returns the head in force on the answering daemon.
 	Current(context.Context, *connect.Request[v1.CurrentRequest]) (*connect.Response[v1.CurrentResponse], error)
-	// FetchParts returns the stored bytes of parts that the daemon holds.
+	// FetchParts returns the stored bytes of those requested parts that the daemon has.
 	FetchParts(context.Context, *connect.Request[v1.FetchPartsRequest]) (*connect.Response[v1.FetchPartsResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/follow.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/follow.connect.go
@@ -39,7 +39,7 @@
 
 // FollowServiceClient is a client for the bronzeturn.v1.FollowService service.
 type FollowServiceClient interface {
-	// Pull returns what changed in the copy of one kind since the asker's.
+	// Pull returns the changes to the copy of one kind of objects since the client's revision.
 	Pull(context.Context, *connect.Request[v1.PullRequest]) (*connect.Response[v1.PullResponse], error)
 }
 
@@ -75,7 +75,7 @@
 
 // FollowServiceHandler is an implementation of the bronzeturn.v1.FollowService service.
 type FollowServiceHandler interface {
-	// Pull returns what changed in the copy of one kind since the asker's.
+	// Pull returns the changes to the copy of one kind of objects since the client's revision.
 	Pull(context.Context, *connect.Request[v1.PullRequest]) (*connect.Response[v1.PullResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/ledger.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/ledger.connect.go
@@ -45,14 +45,14 @@
 
 // LedgerServiceClient is a client for the bronzeturn.v1.LedgerService service.
 type LedgerServiceClient interface {
-	// Append asks the receiver to write records that belong to one shard. It
-	// answers when each record is settled.
+	// Append asks the receiver to write records of one shard. It returns when the fate of each
+	// record is known.
 	Append(context.Context, *connect.Request[v1.AppendRequest]) (*connect.Response[v1.AppendResponse], error)
 	// Lookup reads the entry of a fingerprint.
 	Lookup(context.Context, *connect.Request[v1.LookupRequest]) (*connect.Response[v1.LookupResponse], error)
-	// Hold stores copies of records that are not in the object store yet.
+	// Hold keeps copies of records that are not in the object store yet.
 	Hold(context.Context, *connect.Request[v1.HoldRequest]) (*connect.Response[v1.HoldResponse], error)
-	// Release drops copies whose records are in the object store.
+	// Release deletes copies of records that are now in the object store.
 	Release(context.Context, *connect.Request[v1.ReleaseRequest]) (*connect.Response[v1.ReleaseResponse], error)
 }
 
@@ -124,14 +124,14 @@
 
 // LedgerServiceHandler is an implementation of the bronzeturn.v1.LedgerService service.
 type LedgerServiceHandler interface {
-	// Append asks the receiver to write records that belong to one shard. It
-	// answers when each record is settled.
+	// Append asks the receiver to write records of one shard. It returns when the fate of each
+	// record is known.
 	Append(context.Context, *connect.Request[v1.AppendRequest]) (*connect.Response[v1.AppendResponse], error)
 	// Lookup reads the entry of a fingerprint.
 	Lookup(context.Context, *connect.Request[v1.LookupRequest]) (*connect.Response[v1.LookupResponse], error)
-	// Hold stores copies of records that are not in the object store yet.
+	// Hold keeps copies of records that are not in the object store yet.
 	Hold(context.Context, *connect.Request[v1.HoldRequest]) (*connect.Response[v1.HoldResponse], error)
-	// Release drops copies whose records are in the object store.
+	// Release deletes copies of records that are now in the object store.
 	Release(context.Context, *connect.Request[v1.ReleaseRequest]) (*connect.Response[v1.ReleaseResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/limits.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/limits.connect.go
@@ -40,9 +40,9 @@
 
 // LimitServiceClient is a client for the bronzeturn.v1.LimitService service.
 type LimitServiceClient interface {
-	// ReportUsage tells the coordinator what a daemon uses and wants of the limits of
-	// some organisations, and returns the shares that it gets. A report may be
-	// repeated, delayed or lost.
+	// ReportUsage reports to the coordinator what a daemon uses and expects to use of the
+	// limits of some organisations, and returns the shares that the daemon gets. A report
+	// may be repeated, delayed or lost.
 	ReportUsage(context.Context, *connect.Request[v1.ReportUsageRequest]) (*connect.Response[v1.ReportUsageResponse], error)
 }
 
@@ -78,9 +78,9 @@
 
 // LimitServiceHandler is an implementation of the bronzeturn.v1.LimitService service.
 type LimitServiceHandler interface {
-	// ReportUsage tells the coordinator what a daemon uses and wants of the limits of
-	// some organisations, and returns the shares that it gets. A report may be
-	// repeated, delayed or lost.
+	// ReportUsage reports to the coordinator what a daemon uses and expects to use of the
+	// limits of some organisations, and returns the shares that the daemon gets. A report
+	// may be repeated, delayed or lost.
 	ReportUsage(context.Context, *connect.Request[v1.ReportUsageRequest]) (*connect.Response[v1.ReportUsageResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/occupancy.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/occupancy.connect.go
@@ -39,7 +39,7 @@
 
 // OccupancyServiceClient is a client for the bronzeturn.v1.OccupancyService service.
 type OccupancyServiceClient interface {
-	// Share takes in the caller's own work and returns that of all others.
+	// Share records the work in progress of the calling daemon and returns that of all others.
 	Share(context.Context, *connect.Request[v1.ShareRequest]) (*connect.Response[v1.ShareResponse], error)
 }
 
@@ -75,7 +75,7 @@
 
 // OccupancyServiceHandler is an implementation of the bronzeturn.v1.OccupancyService service.
 type OccupancyServiceHandler interface {
-	// Share takes in the caller's own work and returns that of all others.
+	// Share records the work in progress of the calling daemon and returns that of all others.
 	Share(context.Context, *connect.Request[v1.ShareRequest]) (*connect.Response[v1.ShareResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/operator.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/operator.connect.go
@@ -41,9 +41,9 @@
 
 // OperatorServiceClient is a client for the bronzeturn.v1.OperatorService service.
 type OperatorServiceClient interface {
-	// Status returns the state of the fleet as the asked daemon can learn it.
+	// Status returns the state of the fleet as far as the answering daemon can determine it.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Bills returns what was billed.
+	// Bills returns the sums of the bills.
 	Bills(context.Context, *connect.Request[v1.BillsRequest]) (*connect.Response[v1.BillsResponse], error)
 }
 
@@ -91,9 +91,9 @@
 
 // OperatorServiceHandler is an implementation of the bronzeturn.v1.OperatorService service.
 type OperatorServiceHandler interface {
-	// Status returns the state of the fleet as the asked daemon can learn it.
+	// Status returns the state of the fleet as far as the answering daemon can determine it.
 	Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error)
-	// Bills returns what was billed.
+	// Bills returns the sums of the bills.
 	Bills(context.Context, *connect.Request[v1.BillsRequest]) (*connect.Response[v1.BillsResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/peer.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/peer.connect.go
@@ -39,8 +39,8 @@
 
 // PeerServiceClient is a client for the bronzeturn.v1.PeerService service.
 type PeerServiceClient interface {
-	// Exchange is one overlay stream between two neighbours. Both sides send a
-	// Hello first, then heartbeats and table updates in any order.
+	// Exchange is an overlay stream between two neighbours. Each side first sends a Hello, then
+	// heartbeats and table updates in any order.
 	Exchange(context.Context) *connect.BidiStreamForClient[v1.ExchangeRequest, v1.ExchangeResponse]
 }
 
@@ -76,8 +76,8 @@
 
 // PeerServiceHandler is an implementation of the bronzeturn.v1.PeerService service.
 type PeerServiceHandler interface {
-	// Exchange is one overlay stream between two neighbours. Both sides send a
-	// Hello first, then heartbeats and table updates in any order.
+	// Exchange is an overlay stream between two neighbours. Each side first sends a Hello, then
+	// heartbeats and table updates in any order.
 	Exchange(context.Context, *connect.BidiStream[v1.ExchangeRequest, v1.ExchangeResponse]) error
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/quality.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/quality.connect.go
@@ -39,8 +39,8 @@
 
 // QualityServiceClient is a client for the bronzeturn.v1.QualityService service.
 type QualityServiceClient interface {
-	// Report hands counts over. A repeat with the same origin, incarnation and
-	// sequence is counted once.
+	// Report passes counts to the aggregator. Repeated reports with the same origin, incarnation
+	// and sequence are counted once.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
 }
 
@@ -76,8 +76,8 @@
 
 // QualityServiceHandler is an implementation of the bronzeturn.v1.QualityService service.
 type QualityServiceHandler interface {
-	// Report hands counts over. A repeat with the same origin, incarnation and
-	// sequence is counted once.
+	// Report passes counts to the aggregator. Repeated reports with the same origin, incarnation
+	// and sequence are counted once.
 	Report(context.Context, *connect.Request[v1.ReportRequest]) (*connect.Response[v1.ReportResponse], error)
 }
 
--- a/gen/bronzeturn/v1/bronzeturnv1connect/tally.connect.go
+++ b/gen/bronzeturn/v1/bronzeturnv1connect/tally.connect.go
@@ -39,7 +39,7 @@
 
 // TallyServiceClient is a client for the bronzeturn.v1.TallyService service.
 type TallyServiceClient interface {
-	// Add takes in the sums of a daemon and those below it, and returns those of the fleet.
+	// Add receives the sums of a daemon and its descendants, and returns those of the fleet.
 	Add(context.Context, *connect.Request[v1.AddRequest]) (*connect.Response[v1.AddResponse], error)
 }
 
@@ -75,7 +75,7 @@
 
 // TallyServiceHandler is an implementation of the bronzeturn.v1.TallyService service.
 type TallyServiceHandler interface {
-	// Add takes in the sums of a daemon and those below it, and returns those of the fleet.
+	// Add receives the sums of a daemon and its descendants, and returns those of the fleet.
 	Add(context.Context, *connect.Request[v1.AddRequest]) (*connect.Response[v1.AddResponse], error)
 }
 
