--- a/compiler.go
+++ b/compiler.go
@@ -131,7 +131,7 @@
 }
 
 // dropBreakers removes the circuit breakers of service instances that are no
-// longer in the register. Without it they would pile up, as hosts are replaced
+// longer in the register. They would otherwise accumulate, as hosts are replaced
 // all the time.
 func (c *compiler) dropBreakers(register *bronzeturnv1.Register) {
 	listed := make(map[string]struct{})
--- a/decisions.go
+++ b/decisions.go
@@ -126,8 +126,8 @@
 }
 
 // awaitFresh is checkFresh for requests: if the daemon's process has just resumed
-// from a pause, the request waits until the daemon has asked for the newest
-// configuration.
+// from a pause, the request waits, at most freshnessWait, until the daemon has
+// asked for the newest configuration.
 func (d *Daemon) awaitFresh(now time.Time) *failure.Error {
 	reason, f := d.freshness(now)
 	for waited := time.Duration(0); f != nil && reason == provider.ReasonResumed && waited < freshnessWait; waited += freshnessPollInterval {
--- a/edge_bench_test.go
+++ b/edge_bench_test.go
@@ -166,7 +166,7 @@
 }
 
 // timing holds the times at which the header, the last content and the end of one
-// response were read, measured from the due time of the request.
+// response were read, measured from the start of the request.
 type timing struct{ header, content, end time.Duration }
 
 var (
@@ -176,7 +176,7 @@
 )
 
 // sendTimed sends one request and reads its response line by line.
-func sendTimed(client *http.Client, address string, stream bool, due time.Time) (timing, error) {
+func sendTimed(client *http.Client, address string, stream bool, start time.Time) (timing, error) {
 	body := `{"model":"small@1","stream":` + strconv.FormatBool(stream) + `,"messages":[{"role":"user","content":"battery of bike 7?"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+callerapi.PathChatCompletions, strings.NewReader(body))
 	if err != nil {
@@ -188,13 +188,13 @@
 		return timing{}, err
 	}
 	defer resp.Body.Close()
-	t := timing{header: time.Since(due)}
+	t := timing{header: time.Since(start)}
 	complete := !stream
 	reader := bufio.NewReader(resp.Body)
 	for {
 		line, err := reader.ReadSlice('\n')
 		if bytes.Contains(line, contentMark) {
-			t.content = time.Since(due)
+			t.content = time.Since(start)
 		}
 		complete = complete || bytes.HasPrefix(line, doneMark)
 		if err == io.EOF {
@@ -204,7 +204,7 @@
 			return t, err
 		}
 	}
-	t.end = time.Since(due)
+	t.end = time.Since(start)
 	if !complete || resp.StatusCode != http.StatusOK {
 		return t, errIncomplete
 	}
--- a/feedback.go
+++ b/feedback.go
@@ -29,7 +29,7 @@
 	sampleTimeout  = 2 * time.Second
 )
 
-// loadPoller requests load reports from the visible engines, one after the other.
+// loadPoller requests load reports from the visible engines in turn.
 type loadPoller struct {
 	reports   *engine.Reports
 	state     *balance.State
