--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -71,8 +71,8 @@
 	return &http.Client{Transport: transport, Timeout: time.Minute}
 }
 
-// streamed is what one streamed answer took.
-type streamed struct {
+// streamResult is what one streamed answer took.
+type streamResult struct {
 	firstToken, total time.Duration
 	tokens            int
 	err               error
@@ -81,21 +81,21 @@
 var eventStart = []byte("data:")
 
 // stream asks for a stream and reads it to the end, without decoding events.
-func stream(client *http.Client, address, prompt string) streamed {
+func stream(client *http.Client, address, prompt string) streamResult {
 	start := time.Now()
 	request, err := Chat{Key: benchKey, Model: benchVersion, Prompt: prompt, Stream: true}.NewRequest(context.Background(), address)
 	if err != nil {
-		return streamed{err: err}
+		return streamResult{err: err}
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return streamed{err: err}
+		return streamResult{err: err}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return streamed{err: fmt.Errorf("status %d", response.StatusCode)}
+		return streamResult{err: fmt.Errorf("status %d", response.StatusCode)}
 	}
-	var s streamed
+	var s streamResult
 	lines := bufio.NewReader(response.Body)
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -104,7 +104,7 @@
 			return s
 		}
 		if err != nil {
-			return streamed{err: err}
+			return streamResult{err: err}
 		}
 		if !bytes.HasPrefix(line, eventStart) {
 			continue
@@ -115,23 +115,23 @@
 	}
 }
 
-// side collects the answers of one side of a comparison.
-type side struct {
+// measurements collects the answers of one side of a comparison.
+type measurements struct {
 	mu                sync.Mutex
 	firstToken, total *load.Latencies
 	tokens            int
-	failed            error
+	lastErr           error
 }
 
-func newSide() *side {
-	return &side{firstToken: load.NewLatencies(), total: load.NewLatencies()}
+func newMeasurements() *measurements {
+	return &measurements{firstToken: load.NewLatencies(), total: load.NewLatencies()}
 }
 
-func (s *side) add(got streamed) {
+func (s *measurements) add(got streamResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if got.err != nil {
-		s.failed = got.err
+		s.lastErr = got.err
 		return
 	}
 	s.firstToken.Record(got.firstToken)
@@ -148,7 +148,7 @@
 	c := qt.New(b)
 	daemon, engine := startBench(c, standin.EngineConfig{AnswerTokens: 16})
 	client := benchClient(c)
-	direct, through := newSide(), newSide()
+	direct, through := newMeasurements(), newMeasurements()
 	ticker := time.NewTicker(interval / 2)
 	defer ticker.Stop()
 	var inFlight sync.WaitGroup
@@ -162,13 +162,13 @@
 		inFlight.Go(func() { through.add(stream(client, daemon, prompt)) })
 	}
 	inFlight.Wait()
-	c.Assert(direct.failed, qt.IsNil)
-	c.Assert(through.failed, qt.IsNil)
-	reportAdded(b, "first", direct.firstToken.Quantiles(), through.firstToken.Quantiles())
-	reportAdded(b, "total", direct.total.Quantiles(), through.total.Quantiles())
+	c.Assert(direct.lastErr, qt.IsNil)
+	c.Assert(through.lastErr, qt.IsNil)
+	reportAddedLatency(b, "first", direct.firstToken.Quantiles(), through.firstToken.Quantiles())
+	reportAddedLatency(b, "total", direct.total.Quantiles(), through.total.Quantiles())
 }
 
-func reportAdded(b *testing.B, name string, direct, through load.Quantiles) {
+func reportAddedLatency(b *testing.B, name string, direct, through load.Quantiles) {
 	b.ReportMetric(direct.P50*1000, name+"-direct-p50-µs")
 	b.ReportMetric((through.P50-direct.P50)*1000, name+"-added-p50-µs")
 	b.ReportMetric(direct.P99*1000, name+"-direct-p99-µs")
@@ -203,15 +203,15 @@
 // runStreams runs streams at once and returns the processor seconds of this
 // process and the number of tokens.
 func runStreams(c *qt.C, client *http.Client, address string, streams int) (cpu float64, tokens int) {
-	s := newSide()
+	results := newMeasurements()
 	before := processorSeconds(c)
 	var inFlight sync.WaitGroup
 	for i := range streams {
-		inFlight.Go(func() { s.add(stream(client, address, fmt.Sprintf("stream %d", i))) })
+		inFlight.Go(func() { results.add(stream(client, address, fmt.Sprintf("stream %d", i))) })
 	}
 	inFlight.Wait()
-	c.Assert(s.failed, qt.IsNil)
-	return processorSeconds(c) - before, s.tokens
+	c.Assert(results.lastErr, qt.IsNil)
+	return processorSeconds(c) - before, results.tokens
 }
 
 // processorSeconds is the processor time of this process so far.
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -21,11 +21,11 @@
 // Fleet is a number of daemons in this process.
 type Fleet struct {
 	Daemons []*bronzeturn.Daemon
-	// stops end one daemon each.
-	stops   []context.CancelFunc
-	running sync.WaitGroup
-	mu      sync.Mutex
-	failed  []error
+	// cancels end one daemon each.
+	cancels   []context.CancelFunc
+	running   sync.WaitGroup
+	mu        sync.Mutex
+	runErrors []error
 }
 
 // FleetOptions configure a Fleet.
@@ -67,12 +67,12 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.Daemons = append(f.Daemons, d)
-	f.stops = append(f.stops, cancel)
+	f.cancels = append(f.cancels, cancel)
 	f.running.Go(func() {
 		if err := d.Run(ctx); err != nil {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.failed = append(f.failed, fmt.Errorf("%s: %w", DaemonName(number), err))
+			f.runErrors = append(f.runErrors, fmt.Errorf("%s: %w", DaemonName(number), err))
 		}
 	})
 	return nil
@@ -92,8 +92,8 @@
 	}
 }
 
-// maxSeeds is how many daemons are named to a new one.
-const maxSeeds = 3
+// maxSeedsPerDaemon is how many daemons are named to a new one.
+const maxSeedsPerDaemon = 3
 
 // seeds are the peer addresses of the first daemons.
 func (f *Fleet) seeds(o FleetOptions) []string {
@@ -101,28 +101,28 @@
 	if o.WithoutSeeds {
 		return seeds
 	}
-	for _, d := range f.Daemons[:min(len(f.Daemons), maxSeeds)] {
+	for _, d := range f.Daemons[:min(len(f.Daemons), maxSeedsPerDaemon)] {
 		seeds = append(seeds, d.PeerAddress())
 	}
 	return seeds
 }
 
 // StopDaemon begins the graceful stop of one daemon.
-func (f *Fleet) StopDaemon(number int) { f.stops[number]() }
+func (f *Fleet) StopDaemon(number int) { f.cancels[number]() }
 
 // Stop stops all daemons gracefully and returns what failed.
 func (f *Fleet) Stop() error {
-	for _, stop := range f.stops {
+	for _, stop := range f.cancels {
 		stop()
 	}
 	f.running.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return errors.Join(f.failed...)
+	return errors.Join(f.runErrors...)
 }
 
-// readyInterval is the time between two questions whether a daemon is ready.
-const readyInterval = 20 * time.Millisecond
+// pollInterval is the time between two questions whether a daemon is ready.
+const pollInterval = 20 * time.Millisecond
 
 // WaitReady returns when every daemon takes requests and knows the others, or
 // ctx ends.
@@ -130,7 +130,7 @@
 	for _, d := range f.Daemons {
 		for !d.Ready() || d.LiveDaemons() < len(f.Daemons) {
 			select {
-			case <-time.After(readyInterval):
+			case <-time.After(pollInterval):
 			case <-ctx.Done():
 				return fmt.Errorf("fleet not ready, %d live daemons: %w", d.LiveDaemons(), ctx.Err())
 			}
@@ -145,7 +145,7 @@
 	for _, d := range f.Daemons {
 		for d.Generation() < generation {
 			select {
-			case <-time.After(readyInterval):
+			case <-time.After(pollInterval):
 			case <-ctx.Done():
 				return fmt.Errorf("generation %d not in force: %w", generation, ctx.Err())
 			}
--- a/demo/output.go
+++ b/demo/output.go
@@ -61,7 +61,7 @@
 	_ = w.Flush()
 	b := d.Bills
 	fmt.Fprintf(out, "cost of models: %s billed, %s if always the strongest allowed version (%s)\n",
-		money(int64(b.CostMicros)), money(b.StrongestMicros), saving(int64(b.CostMicros), b.StrongestMicros))
+		formatCurrency(int64(b.CostMicros)), formatCurrency(b.StrongestMicros), costShare(int64(b.CostMicros), b.StrongestMicros))
 	fmt.Fprintf(out, "withdrawn while traffic flowed: %s\n", d.Withdrawn)
 	fmt.Fprintf(out, "refused: %s\n", refusalText(d.Refusals))
 	fmt.Fprintf(out, "bills: %d in the ledger for %d answers, %d repeats answered without a bill, %d broken answers\n",
@@ -75,24 +75,24 @@
 func (r Row) cells() []string {
 	first := "-"
 	if r.FirstToken != nil {
-		first = millis(r.FirstToken.P50)
+		first = formatMillis(r.FirstToken.P50)
 	}
 	return []string{
 		r.Kind, r.Version, r.Pool, fmt.Sprint(r.Answers), fmt.Sprint(r.PromptTokens + r.CompletionTokens),
-		money(r.CostMicros), money(r.StrongestMicros),
-		millis(r.Total.P50), millis(r.Total.P95), millis(r.Total.P99), first,
+		formatCurrency(r.CostMicros), formatCurrency(r.StrongestMicros),
+		formatMillis(r.Total.P50), formatMillis(r.Total.P95), formatMillis(r.Total.P99), first,
 	}
 }
 
-func millis(value float64) string { return fmt.Sprintf("%.1f", value) }
+func formatMillis(value float64) string { return fmt.Sprintf("%.1f", value) }
 
-// money writes micro-units as units of the currency.
-func money(micros int64) string {
+// formatCurrency writes micro-units as units of the currency.
+func formatCurrency(micros int64) string {
 	return fmt.Sprintf("%d.%06d", micros/microsPerUnit, micros%microsPerUnit)
 }
 
-// saving compares a cost with a higher one.
-func saving(cost, strongest int64) string {
+// costShare compares a cost with a higher one.
+func costShare(cost, strongest int64) string {
 	if strongest == 0 {
 		return "nothing to compare"
 	}
--- a/demo/platform.go
+++ b/demo/platform.go
@@ -23,17 +23,17 @@
 	hostListLag = 200 * time.Millisecond
 	ratingLag   = 500 * time.Millisecond
 	reportLag   = 500 * time.Millisecond
-	// speedUp makes the engines of the demo faster than the register says, so
+	// engineSpeedup makes the engines of the demo faster than the register says, so
 	// that long reports end within the time of the demo.
-	speedUp = 8
+	engineSpeedup = 8
 	// answerTokens is the usual length of an answer.
 	answerTokens = 160
 	// prefillTokensPerSecond is the rate at which engines read prompts.
 	prefillTokensPerSecond = 20_000
 	// ratingNoise is the standard deviation of one rating.
 	ratingNoise = 0.05
-	// serviceWork is the time that a call of a plain service takes.
-	serviceWork = 5 * time.Millisecond
+	// serviceCallDuration is the time that a call of a plain service takes.
+	serviceCallDuration = 5 * time.Millisecond
 )
 
 // Platform holds the stand-ins of one deployment, each on a loopback port.
@@ -53,8 +53,8 @@
 	// engineConfig gives the properties of an engine's stand-in.
 	engineConfig func(*bronzeturnv1.Engine) standin.EngineConfig
 
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	cancel  context.CancelFunc
+	serving sync.WaitGroup
 }
 
 // StartPlatform starts the stand-ins of an example with so many daemon hosts,
@@ -78,7 +78,7 @@
 	return standin.EngineConfig{
 		Versions:               e.GetVersions(),
 		Slots:                  int(e.GetSlots()),
-		TokensPerSecond:        e.GetTokensPerSecond() * speedUp,
+		TokensPerSecond:        e.GetTokensPerSecond() * engineSpeedup,
 		PrefillTokensPerSecond: prefillTokensPerSecond,
 		AnswerTokens:           answerTokens,
 		ReportLag:              reportLag,
@@ -107,7 +107,7 @@
 // Stop ends all stand-ins.
 func (p *Platform) Stop() {
 	p.cancel()
-	p.done.Wait()
+	p.serving.Wait()
 }
 
 // start starts each stand-in and writes its address into the register.
@@ -146,20 +146,20 @@
 	if err != nil {
 		return "", fmt.Errorf("listen for a stand-in: %w", err)
 	}
-	p.done.Go(func() {
+	p.serving.Go(func() {
 		_ = s.Serve(ctx, l) // It ends with ctx.
 	})
 	return l.Addr().String(), nil
 }
 
 func (p *Platform) startEngines(ctx context.Context) error {
-	fenced := make(map[string]bool)
+	checksFencing := make(map[string]bool)
 	for _, pool := range p.Register.GetPools() {
-		fenced[pool.GetName()] = pool.GetChecksFencing()
+		checksFencing[pool.GetName()] = pool.GetChecksFencing()
 	}
 	for _, e := range p.Register.GetEngines() {
 		c := p.engineConfig(e)
-		c.CheckFencing = fenced[e.GetPool()]
+		c.CheckFencing = checksFencing[e.GetPool()]
 		engine := standin.NewEngine(c)
 		address, err := p.serve(ctx, engine)
 		if err != nil {
@@ -174,7 +174,7 @@
 func (p *Platform) startServices(ctx context.Context) error {
 	for _, s := range p.Register.GetServices() {
 		for _, instance := range s.GetInstances() {
-			service := standin.NewPlainService(standin.PlainServiceConfig{Name: s.GetName(), Work: serviceWork})
+			service := standin.NewPlainService(standin.PlainServiceConfig{Name: s.GetName(), Work: serviceCallDuration})
 			address, err := p.serve(ctx, service)
 			if err != nil {
 				return err
@@ -230,8 +230,8 @@
 	return all
 }
 
-// enginesOf names the engines that executed a request, one entry for each time.
-func (p *Platform) enginesOf(requestID string) []string {
+// enginesThatExecuted names the engines that executed a request, one entry for each time.
+func (p *Platform) enginesThatExecuted(requestID string) []string {
 	var names []string
 	for name, e := range p.Engines {
 		for range e.Executions()[requestID] {
@@ -245,7 +245,7 @@
 func (p *Platform) poolsByRequest() map[string]string {
 	pools := make(map[string]string)
 	for _, pool := range p.Register.GetPools() {
-		for id := range p.executedIn(pool.GetName()) {
+		for id := range p.requestsExecutedBy(pool.GetName()) {
 			if pools[id] != "" {
 				pools[id] += "+"
 			}
@@ -255,8 +255,8 @@
 	return pools
 }
 
-// executedIn returns the ids of the requests that a pool executed.
-func (p *Platform) executedIn(pool string) map[string]bool {
+// requestsExecutedBy returns the ids of the requests that a pool executed.
+func (p *Platform) requestsExecutedBy(pool string) map[string]bool {
 	ids := make(map[string]bool)
 	for _, e := range p.Register.GetEngines() {
 		if e.GetPool() != pool {
--- a/demo/report.go
+++ b/demo/report.go
@@ -93,20 +93,20 @@
 }
 
 // report returns the report of a deployment, given the sums in the ledger.
-func (r *reporter) report(s scenario, t *tally, totals []ledger.Total) DeploymentReport {
+func (r *reporter) report(s scenario, t *outcomes, totals []ledger.Total) DeploymentReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := DeploymentReport{
-		Deployment: s.example, Withdrawn: s.withdrawn, Broken: t.broken,
+		Deployment: s.example, Withdrawn: s.withdrawnVersion, Broken: t.broken,
 		Rows: []Row{}, Refusals: []load.CodeReport{}, Faults: append([]string{}, t.faults...),
 	}
 	for _, a := range t.answers {
-		if a.repeat {
+		if a.duplicate {
 			out.Bills.Repeats++
 			continue
 		}
 		out.Bills.Answers++
-		out.Bills.StrongestMicros += r.add(a)
+		out.Bills.StrongestMicros += r.addAnswer(a)
 	}
 	for _, total := range totals {
 		out.Bills.Recorded += total.Bills
@@ -123,8 +123,8 @@
 	return out
 }
 
-// add adds an answer to its row and returns its price at the strongest version.
-func (r *reporter) add(a received) int64 {
+// addAnswer adds an answer to its row and returns its price at the strongest version.
+func (r *reporter) addAnswer(a receivedAnswer) int64 {
 	key := rowKey{a.kind, a.version, cmp.Or(r.pools[a.requestID], noPool)}
 	results := r.rows[key]
 	if results == nil {
@@ -153,19 +153,19 @@
 
 // prices returns the price of an answer at its version and at the strongest
 // version that the organisation may use.
-func (r *reporter) prices(a received) (cost, strongest int64) {
+func (r *reporter) prices(a receivedAnswer) (cost, strongest int64) {
 	if a.service {
 		service, _ := r.snapshot.Service(a.version)
 		return service.GetCallPriceMicros(), service.GetCallPriceMicros()
 	}
 	version, _ := r.snapshot.Version(a.version)
-	return priceOf(version, a), priceOf(r.strongest(a.organisation, a.kind), a)
+	return tokenPrice(version, a), tokenPrice(r.strongestVersion(a.organisation, a.kind), a)
 }
 
-// strongest returns the version of the highest believed quality for the kind
+// strongestVersion returns the version of the highest believed quality for the kind
 // among those that the organisation may use, without the withdrawn ones and
 // those that are being rolled out.
-func (r *reporter) strongest(organisation, kind string) *bronzeturnv1.Version {
+func (r *reporter) strongestVersion(organisation, kind string) *bronzeturnv1.Version {
 	var best *bronzeturnv1.Version
 	for _, name := range r.snapshot.AllowedVersions(organisation) {
 		version, _ := r.snapshot.Version(name)
@@ -174,15 +174,15 @@
 		if withdrawn || rolledOut {
 			continue
 		}
-		if best == nil || quality(version, kind) > quality(best, kind) {
+		if best == nil || priorQuality(version, kind) > priorQuality(best, kind) {
 			best = version
 		}
 	}
 	return best
 }
 
-// quality is what the register believes of a version for a kind.
-func quality(v *bronzeturnv1.Version, kind string) float64 {
+// priorQuality is what the register believes of a version for a kind.
+func priorQuality(v *bronzeturnv1.Version, kind string) float64 {
 	for _, byKind := range v.GetPriorQualityByKind() {
 		if byKind.GetKind() == kind {
 			return byKind.GetQuality()
@@ -191,12 +191,12 @@
 	return v.GetPriorQuality()
 }
 
-// tokensPerPrice is the number of tokens that prices are given for.
-const tokensPerPrice = 1_000_000
+// tokensPerPriceUnit is the number of tokens that prices are given for.
+const tokensPerPriceUnit = 1_000_000
 
-// priceOf returns the price of an answer's tokens, each part rounded up.
-func priceOf(v *bronzeturnv1.Version, a received) int64 {
-	part := func(tokens, price int64) int64 { return (tokens*price + tokensPerPrice - 1) / tokensPerPrice }
+// tokenPrice returns the price of an answer's tokens, each part rounded up.
+func tokenPrice(v *bronzeturnv1.Version, a receivedAnswer) int64 {
+	part := func(tokens, price int64) int64 { return (tokens*price + tokensPerPriceUnit - 1) / tokensPerPriceUnit }
 	return part(a.usage.Prompt, v.GetPromptPriceMicros()) + part(a.usage.Completion, v.GetCompletionPriceMicros())
 }
 
--- a/demo/run.go
+++ b/demo/run.go
@@ -69,11 +69,11 @@
 	if err := report.write(out, o.JSON); err != nil {
 		return err
 	}
-	return report.verdict()
+	return report.faultError()
 }
 
-// verdict returns a *FaultError when there are faults.
-func (r Report) verdict() error {
+// faultError returns a *FaultError when there are faults.
+func (r Report) faultError() error {
 	var faults []string
 	for _, d := range r.Deployments {
 		for _, fault := range d.Faults {
@@ -128,7 +128,7 @@
 }
 
 // playScenario runs a fleet for the time of the scenario.
-func playScenario(ctx context.Context, s scenario, p *Platform, log io.Writer, duration time.Duration) (t *tally, err error) {
+func playScenario(ctx context.Context, s scenario, p *Platform, log io.Writer, duration time.Duration) (t *outcomes, err error) {
 	fleet, err := StartFleet(p, FleetOptions{Daemons: demoDaemons, Log: log, Arguments: demoArguments})
 	if err != nil {
 		return nil, err
@@ -139,11 +139,11 @@
 	if err := fleet.WaitReady(ready); err != nil {
 		return nil, err
 	}
-	sending, err := newTraffic(s, p, fleet)
+	generator, err := newTrafficGenerator(s, p, fleet)
 	if err != nil {
 		return nil, err
 	}
-	defer sending.close()
-	sending.run(ctx, duration)
-	return sending.tally, ctx.Err()
+	defer generator.close()
+	generator.run(ctx, duration)
+	return generator.outcomes, ctx.Err()
 }
--- a/demo/run_test.go
+++ b/demo/run_test.go
@@ -64,7 +64,7 @@
 			c := qt.New(t)
 			d := DeploymentReport{Faults: test.bills.faults(test.broken), Bills: test.bills}
 			c.Check(d.Faults, qt.HasLen, test.want)
-			err := Report{Deployments: []DeploymentReport{d}}.verdict()
+			err := Report{Deployments: []DeploymentReport{d}}.faultError()
 			var fault *FaultError
 			c.Check(errors.As(err, &fault), qt.Equals, test.want > 0)
 			var text strings.Builder
@@ -98,9 +98,9 @@
 	p, err := StartPlatform(examples.Andina, 1)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(p.Stop)
-	sending := &traffic{platform: p, tally: newTally()}
-	sending.recordRepeat(task{kind: "reorder"}, nil)
-	c.Check(sending.tally.faults, qt.DeepEquals, []string{
+	generator := &trafficGenerator{platform: p, outcomes: newOutcomes()}
+	generator.recordDuplicates(task{kind: "reorder"}, nil)
+	c.Check(generator.outcomes.faults, qt.DeepEquals, []string{
 		"a repeated reorder request ran 0 times", "the repeated reorder request reached 0 daemons",
 	})
 }
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -12,14 +12,14 @@
 	stream bool
 	// maxTokens bounds the answer. Zero leaves its length to the engine.
 	maxTokens int
-	// keyed gives each request an idempotency key, as non-idempotent kinds need.
-	keyed bool
+	// withIdempotencyKey gives each request an idempotency key, as non-idempotent kinds need.
+	withIdempotencyKey bool
 }
 
 // plainCall is one call of a plain service.
 type plainCall struct {
 	organisation, service, path, body string
-	keyed                             bool
+	withIdempotencyKey                bool
 }
 
 // scenario is what happens in one deployment during the demo.
@@ -30,13 +30,13 @@
 	// conversation is held turn by turn while the traffic flows.
 	conversation task
 	turns        int
-	// repeated is a non-idempotent task, sent with one key to several daemons.
-	repeated task
-	services []plainCall
-	// withdrawn is the version withdrawn while traffic flows.
-	withdrawn string
-	// forbidden asks for a version that its organisation may not use.
-	forbidden        task
+	// duplicated is a non-idempotent task, sent with one key to several daemons.
+	duplicated task
+	services   []plainCall
+	// withdrawnVersion is the version withdrawn while traffic flows.
+	withdrawnVersion string
+	// forbiddenTask asks for a version that its organisation may not use.
+	forbiddenTask    task
 	forbiddenVersion string
 }
 
@@ -52,7 +52,7 @@
 		tasks: []task{
 			{organisation: "dock-kiosks", kind: "quick", weight: 8, prompt: check, stream: true, maxTokens: 24},
 			{organisation: "rider-app", kind: "quick", weight: 6, prompt: check, stream: true, maxTokens: 24},
-			{organisation: "mobilidade-eletrica", kind: "tag", weight: 3, prompt: tag, maxTokens: 12, keyed: true},
+			{organisation: "mobilidade-eletrica", kind: "tag", weight: 3, prompt: tag, maxTokens: 12, withIdempotencyKey: true},
 			{organisation: "oficina-central", kind: "report", weight: 2, prompt: report, stream: true},
 			{organisation: "oficina-serra", kind: "report", weight: 1, prompt: report},
 			{organisation: "battery-lab", kind: "report", weight: 1, prompt: report},
@@ -60,13 +60,13 @@
 		},
 		conversation: task{organisation: "depot-centro", kind: "explain", prompt: "Why did bike 2207 stop again?", stream: true},
 		turns:        4,
-		repeated:     task{organisation: "oficina-porto", kind: "tag", prompt: tag, maxTokens: 12},
+		duplicated:   task{organisation: "oficina-porto", kind: "tag", prompt: tag, maxTokens: 12},
 		services: []plainCall{
-			{organisation: "oficina-central", service: "ticket-desk", path: "/open", body: `{"bike":2207}`, keyed: true},
+			{organisation: "oficina-central", service: "ticket-desk", path: "/open", body: `{"bike":2207}`, withIdempotencyKey: true},
 			{organisation: "dock-kiosks", service: "lock-status", path: "/4", body: `{}`},
 		},
-		withdrawn:        "dock-quick@2",
-		forbidden:        task{organisation: "dock-kiosks", kind: "report", prompt: report},
+		withdrawnVersion: "dock-quick@2",
+		forbiddenTask:    task{organisation: "dock-kiosks", kind: "report", prompt: report},
 		forbiddenVersion: "diag-large@3",
 	}
 }
@@ -83,18 +83,18 @@
 			{organisation: "andina-central", kind: "settlement", weight: 3, prompt: review},
 			{organisation: "franquicia-godoy", kind: "settlement", weight: 2, prompt: review},
 			{organisation: "franquicia-chimbas", kind: "settlement", weight: 1, prompt: review, stream: true},
-			{organisation: "franquicia-rawson", kind: "reorder", weight: 2, prompt: reorder, keyed: true},
+			{organisation: "franquicia-rawson", kind: "reorder", weight: 2, prompt: reorder, withIdempotencyKey: true},
 			{organisation: "crate-yard", kind: "crate-tag", weight: 4, prompt: "Crate 5 of 9: label torn, two bottles missing.", maxTokens: 8},
 		},
 		conversation: task{organisation: "franquicia-merlo", kind: "settlement", prompt: "Why is route 31 short?", stream: true},
 		turns:        4,
-		repeated:     task{organisation: "franquicia-junin", kind: "reorder", prompt: reorder},
+		duplicated:   task{organisation: "franquicia-junin", kind: "reorder", prompt: reorder},
 		services: []plainCall{
-			{organisation: "franquicia-godoy", service: "pallet-orders", path: "/order", body: `{"pallets":2}`, keyed: true},
+			{organisation: "franquicia-godoy", service: "pallet-orders", path: "/order", body: `{"pallets":2}`, withIdempotencyKey: true},
 			{organisation: "driver-handhelds", service: "price-list", path: "/77", body: `{}`},
 		},
-		withdrawn:        "hoja@2",
-		forbidden:        task{organisation: "driver-handhelds", kind: "settlement", prompt: review},
+		withdrawnVersion: "hoja@2",
+		forbiddenTask:    task{organisation: "driver-handhelds", kind: "settlement", prompt: review},
 		forbiddenVersion: "revision-grande@7",
 	}
 }
--- a/demo/script.go
+++ b/demo/script.go
@@ -10,90 +10,90 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// converse holds a conversation, each turn at another daemon. All turns must run
+// holdConversation holds a conversation, each turn at another daemon. All turns must run
 // on one version.
-func (t *traffic) converse(ctx context.Context) {
-	what := t.scenario.conversation
-	params := caller.Params{Kind: what.kind, Conversation: "demo-conversation"}
+func (t *trafficGenerator) holdConversation(ctx context.Context) {
+	conversation := t.scenario.conversation
+	params := caller.Params{Kind: conversation.kind, Conversation: "demo-conversation"}
 	version := ""
 	for turn := range t.scenario.turns {
-		next := what
-		next.prompt = fmt.Sprintf("%s Turn %d.", what.prompt, turn+1)
-		a, err := t.exchange(ctx, turn%len(t.fleet.Daemons), next, params)
+		next := conversation
+		next.prompt = fmt.Sprintf("%s Turn %d.", conversation.prompt, turn+1)
+		a, err := t.sendAndCheck(ctx, turn%len(t.fleet.Daemons), next, params)
 		if err != nil {
-			t.tally.failed(err)
+			t.outcomes.recordFailure(err)
 			continue
 		}
-		t.tally.answered(receivedFrom(what, a))
+		t.outcomes.recordAnswer(newReceivedAnswer(conversation, a))
 		if version == "" {
 			version = a.Version
 		}
 		if a.Version != version {
-			t.tally.fault("a conversation moved from %s to %s", version, a.Version)
+			t.outcomes.recordFault("a conversation moved from %s to %s", version, a.Version)
 		}
 	}
 }
 
-// repeat sends one non-idempotent request with one idempotency key to every
+// sendDuplicates sends one non-idempotent request with one idempotency key to every
 // daemon at the same time. It must run once, and every caller must get the
 // answer of that run.
-func (t *traffic) repeat(ctx context.Context) {
-	what := t.scenario.repeated
-	params := caller.Params{Kind: what.kind, IdempotencyKey: "demo-repeat"}
+func (t *trafficGenerator) sendDuplicates(ctx context.Context) {
+	duplicated := t.scenario.duplicated
+	params := caller.Params{Kind: duplicated.kind, IdempotencyKey: "demo-repeat"}
 	answers := make([]*caller.Answer, len(t.fleet.Daemons))
 	var sending sync.WaitGroup
 	for daemon := range answers {
 		sending.Go(func() {
-			a, err := t.exchange(ctx, daemon, what, params)
+			a, err := t.sendAndCheck(ctx, daemon, duplicated, params)
 			if err != nil {
-				t.tally.failed(err)
+				t.outcomes.recordFailure(err)
 				return
 			}
 			answers[daemon] = a
 		})
 	}
 	sending.Wait()
-	t.recordRepeat(what, answers)
+	t.recordDuplicates(duplicated, answers)
 }
 
-// recordRepeat counts the answers to one repeated request as one: that of the
+// recordDuplicates counts the answers to one repeated request as one: that of the
 // run. The others are repeats.
-func (t *traffic) recordRepeat(what task, answers []*caller.Answer) {
+func (t *trafficGenerator) recordDuplicates(duplicated task, answers []*caller.Answer) {
 	runs, daemons := 0, make(map[string]bool)
 	for _, a := range answers {
 		if a == nil {
 			continue
 		}
-		r := receivedFrom(what, a)
-		executions := len(t.platform.enginesOf(a.RequestID))
-		r.repeat = executions == 0
+		r := newReceivedAnswer(duplicated, a)
+		executions := len(t.platform.enginesThatExecuted(a.RequestID))
+		r.duplicate = executions == 0
 		runs += executions
 		daemons[a.Address] = true
-		t.tally.answered(r)
+		t.outcomes.recordAnswer(r)
 	}
 	if runs != 1 {
-		t.tally.fault("a repeated %s request ran %d times", what.kind, runs)
+		t.outcomes.recordFault("a repeated %s request ran %d times", duplicated.kind, runs)
 	}
 	if len(daemons) < 2 {
-		t.tally.fault("the repeated %s request reached %d daemons", what.kind, len(daemons))
+		t.outcomes.recordFault("the repeated %s request reached %d daemons", duplicated.kind, len(daemons))
 	}
 }
 
 // callServices calls the plain services.
-func (t *traffic) callServices(ctx context.Context) {
+func (t *trafficGenerator) callServices(ctx context.Context) {
 	for i, call := range t.scenario.services {
 		params := caller.Params{}
-		if call.keyed {
+		if call.withIdempotencyKey {
 			params.IdempotencyKey = caller.NewIdempotencyKey()
 		}
 		daemon := i % len(t.fleet.Daemons)
 		start := time.Now()
 		a, err := t.clients[clientKey{call.organisation, daemon}].CallService(ctx, params, call.service+call.path, []byte(call.body))
 		if err != nil {
-			t.tally.failed(err)
+			t.outcomes.recordFailure(err)
 			continue
 		}
-		t.tally.answered(received{
+		t.outcomes.recordAnswer(receivedAnswer{
 			organisation: call.organisation, kind: "service", version: call.service, requestID: a.RequestID,
 			total: time.Since(start), service: true,
 		})
@@ -101,23 +101,23 @@
 }
 
 // provokeRefusals sends requests that must be refused.
-func (t *traffic) provokeRefusals(ctx context.Context) {
-	intruder, err := caller.New(caller.Options{Entry: t.fleet.Daemons[0].CallerAddress(), Key: keyPrefix + "nobody"})
+func (t *trafficGenerator) provokeRefusals(ctx context.Context) {
+	unauthenticated, err := caller.New(caller.Options{Entry: t.fleet.Daemons[0].CallerAddress(), Key: exampleKeyPrefix + "nobody"})
 	if err != nil {
-		t.tally.fault("client: %v", err)
+		t.outcomes.recordFault("client: %v", err)
 		return
 	}
-	defer intruder.Close()
-	_, err = intruder.Complete(ctx, caller.Params{}, caller.Prompt("hello"), nil)
+	defer unauthenticated.Close()
+	_, err = unauthenticated.Complete(ctx, caller.Params{}, caller.Prompt("hello"), nil)
 	t.expectRefusal(err, failure.CodeUnauthenticated, "a wrong key")
 
-	forbidden := t.scenario.forbidden
-	completion := caller.Prompt(forbidden.prompt)
+	forbiddenTask := t.scenario.forbiddenTask
+	completion := caller.Prompt(forbiddenTask.prompt)
 	completion.Model = t.scenario.forbiddenVersion
-	_, err = t.clients[clientKey{forbidden.organisation, 0}].Complete(ctx, caller.Params{Kind: forbidden.kind}, completion, nil)
+	_, err = t.clients[clientKey{forbiddenTask.organisation, 0}].Complete(ctx, caller.Params{Kind: forbiddenTask.kind}, completion, nil)
 	t.expectRefusal(err, failure.CodeVersionNotAllowed, "a version that is not allowed")
 
-	keyless := t.scenario.repeated
-	_, err = t.clients[clientKey{keyless.organisation, 0}].Complete(ctx, caller.Params{Kind: keyless.kind}, caller.Prompt(keyless.prompt), nil)
+	withoutKey := t.scenario.duplicated
+	_, err = t.clients[clientKey{withoutKey.organisation, 0}].Complete(ctx, caller.Params{Kind: withoutKey.kind}, caller.Prompt(withoutKey.prompt), nil)
 	t.expectRefusal(err, failure.CodeKeyRequired, "a non-idempotent request without an idempotency key")
 }
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -10,8 +10,8 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// received is one answer that a caller got.
-type received struct {
+// receivedAnswer is one answer that a caller got.
+type receivedAnswer struct {
 	organisation string
 	kind         string
 	// version is the version, or the plain service, that answered.
@@ -21,31 +21,31 @@
 	firstToken time.Duration
 	total      time.Duration
 	service    bool
-	// repeat marks the answer to a request that was answered before.
-	repeat bool
+	// duplicate marks the answer to a request that was answered before.
+	duplicate bool
 }
 
-// tally collects what came of all requests of a deployment. It is safe for
+// outcomes collects what came of all requests of a deployment. It is safe for
 // concurrent use.
-type tally struct {
+type outcomes struct {
 	mu       sync.Mutex
-	answers  []received
+	answers  []receivedAnswer
 	refusals map[string]int64
 	broken   int64
 	faults   []string
 }
 
-func newTally() *tally { return &tally{refusals: make(map[string]int64)} }
+func newOutcomes() *outcomes { return &outcomes{refusals: make(map[string]int64)} }
 
-// answered records an answer.
-func (t *tally) answered(r received) {
+// recordAnswer records an answer.
+func (t *outcomes) recordAnswer(r receivedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers = append(t.answers, r)
 }
 
-// failed records a request without a whole answer.
-func (t *tally) failed(err error) {
+// recordFailure records a request without a whole answer.
+func (t *outcomes) recordFailure(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var refused *caller.RefusalError
@@ -60,8 +60,8 @@
 	}
 }
 
-// fault records that a promise did not hold.
-func (t *tally) fault(format string, args ...any) {
+// recordFault records that a promise did not hold.
+func (t *outcomes) recordFault(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, fmt.Sprintf(format, args...))
--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -21,24 +21,24 @@
 	trafficSeed       = 1
 	// requestTimeout bounds each request of the demo.
 	requestTimeout = 15 * time.Second
-	// inForceTimeout bounds the wait for a withdrawal to be in force.
-	inForceTimeout = 10 * time.Second
+	// withdrawalTimeout bounds the wait for a withdrawal to be in force.
+	withdrawalTimeout = 10 * time.Second
 )
 
-// keyPrefix and the name of an organisation make its example key.
-const keyPrefix = "key-"
+// exampleKeyPrefix and the name of an organisation make its example key.
+const exampleKeyPrefix = "key-"
 
-// traffic sends the requests of a scenario.
-type traffic struct {
+// trafficGenerator sends the requests of a scenario.
+type trafficGenerator struct {
 	scenario scenario
 	platform *Platform
 	fleet    *Fleet
-	tally    *tally
+	outcomes *outcomes
 	// clients has one for each organisation and daemon.
-	clients map[clientKey]*caller.Client
-	number  atomic.Int64
-	// withdrawn is set once the withdrawal is in force on every daemon.
-	withdrawn atomic.Bool
+	clients      map[clientKey]*caller.Client
+	requestCount atomic.Int64
+	// withdrawalInForce is set once the withdrawal is in force on every daemon.
+	withdrawalInForce atomic.Bool
 }
 
 // clientKey names a client by organisation and the daemon that it asks first.
@@ -47,11 +47,11 @@
 	daemon       int
 }
 
-func newTraffic(s scenario, p *Platform, f *Fleet) (*traffic, error) {
-	t := &traffic{scenario: s, platform: p, fleet: f, tally: newTally(), clients: make(map[clientKey]*caller.Client)}
+func newTrafficGenerator(s scenario, p *Platform, f *Fleet) (*trafficGenerator, error) {
+	t := &trafficGenerator{scenario: s, platform: p, fleet: f, outcomes: newOutcomes(), clients: make(map[clientKey]*caller.Client)}
 	for _, organisation := range p.Register.GetOrganisations() {
 		for i, d := range f.Daemons {
-			c, err := caller.New(caller.Options{Entry: d.CallerAddress(), Key: keyPrefix + organisation.GetName()})
+			c, err := caller.New(caller.Options{Entry: d.CallerAddress(), Key: exampleKeyPrefix + organisation.GetName()})
 			if err != nil {
 				return nil, err
 			}
@@ -62,7 +62,7 @@
 }
 
 // close closes the connections of all clients.
-func (t *traffic) close() {
+func (t *trafficGenerator) close() {
 	for _, c := range t.clients {
 		c.Close()
 	}
@@ -70,23 +70,23 @@
 
 // run sends the steady traffic for the duration, plays the script beside it and
 // returns when every request has ended.
-func (t *traffic) run(ctx context.Context, duration time.Duration) {
+func (t *trafficGenerator) run(ctx context.Context, duration time.Duration) {
 	var running sync.WaitGroup
-	for _, part := range []func(context.Context){t.converse, t.repeat, t.callServices, t.provokeRefusals} {
+	for _, part := range []func(context.Context){t.holdConversation, t.sendDuplicates, t.callServices, t.provokeRefusals} {
 		running.Go(func() { part(ctx) })
 	}
 	running.Go(func() {
 		if backoff.Sleep(ctx, duration/2) == nil {
-			t.withdraw(ctx)
+			t.withdrawVersion(ctx)
 		}
 	})
-	t.steady(ctx, duration, &running)
+	t.sendSteady(ctx, duration, &running)
 	running.Wait()
 }
 
-// steady sends requests at a steady rate, whether earlier ones are answered or
+// sendSteady sends requests at a steady rate, whether earlier ones are answered or
 // not.
-func (t *traffic) steady(ctx context.Context, duration time.Duration, running *sync.WaitGroup) {
+func (t *trafficGenerator) sendSteady(ctx context.Context, duration time.Duration, running *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(trafficSeed, 0))
 	ticker := time.NewTicker(time.Second / requestsPerSecond)
 	defer ticker.Stop()
@@ -96,18 +96,18 @@
 		case <-ctx.Done():
 			return
 		}
-		next := t.pick(random)
+		next := t.pickTask(random)
 		daemon := random.IntN(len(t.fleet.Daemons))
 		params := caller.Params{Kind: next.kind}
-		if next.keyed {
+		if next.withIdempotencyKey {
 			params.IdempotencyKey = caller.NewIdempotencyKey()
 		}
-		running.Go(func() { t.one(ctx, daemon, next, params) })
+		running.Go(func() { t.sendOne(ctx, daemon, next, params) })
 	}
 }
 
-// pick draws a task by the weights.
-func (t *traffic) pick(random *rand.Rand) task {
+// pickTask draws a task by the weights.
+func (t *trafficGenerator) pickTask(random *rand.Rand) task {
 	sum := 0
 	for _, one := range t.scenario.tasks {
 		sum += one.weight
@@ -121,39 +121,39 @@
 	return t.scenario.tasks[0]
 }
 
-// one sends a request of the steady traffic.
-func (t *traffic) one(ctx context.Context, daemon int, what task, params caller.Params) {
-	what.prompt = fmt.Sprintf("%s Request %d.", what.prompt, t.number.Add(1))
-	a, err := t.exchange(ctx, daemon, what, params)
+// sendOne sends a request of the steady traffic.
+func (t *trafficGenerator) sendOne(ctx context.Context, daemon int, work task, params caller.Params) {
+	work.prompt = fmt.Sprintf("%s Request %d.", work.prompt, t.requestCount.Add(1))
+	a, err := t.sendAndCheck(ctx, daemon, work, params)
 	if err != nil {
-		t.tally.failed(err)
+		t.outcomes.recordFailure(err)
 		return
 	}
-	t.tally.answered(receivedFrom(what, a))
+	t.outcomes.recordAnswer(newReceivedAnswer(work, a))
 }
 
-func receivedFrom(what task, a *caller.Answer) received {
-	return received{
-		organisation: what.organisation, kind: what.kind, version: a.Version, requestID: a.RequestID,
+func newReceivedAnswer(work task, a *caller.Answer) receivedAnswer {
+	return receivedAnswer{
+		organisation: work.organisation, kind: work.kind, version: a.Version, requestID: a.RequestID,
 		usage: a.Usage, firstToken: a.FirstToken, total: a.Total,
 	}
 }
 
-// exchange sends one request and returns its answer, checked to be the whole
+// sendAndCheck sends one request and returns its answer, checked to be the whole
 // answer to this request and from a version that was not withdrawn.
-func (t *traffic) exchange(ctx context.Context, daemon int, what task, params caller.Params) (*caller.Answer, error) {
+func (t *trafficGenerator) sendAndCheck(ctx context.Context, daemon int, work task, params caller.Params) (*caller.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	withdrawn := t.withdrawn.Load()
-	completion := caller.Prompt(what.prompt)
-	completion.Stream = what.stream
-	completion.MaxTokens = what.maxTokens
-	a, err := t.clients[clientKey{what.organisation, daemon}].Complete(ctx, params, completion, nil)
+	withdrawalInForce := t.withdrawalInForce.Load()
+	completion := caller.Prompt(work.prompt)
+	completion.Stream = work.stream
+	completion.MaxTokens = work.maxTokens
+	a, err := t.clients[clientKey{work.organisation, daemon}].Complete(ctx, params, completion, nil)
 	if err != nil {
 		return nil, err
 	}
-	if withdrawn && a.Version == t.scenario.withdrawn {
-		t.tally.fault("%s answered request %s, sent after its withdrawal was in force", a.Version, a.RequestID)
+	if withdrawalInForce && a.Version == t.scenario.withdrawnVersion {
+		t.outcomes.recordFault("%s answered request %s, sent after its withdrawal was in force", a.Version, a.RequestID)
 	}
 	body, err := completion.Body()
 	if err != nil {
@@ -165,28 +165,28 @@
 	return a, nil
 }
 
-// withdraw withdraws a version and notes when that is in force everywhere.
-func (t *traffic) withdraw(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
+// withdrawVersion withdraws a version and notes when that is in force everywhere.
+func (t *trafficGenerator) withdrawVersion(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, withdrawalTimeout)
 	defer cancel()
-	generation, err := t.platform.Withdraw(ctx, t.scenario.withdrawn, "withdrawn by the demo")
+	generation, err := t.platform.Withdraw(ctx, t.scenario.withdrawnVersion, "withdrawn by the demo")
 	if err == nil {
 		err = t.fleet.WaitGeneration(ctx, generation)
 	}
 	if err != nil {
-		t.tally.fault("withdrawal of %s: %v", t.scenario.withdrawn, err)
+		t.outcomes.recordFault("withdrawal of %s: %v", t.scenario.withdrawnVersion, err)
 		return
 	}
-	t.withdrawn.Store(true)
+	t.withdrawalInForce.Store(true)
 }
 
 // expectRefusal records a request that must be refused with the code.
-func (t *traffic) expectRefusal(err error, code failure.Code, what string) {
+func (t *trafficGenerator) expectRefusal(err error, code failure.Code, description string) {
 	var refused *caller.RefusalError
 	if !errors.As(err, &refused) || refused.Detail.Code != string(code) || refused.Detail.Ran != string(failure.RanNo) {
-		t.tally.fault("%s: want a refusal with %s, not run, got %v", what, code, err)
+		t.outcomes.recordFault("%s: want a refusal with %s, not run, got %v", description, code, err)
 	}
 	if err != nil {
-		t.tally.failed(err)
+		t.outcomes.recordFailure(err)
 	}
 }
--- a/measure/bounds.go
+++ b/measure/bounds.go
@@ -15,13 +15,13 @@
 // Figures are the seeded figures of one case that must not get worse. Lower
 // is better for all of them.
 type Figures struct {
-	Case          string  `json:"case"`
-	CostPerAnswer float64 `json:"cost_micros_per_answer"`
-	BelowShare    float64 `json:"below_target_share"`
-	BadShare      float64 `json:"bad_answer_share"`
-	LostShare     float64 `json:"refused_or_failed_share"`
-	ToBad         float64 `json:"attempts_at_bad_version"`
-	ToHalted      float64 `json:"attempts_at_halted_version"`
+	Case                  string  `json:"case"`
+	CostPerAnswer         float64 `json:"cost_micros_per_answer"`
+	BelowTargetShare      float64 `json:"below_target_share"`
+	BadAnswerShare        float64 `json:"bad_answer_share"`
+	RefusedOrFailedShare  float64 `json:"refused_or_failed_share"`
+	BadVersionAttempts    float64 `json:"attempts_at_bad_version"`
+	HaltedVersionAttempts float64 `json:"attempts_at_halted_version"`
 	// UrgentP95 and UrgentP99 are those of the slowest urgent kind, in
 	// milliseconds, or of the slowest kind without an urgent one.
 	UrgentP95 float64 `json:"urgent_p95_ms"`
@@ -30,7 +30,7 @@
 
 // BoundCases are the short cases that CI checks.
 func BoundCases() []Case {
-	faults := []Fault{FaultHalfPool, FaultVersionBad, FaultRolloutHalted, FaultBulkOverrun}
+	faults := []Fault{FaultHalfPoolLost, FaultVersionBad, FaultRolloutHalted, FaultBulkOverrun}
 	var cases []Case
 	for i := range Scenarios {
 		cases = append(cases, Case{Scenario: Scenarios[i].Short(), Fault: faults[i], Policy: PolicyRouter, Seed: Seed})
@@ -38,16 +38,16 @@
 	return cases
 }
 
-// FiguresOf returns the figures of a result.
-func FiguresOf(r *Result) Figures {
+// NewFigures returns the figures of a result.
+func NewFigures(r *Result) Figures {
 	f := Figures{
-		Case:          fmt.Sprintf("%s, %s", r.Scenario, r.Fault),
-		CostPerAnswer: r.CostPerAnswer(),
-		BelowShare:    r.BelowShare(),
-		BadShare:      1 - ratio(float64(r.Good), float64(r.Answered)),
-		LostShare:     ratio(float64(r.Refused+r.Failed), float64(r.Offered)),
-		ToBad:         float64(r.ToBad),
-		ToHalted:      float64(r.ToHalted),
+		Case:                  fmt.Sprintf("%s, %s", r.Scenario, r.Fault),
+		CostPerAnswer:         r.CostPerAnswer(),
+		BelowTargetShare:      r.BelowTargetShare(),
+		BadAnswerShare:        1 - ratio(float64(r.Good), float64(r.Answered)),
+		RefusedOrFailedShare:  ratio(float64(r.Refused+r.Failed), float64(r.Offered)),
+		BadVersionAttempts:    float64(r.BadVersionAttempts),
+		HaltedVersionAttempts: float64(r.HaltedVersionAttempts),
 	}
 	anyUrgent := false
 	for _, k := range r.Kinds {
@@ -62,27 +62,27 @@
 	return f
 }
 
-// Worse names the figures of f that are worse than the bound allows.
-func (f Figures) Worse(bound Figures) []string {
-	var worse []string
+// Regressions names the figures of f that are worse than the bound allows.
+func (f Figures) Regressions(bound Figures) []string {
+	var regressions []string
 	for _, c := range []struct {
 		name       string
 		got, bound float64
 	}{
 		{"cost per answer", f.CostPerAnswer, bound.CostPerAnswer},
-		{"share below the target", f.BelowShare, bound.BelowShare},
-		{"share of bad answers", f.BadShare, bound.BadShare},
-		{"share refused or failed", f.LostShare, bound.LostShare},
-		{"attempts at the bad version", f.ToBad, bound.ToBad},
-		{"attempts at the halted version", f.ToHalted, bound.ToHalted},
+		{"share below the target", f.BelowTargetShare, bound.BelowTargetShare},
+		{"share of bad answers", f.BadAnswerShare, bound.BadAnswerShare},
+		{"share refused or failed", f.RefusedOrFailedShare, bound.RefusedOrFailedShare},
+		{"attempts at the bad version", f.BadVersionAttempts, bound.BadVersionAttempts},
+		{"attempts at the halted version", f.HaltedVersionAttempts, bound.HaltedVersionAttempts},
 		{"p95", f.UrgentP95, bound.UrgentP95},
 		{"p99", f.UrgentP99, bound.UrgentP99},
 	} {
 		if c.got > c.bound*(1+boundMargin) && c.got > math.Nextafter(c.bound, math.Inf(1)) {
-			worse = append(worse, fmt.Sprintf("%s: %.4g, bound %.4g", c.name, c.got, c.bound))
+			regressions = append(regressions, fmt.Sprintf("%s: %.4g, bound %.4g", c.name, c.got, c.bound))
 		}
 	}
-	return worse
+	return regressions
 }
 
 // WriteBounds runs the bound cases and writes their figures.
@@ -93,7 +93,7 @@
 		if err != nil {
 			return err
 		}
-		all = append(all, FiguresOf(r))
+		all = append(all, NewFigures(r))
 	}
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// slotRate is the assumed rate of a slot before measurements, as in the
+	// initialSlotRate is the assumed rate of a slot before measurements, as in the
 	// daemon.
-	slotRate = 200
-	// reportValid is how long a load report counts for the room of bulk work.
-	reportValid = 5 * time.Second
-	// localHop and remoteHop are one-way latencies to engines.
-	localHop  = 100 * time.Microsecond
-	remoteHop = time.Millisecond
-	// connectFailure is how long a connection to a dead engine takes to fail.
-	connectFailure = 2 * time.Millisecond
+	initialSlotRate = 200
+	// maxReportAge is how long a load report counts for the room of bulk work.
+	maxReportAge = 5 * time.Second
+	// localHopLatency and remoteHop are one-way latencies to engines.
+	localHopLatency  = 100 * time.Microsecond
+	remoteHopLatency = time.Millisecond
+	// connectFailureDelay is how long a connection to a dead engine takes to fail.
+	connectFailureDelay = 2 * time.Millisecond
 )
 
 // daemon decides for the requests that callers sent to it.
@@ -41,7 +41,7 @@
 	waiting    map[*admission.Item]*request
 	reported   map[*fakeEngine]loadReport
 	failedAt   map[*fakeEngine]time.Time // last failure, for the baselines
-	turn       int
+	nextEngine int
 }
 
 // loadReport is what an engine last reported.
@@ -52,16 +52,16 @@
 
 // flow is the way of a request through a daemon.
 type flow struct {
-	queue    *admission.Queue
-	item     *admission.Item
-	started  time.Time // when it got its slot
-	version  string
-	launch   int
-	attempts int
-	tried    [balance.MaxExclude]string
-	sentAt   time.Time
-	winner   *attempt
-	live     []*attempt
+	queue        *admission.Queue
+	item         *admission.Item
+	started      time.Time // when it got its slot
+	version      string
+	launchNumber int
+	attempts     int
+	tried        [balance.MaxExclude]string
+	sentAt       time.Time
+	winner       *attempt
+	liveAttempts []*attempt
 }
 
 func (s *sim) addDaemons(seed uint64) error {
@@ -87,30 +87,30 @@
 			for _, e := range engines {
 				slots += int(e.GetSlots())
 			}
-			d.queues[version] = admission.NewQueue(slots, slotRate)
+			d.queues[version] = admission.NewQueue(slots, initialSlotRate)
 		}
 		s.daemons = append(s.daemons, d)
-		d.review()
+		d.reviewPeriodically()
 	}
 	return nil
 }
 
-// review compares the engines from time to time.
-func (d *daemon) review() {
+// reviewPeriodically compares the engines from time to time.
+func (d *daemon) reviewPeriodically() {
 	d.state.Review(d.plan, d.sim.now)
 	if d.sim.now.After(epoch) {
-		d.setRooms()
+		d.updateBulkLimits()
 	}
-	d.sim.after(reviewEvery, d.review)
+	d.sim.after(reviewInterval, d.reviewPeriodically)
 }
 
-func (d *daemon) loadReported(e *fakeEngine, requests, tokens int64, asOf time.Time) {
+func (d *daemon) handleLoadReport(e *fakeEngine, requests, tokens int64, asOf time.Time) {
 	d.reported[e] = loadReport{requests: requests, asOf: asOf}
 	d.state.LoadReported(balance.LoadReported{Engine: e.GetName(), Requests: requests, Tokens: tokens, AsOf: asOf})
 }
 
-// enter chooses a version and lets the request through admission.
-func (s *sim) enter(r *request) {
+// admit chooses a version and lets the request through admission.
+func (s *sim) admit(r *request) {
 	var err error
 	if r.decision, err = s.policy.version(s, r); err != nil {
 		s.refuse(r, failure.From(err).Code)
@@ -119,16 +119,16 @@
 	if r.conversation != nil && r.conversation.version == "" {
 		r.conversation.version = r.decision.Version
 	}
-	if s.policy.oracle() {
+	if s.policy.isOracle() {
 		r.flow.started = s.now
-		s.launch(r, r.decision.Version)
+		s.startVersion(r, r.decision.Version)
 		return
 	}
-	s.queue(r)
+	s.enqueue(r)
 }
 
-// queue lets the request wait for a place at its version.
-func (s *sim) queue(r *request) {
+// enqueue lets the request wait for a place at its version.
+func (s *sim) enqueue(r *request) {
 	d := r.daemon
 	tokens := float64(r.prompt + r.kind.GetExpectedCompletionTokens())
 	item := admission.NewItem(r.organisation, r.kind.GetPriority(), tokens)
@@ -137,50 +137,50 @@
 	if evicted != nil {
 		out := d.waiting[evicted]
 		delete(d.waiting, evicted)
-		s.noRoom(out)
+		s.handleNoRoom(out)
 	}
 	switch outcome {
 	case admission.StartNow:
 		r.flow.started = s.now
-		s.launch(r, r.decision.Version)
+		s.startVersion(r, r.decision.Version)
 	case admission.WaitTurn:
 		d.waiting[item] = r
-		s.after(item.Latest().Sub(s.now), func() { d.giveUp(item) })
+		s.after(item.Latest().Sub(s.now), func() { d.waitTimedOut(item) })
 	case admission.Refuse:
-		s.noRoom(r)
+		s.handleNoRoom(r)
 	}
 }
 
-// maxRechoices bounds the versions tried for one request beyond the first, as
+// maxOtherVersions bounds the versions tried for one request beyond the first, as
 // the router does.
-const maxRechoices = 2
+const maxOtherVersions = 2
 
-// noRoom moves a request that was not sent to the next version at the target,
+// handleNoRoom moves a request that was not sent to the next version at the target,
 // or refuses it.
-func (s *sim) noRoom(r *request) {
+func (s *sim) handleNoRoom(r *request) {
 	bulk := r.kind.GetPriority() == bronzeturnv1.Priority_PRIORITY_BULK
-	if !s.policy.choosesAgain() || bulk || r.conversation != nil || r.escalated || len(r.noRoom) == maxRechoices {
+	if !s.policy.retriesOtherVersions() || bulk || r.conversation != nil || r.escalated || len(r.fullVersions) == maxOtherVersions {
 		s.refuse(r, failure.CodeNoCapacity)
 		return
 	}
-	r.noRoom = append(r.noRoom, r.decision.Version)
+	r.fullVersions = append(r.fullVersions, r.decision.Version)
 	next, err := s.policy.version(s, r)
 	if err != nil || next.Reason == selection.ReasonBestAvailable || next.Reason == selection.ReasonLastResort {
 		s.refuse(r, failure.CodeNoCapacity)
 		return
 	}
 	s.release(r)
-	r.flow = flow{launch: r.flow.launch + 1}
+	r.flow = flow{launchNumber: r.flow.launchNumber + 1}
 	r.decision = next
-	s.queue(r)
+	s.enqueue(r)
 }
 
-// giveUp ends a wait that took too long.
-func (d *daemon) giveUp(item *admission.Item) {
+// waitTimedOut ends a wait that took too long.
+func (d *daemon) waitTimedOut(item *admission.Item) {
 	r := d.waiting[item]
 	if r != nil && r.flow.queue.Remove(item) {
 		delete(d.waiting, item)
-		d.sim.noRoom(r)
+		d.sim.handleNoRoom(r)
 	}
 }
 
@@ -203,12 +203,12 @@
 		next := d.waiting[item]
 		delete(d.waiting, item)
 		next.flow.started = d.sim.now
-		d.sim.launch(next, next.decision.Version)
+		d.sim.startVersion(next, next.decision.Version)
 	}
 }
 
-// setRooms bounds bulk work by what the engines reported.
-func (d *daemon) setRooms() {
+// updateBulkLimits bounds bulk work by what the engines reported.
+func (d *daemon) updateBulkLimits() {
 	for _, v := range d.sim.reg.GetVersions() {
 		q := d.queues[v.GetName()]
 		if q == nil {
@@ -216,7 +216,7 @@
 		}
 		room := admission.Room{Sharers: daemonCount}
 		for _, e := range d.sim.serving[v.GetName()] {
-			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < reportValid {
+			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < maxReportAge {
 				room.Add(int(e.GetSlots()), int(report.requests))
 			}
 		}
@@ -225,8 +225,8 @@
 	}
 }
 
-// hashOf names a prompt's prefix.
-func hashOf(parts ...string) uint64 {
+// prefixHash names a prompt's prefix.
+func prefixHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p))
@@ -235,7 +235,7 @@
 	return h.Sum64()
 }
 
-// urgent tells whether people wait for the answers of a kind.
-func urgent(k *bronzeturnv1.TaskKind) bool {
+// isUrgent tells whether people wait for the answers of a kind.
+func isUrgent(k *bronzeturnv1.TaskKind) bool {
 	return k.GetPriority() == bronzeturnv1.Priority_PRIORITY_URGENT
 }
--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -9,11 +9,11 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// launch sends the request to engines that serve the version.
-func (s *sim) launch(r *request, version string) {
+// startVersion sends the request to engines that serve the version.
+func (s *sim) startVersion(r *request, version string) {
 	f := &r.flow
-	f.version, f.winner, f.live = version, nil, nil
-	f.launch++
+	f.version, f.winner, f.liveAttempts = version, nil, nil
+	f.launchNumber++
 	f.attempts = 0
 	f.tried = [balance.MaxExclude]string{}
 	r.daemon.budget.Request(s.now)
@@ -31,14 +31,14 @@
 			s.refuse(r, failure.CodeNoCapacity)
 			return
 		}
-		s.noRoom(r)
+		s.handleNoRoom(r)
 		return
 	}
 	r.flow.sentAt = s.now
 	if s.policy.hedges() && r.kind.GetHedge() && r.kind.GetIdempotent() {
 		r.daemon.hedges.Request(s.now)
 		if delay, measured := r.daemon.hedges.Delay(r.kind.GetName()); measured {
-			launch, attempts := r.flow.launch, r.flow.attempts+1
+			launch, attempts := r.flow.launchNumber, r.flow.attempts+1
 			s.after(delay, func() { s.hedge(r, delay, launch, attempts) })
 		}
 	}
@@ -48,7 +48,7 @@
 // hedge sends a second copy of a request that has not begun its answer.
 func (s *sim) hedge(r *request, delay time.Duration, launch, attempts int) {
 	f := &r.flow
-	if r.ended || f.winner != nil || f.launch != launch || f.attempts != attempts || len(f.live) != 1 {
+	if r.ended || f.winner != nil || f.launchNumber != launch || f.attempts != attempts || len(f.liveAttempts) != 1 {
 		return
 	}
 	engine, second, ok := s.policy.engine(s, r)
@@ -61,7 +61,7 @@
 		SecondWait: second.ExpectedWait, SecondAnswer: second.ExpectedAnswer,
 	}, s.now)
 	if granted {
-		s.result.hedged()
+		s.result.recordHedge()
 		s.send(r, engine, second)
 	}
 }
@@ -76,18 +76,21 @@
 			break
 		}
 	}
-	s.result.dispatched(s, f.version)
-	hop := remoteHop
+	s.result.recordDispatch(s, f.version)
+	hop := remoteHopLatency
 	if e.GetDataCentre() == r.daemon.dataCentre {
-		hop = localHop
+		hop = localHopLatency
 	}
 	a := &attempt{
-		request: r, engine: e, sentAt: s.now, launch: f.launch, expectedFirst: d.ExpectedFirstToken,
-		onFirst: func(a *attempt) { s.after(hop, func() { s.firstToken(a) }) },
-		onDone:  func(a *attempt) { s.after(hop, func() { s.answered(a) }) },
-		onFail:  func(a *attempt, ran bool) { a.over = true; s.after(hop+connectFailure, func() { s.failed(a, ran) }) },
-	}
-	f.live = append(f.live, a)
+		request: r, engine: e, sentAt: s.now, launchNumber: f.launchNumber, expectedFirst: d.ExpectedFirstToken,
+		onFirst: func(a *attempt) { s.after(hop, func() { s.handleFirstToken(a) }) },
+		onDone:  func(a *attempt) { s.after(hop, func() { s.handleAnswer(a) }) },
+		onFail: func(a *attempt, ran bool) {
+			a.ended = true
+			s.after(hop+connectFailureDelay, func() { s.handleFailure(a, ran) })
+		},
+	}
+	f.liveAttempts = append(f.liveAttempts, a)
 	r.daemon.state.Dispatched(balance.Dispatched{Engine: e.GetName(), Work: work(r), PrefixHash: r.prefix, At: s.now})
 	s.after(hop, func() { e.submit(a) })
 }
@@ -100,28 +103,28 @@
 	}
 }
 
-// lost reports whether an attempt no longer belongs to its request's way.
-func (s *sim) lost(a *attempt) bool {
-	return a.request.ended || a.launch != a.request.flow.launch || !contains(a.request.flow.live, a)
+// superseded reports whether an attempt no longer belongs to its request's way.
+func (s *sim) superseded(a *attempt) bool {
+	return a.request.ended || a.launchNumber != a.request.flow.launchNumber || !containsAttempt(a.request.flow.liveAttempts, a)
 }
 
-// firstToken makes the first copy that begins its answer the winner.
-func (s *sim) firstToken(a *attempt) {
+// handleFirstToken makes the first copy that begins its answer the winner.
+func (s *sim) handleFirstToken(a *attempt) {
 	r := a.request
-	if s.lost(a) {
+	if s.superseded(a) {
 		return
 	}
-	a.first = true
+	a.firstTokenSeen = true
 	r.daemon.state.FirstToken(balance.FirstToken{
 		Engine: a.engine.GetName(), Work: work(r), Latency: s.now.Sub(a.sentAt), Expected: a.expectedFirst, At: s.now,
 	})
 	r.flow.winner = a
-	for _, other := range r.flow.live {
+	for _, other := range r.flow.liveAttempts {
 		if other != a {
 			s.cancel(other)
 		}
 	}
-	r.flow.live = []*attempt{a}
+	r.flow.liveAttempts = []*attempt{a}
 	if s.policy.hedges() && r.kind.GetHedge() {
 		r.daemon.hedges.Answered(hedge.Answered{Kind: r.kind.GetName(), Latency: s.now.Sub(r.flow.sentAt)})
 	}
@@ -130,36 +133,36 @@
 // cancel ends a copy that is no longer wanted. What it generated is paid.
 func (s *sim) cancel(a *attempt) {
 	r := a.request
-	if !a.begun.IsZero() && !a.over {
-		generated := float64(s.now.Sub(a.begun)-a.prefill) / float64(max(a.generate, 1))
+	if !a.startedAt.IsZero() && !a.ended {
+		generated := float64(s.now.Sub(a.startedAt)-a.prefill) / float64(max(a.generate, 1))
 		tokens := int64(max(0, min(generated, 1)) * float64(r.completion))
 		r.cost += s.truth.cost(r.flow.version, r.prompt, tokens)
 	}
-	if !a.over {
-		a.engine.leave(a)
+	if !a.ended {
+		a.engine.remove(a)
 	}
-	r.daemon.state.Finished(balance.Finished{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.first, Cancelled: true, At: s.now})
+	r.daemon.state.Finished(balance.Finished{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.firstTokenSeen, Cancelled: true, At: s.now})
 }
 
-// answered takes in a whole answer.
-func (s *sim) answered(a *attempt) {
+// handleAnswer takes in a whole answer.
+func (s *sim) handleAnswer(a *attempt) {
 	r := a.request
-	if s.lost(a) {
+	if s.superseded(a) {
 		return
 	}
 	r.daemon.state.Finished(balance.Finished{
-		Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.first,
+		Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.firstTokenSeen,
 		Tokens: r.completion, Generation: a.generate, At: s.now,
 	})
-	r.flow.live = nil
+	r.flow.liveAttempts = nil
 	r.cost += s.truth.cost(r.flow.version, r.prompt, r.completion)
-	s.judge(r)
+	s.evaluateAnswer(r)
 }
 
-// failed takes in that a copy got no answer, and tries again where it is safe.
-func (s *sim) failed(a *attempt, ran bool) {
+// handleFailure takes in that a copy got no answer, and tries again where it is safe.
+func (s *sim) handleFailure(a *attempt, ran bool) {
 	r := a.request
-	if s.lost(a) {
+	if s.superseded(a) {
 		return
 	}
 	d := r.daemon
@@ -168,13 +171,13 @@
 	if ran {
 		kind, retryKind, outcome = balance.FailureError, retry.KindBroken, failure.RanUnknown
 	}
-	d.state.Failed(balance.Failed{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.first, Kind: kind, At: s.now})
-	r.flow.live = without(r.flow.live, a)
-	if len(r.flow.live) > 0 {
+	d.state.Failed(balance.Failed{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.firstTokenSeen, Kind: kind, At: s.now})
+	r.flow.liveAttempts = withoutAttempt(r.flow.liveAttempts, a)
+	if len(r.flow.liveAttempts) > 0 {
 		return
 	}
 	sent := int64(0)
-	if a.first {
+	if a.firstTokenSeen {
 		sent = 1
 	}
 	again, wait, _ := d.retries.Next(retry.Attempt{
@@ -188,7 +191,7 @@
 	s.after(wait, func() { s.dispatch(r) })
 }
 
-func contains(list []*attempt, a *attempt) bool {
+func containsAttempt(list []*attempt, a *attempt) bool {
 	for _, o := range list {
 		if o == a {
 			return true
@@ -197,7 +200,7 @@
 	return false
 }
 
-func without(list []*attempt, a *attempt) []*attempt {
+func withoutAttempt(list []*attempt, a *attempt) []*attempt {
 	var kept []*attempt
 	for _, o := range list {
 		if o != a {
--- a/measure/goals.go
+++ b/measure/goals.go
@@ -14,13 +14,13 @@
 // Met tells whether the goal was met.
 func (g *Goal) Met() bool { return g.Measured <= g.Bound }
 
-// goal averages a ratio over the seeds.
-func (s *Suite) goal(name string, bound float64, measure func(seed uint64) float64) Goal {
+// meanGoal averages a ratio over the seeds.
+func (s *Suite) meanGoal(name string, bound float64, value func(seed uint64) float64) Goal {
 	g := Goal{Name: name, Bound: bound, Lowest: math.Inf(1), Highest: math.Inf(-1)}
 	for seed := uint64(Seed); seed < Seed+goalSeeds; seed++ {
-		value := measure(seed)
-		g.Measured += value / goalSeeds
-		g.Lowest, g.Highest = min(g.Lowest, value), max(g.Highest, value)
+		v := value(seed)
+		g.Measured += v / goalSeeds
+		g.Lowest, g.Highest = min(g.Lowest, v), max(g.Highest, v)
 	}
 	return g
 }
@@ -45,7 +45,7 @@
 }
 
 func (s *Suite) costGoal(name string, bound float64, scenario string, policy, other Policy) Goal {
-	return s.goal(name, bound, func(seed uint64) float64 {
+	return s.meanGoal(name, bound, func(seed uint64) float64 {
 		a, b := s.results[key{scenario, FaultNone, policy, seed}], s.results[key{scenario, FaultNone, other, seed}]
 		return ratio(a.CostPerAnswer(), b.CostPerAnswer())
 	})
@@ -56,7 +56,7 @@
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
 		name := scenario + ": p95 of " + kind + " at about 85% load, against the oracle"
-		goals = append(goals, s.goal(name, 1.25, func(seed uint64) float64 {
+		goals = append(goals, s.meanGoal(name, 1.25, func(seed uint64) float64 {
 			router, oracle := key{scenario, FaultNone, PolicyRouter, seed}, key{scenario, FaultNone, PolicyOracle, seed}
 			return ratio(s.p95(router, kind), s.p95(oracle, kind))
 		}))
@@ -70,7 +70,7 @@
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
 		name := scenario + ": p95 of " + kind + " while bulk overruns, against without"
-		goals = append(goals, s.goal(name, 1.1, func(seed uint64) float64 {
+		goals = append(goals, s.meanGoal(name, 1.1, func(seed uint64) float64 {
 			overrun, calm := key{scenario, FaultBulkOverrun, PolicyRouter, seed}, key{scenario, FaultNone, PolicyRouter, seed}
 			return ratio(s.p95(overrun, kind), s.p95(calm, kind))
 		}))
@@ -83,9 +83,9 @@
 
 // urgentKinds lists the kinds of a scenario for whose answers people wait.
 func (s *Suite) urgentKinds(scenario string) []string {
-	r := s.get(scenario, FaultNone, PolicyRouter)
+	r := s.published(scenario, FaultNone, PolicyRouter)
 	var kinds []string
-	for _, kind := range kindsOf(r) {
+	for _, kind := range sortedKinds(r) {
 		if r.Kinds[kind].Urgent {
 			kinds = append(kinds, kind)
 		}
@@ -97,9 +97,9 @@
 // its sequential test needs on average. Ratings that are on their way count
 // against the policy.
 func (s *Suite) exposureGoal(scenario *Scenario) Goal {
-	needed := scenario.neededAnswers()
-	name := scenario.Name + ": attempts at " + scenario.bad + " after it turned bad, against what the test needs"
-	return s.goal(name, 2, func(seed uint64) float64 {
-		return ratio(float64(s.results[key{scenario.Name, FaultVersionBad, PolicyRouter, seed}].ToBad), needed)
+	needed := scenario.expectedAnswersToDetection()
+	name := scenario.Name + ": attempts at " + scenario.badVersion + " after it turned bad, against what the test needs"
+	return s.meanGoal(name, 2, func(seed uint64) float64 {
+		return ratio(float64(s.results[key{scenario.Name, FaultVersionBad, PolicyRouter, seed}].BadVersionAttempts), needed)
 	})
 }
--- a/measure/learn.go
+++ b/measure/learn.go
@@ -12,9 +12,9 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// learn lets the router's choice of versions meet the rated part of the
+// replayHistory lets the router's choice of versions meet the rated part of the
 // scenario's work for a while before the run, without engines.
-func (s *sim) learn(seed uint64) {
+func (s *sim) replayHistory(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	total := 0.0
 	for i := range s.scenario.streams {
@@ -29,20 +29,20 @@
 		at := rng.Float64() * total
 		for i := range s.scenario.streams {
 			if at -= s.scenario.streams[i].rate * ratedShare; at < 0 {
-				s.learnOne(&s.scenario.streams[i], id, now, rng)
+				s.replayRequest(&s.scenario.streams[i], id, now, rng)
 				break
 			}
 		}
 	}
 }
 
-// learnOne serves and rates one request.
-func (s *sim) learnOne(st *stream, id int, now time.Time, rng *rand.Rand) {
+// replayRequest serves and rates one request.
+func (s *sim) replayRequest(st *stream, id int, now time.Time, rng *rand.Rand) {
 	kind := s.kinds[st.kind]
 	organisation := st.organisations[rng.IntN(len(st.organisations))]
 	d, err := s.versions.Choose(s.plan, &selection.Request{
 		Organisation: organisation, Kind: st.kind, Key: fmt.Sprint("history ", id),
-		InConversation: st.conversations > 0, PromptTokens: st.prompt, Deadline: now.Add(kind.GetDeadline().AsDuration()),
+		InConversation: st.conversationShare > 0, PromptTokens: st.promptTokens, Deadline: now.Add(kind.GetDeadline().AsDuration()),
 	}, now, rng)
 	if err != nil {
 		return
@@ -65,19 +65,19 @@
 	})
 }
 
-// knownWeight is the weight of priors that no rating moves.
-const knownWeight = 1e6
+// fixedPriorWeight is the weight of priors that no rating moves.
+const fixedPriorWeight = 1e6
 
-// quality returns the options of the policy's estimates.
-func (p Policy) quality() quality.Options {
+// qualityOptions returns the options of the policy's estimates.
+func (p Policy) qualityOptions() quality.Options {
 	if p == PolicyInformed {
-		return quality.Options{PriorWeight: knownWeight}
+		return quality.Options{PriorWeight: fixedPriorWeight}
 	}
 	return quality.Options{}
 }
 
-// inform returns the register with true qualities for priors.
-func (t *truth) inform(reg *bronzeturnv1.Register) *bronzeturnv1.Register {
+// registerWithTrueQualities returns the register with true qualities for priors.
+func (t *groundTruth) registerWithTrueQualities(reg *bronzeturnv1.Register) *bronzeturnv1.Register {
 	informed := proto.CloneOf(reg)
 	for _, v := range informed.GetVersions() {
 		v.PriorQualityByKind = nil
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -28,16 +28,16 @@
 			t.Parallel()
 			r, err := Run(c)
 			qt.Assert(t, err, qt.IsNil)
-			figures := FiguresOf(r)
+			figures := NewFigures(r)
 			qt.Assert(t, figures.Case, qt.Equals, bounds[i].Case)
-			qt.Check(t, figures.Worse(bounds[i]), qt.HasLen, 0)
+			qt.Check(t, figures.Regressions(bounds[i]), qt.HasLen, 0)
 			qt.Check(t, r.Answered+r.Refused+r.Failed, qt.Equals, r.Offered)
 			qt.Check(t, r.Answered > 0, qt.IsTrue)
 		})
 	}
 }
 
-func TestFiguresWorse(t *testing.T) {
+func TestRegressions(t *testing.T) {
 	bound := Figures{CostPerAnswer: 100, UrgentP95: 500}
 	cases := []struct {
 		name string
@@ -48,11 +48,11 @@
 		{"better", Figures{CostPerAnswer: 90, UrgentP95: 400}, 0},
 		{"within the margin", Figures{CostPerAnswer: 101.9, UrgentP95: 509}, 0},
 		{"dearer and slower", Figures{CostPerAnswer: 102.1, UrgentP95: 511}, 2},
-		{"something where nothing was", Figures{CostPerAnswer: 100, UrgentP95: 500, ToHalted: 1}, 1},
+		{"something where nothing was", Figures{CostPerAnswer: 100, UrgentP95: 500, HaltedVersionAttempts: 1}, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, test.got.Worse(bound), qt.HasLen, test.want)
+			qt.Check(t, test.got.Regressions(bound), qt.HasLen, test.want)
 		})
 	}
 }
@@ -82,8 +82,8 @@
 		qt.Assert(t, err, qt.IsNil)
 		results[policy] = r
 	}
-	qt.Check(t, results[PolicyOracle].Below, qt.Equals, 0)
-	qt.Check(t, results[PolicyCheapest].BelowShare() > 0.2, qt.IsTrue)
+	qt.Check(t, results[PolicyOracle].BelowTarget, qt.Equals, 0)
+	qt.Check(t, results[PolicyCheapest].BelowTargetShare() > 0.2, qt.IsTrue)
 	qt.Check(t, results[PolicyOracle].CostPerAnswer() < results[PolicyStrongest].CostPerAnswer(), qt.IsTrue)
 	qt.Check(t, results[PolicyCheapest].CostPerAnswer() < results[PolicyOracle].CostPerAnswer(), qt.IsTrue)
 }
@@ -91,15 +91,15 @@
 // engineTest drives one fake engine of two slots and 10 tokens a second.
 type engineTest struct {
 	*clock
-	engine *fakeEngine
-	ended  []string
+	engine   *fakeEngine
+	finished []string
 }
 
 func newEngineTest() *engineTest {
 	e := &engineTest{clock: newClock()}
 	e.engine = &fakeEngine{
 		Engine: &bronzeturnv1.Engine{Slots: 2, TokensPerSecond: 10},
-		clock:  e.clock, rng: rand.New(rand.NewPCG(1, 1)), slow: 1,
+		clock:  e.clock, rng: rand.New(rand.NewPCG(1, 1)), slowdown: 1,
 	}
 	return e
 }
@@ -109,8 +109,8 @@
 		request: &request{kind: &bronzeturnv1.TaskKind{Priority: p}, completion: tokens},
 		engine:  e.engine,
 		onFirst: func(*attempt) {},
-		onDone:  func(*attempt) { e.ended = append(e.ended, name) },
-		onFail:  func(_ *attempt, ran bool) { e.ended = append(e.ended, name+" failed") },
+		onDone:  func(*attempt) { e.finished = append(e.finished, name) },
+		onFail:  func(_ *attempt, ran bool) { e.finished = append(e.finished, name+" failed") },
 	}
 	e.engine.submit(a)
 	return a
@@ -127,18 +127,18 @@
 	requests, tokens := e.engine.load()
 	qt.Check(t, requests, qt.Equals, int64(5))
 	qt.Check(t, tokens, qt.Equals, int64(45))
-	e.engine.leave(gone)
+	e.engine.remove(gone)
 	e.runUntil(epoch.Add(time.Minute))
-	qt.Check(t, e.ended, qt.DeepEquals, []string{"a", "b", "urgent", "bulk"})
+	qt.Check(t, e.finished, qt.DeepEquals, []string{"a", "b", "urgent", "bulk"})
 }
 
-func TestFakeEngineDies(t *testing.T) {
+func TestFakeEngineCrashFailsAttempts(t *testing.T) {
 	e := newEngineTest()
 	for _, name := range []string{"a", "b", "c"} {
 		e.submit(name, bronzeturnv1.Priority_PRIORITY_NORMAL, 10)
 	}
-	e.engine.die()
+	e.engine.crash()
 	e.submit("late", bronzeturnv1.Priority_PRIORITY_NORMAL, 10)
 	e.runUntil(epoch.Add(time.Minute))
-	qt.Check(t, e.ended, qt.DeepEquals, []string{"a failed", "b failed", "c failed", "late failed"})
+	qt.Check(t, e.finished, qt.DeepEquals, []string{"a failed", "b failed", "c failed", "late failed"})
 }
--- a/measure/outcome.go
+++ b/measure/outcome.go
@@ -6,8 +6,8 @@
 	"github.com/bronzeturn/bronzeturn/quality"
 )
 
-// judge checks a whole answer, escalates it, or delivers it.
-func (s *sim) judge(r *request) {
+// evaluateAnswer checks a whole answer, escalates it, or delivers it.
+func (s *sim) evaluateAnswer(r *request) {
 	f := &r.flow
 	version, kind := f.version, r.kind.GetName()
 	good := r.goodDraw < s.truth.quality(version, kind, s.now)
@@ -19,25 +19,25 @@
 		next := cascade.Next(&r.decision.Cascade, &cascade.State{Verdict: verdict, Deadline: r.deadline}, s.now)
 		if next.Version != "" {
 			r.escalated = true
-			s.launch(r, next.Version)
+			s.startVersion(r, next.Version)
 			return
 		}
 		accepted = verdict.OK()
 	}
 	s.rateAnswer(r, version, accepted, good)
 	s.end(r)
-	s.result.answered(s, r, good)
+	s.result.recordAnswer(s, r, good)
 	s.release(r)
 }
 
 // checkAnswer is the check of a cascade: it flags some bad answers and few
 // good ones.
 func checkAnswer(good bool, draw float64) cascade.Verdict {
-	flags := checkRecall
+	flagRate := checkRecall
 	if good {
-		flags = checkFalseAlarm
+		flagRate = checkFalseAlarm
 	}
-	if draw < flags {
+	if draw < flagRate {
 		return cascade.Unsure
 	}
 	return cascade.Passed
@@ -47,7 +47,7 @@
 // of its version, or of its cascade.
 func (s *sim) expectedQuality(r *request) float64 {
 	if r.decision.Escalatable {
-		return s.truth.outlook(r.decision.Version, r.decision.Cascade.Next, r, s.now).Quality
+		return s.truth.expectedCascade(r.decision.Version, r.decision.Cascade.Next, r, s.now).Quality
 	}
 	return s.truth.quality(r.flow.version, r.kind.GetName(), s.now)
 }
@@ -55,7 +55,7 @@
 // end marks a request as ended.
 func (s *sim) end(r *request) {
 	r.ended = true
-	s.open--
+	s.inProgress--
 }
 
 // refuse ends a request that did not run.
@@ -64,14 +64,14 @@
 		return
 	}
 	s.end(r)
-	s.result.refused(r, code)
+	s.result.recordRefusal(r, code)
 	s.release(r)
 }
 
 // fail ends a request that got no whole answer.
 func (s *sim) fail(r *request) {
 	s.end(r)
-	s.result.failed(r)
+	s.result.recordFailure(r)
 	s.release(r)
 }
 
@@ -80,10 +80,10 @@
 	if r.ended {
 		return
 	}
-	for _, a := range r.flow.live {
+	for _, a := range r.flow.liveAttempts {
 		s.cancel(a)
 	}
-	r.flow.live = nil
+	r.flow.liveAttempts = nil
 	if r.flow.started.IsZero() {
 		s.refuse(r, failure.CodeDeadlinePassed)
 		return
--- a/measure/plots.go
+++ b/measure/plots.go
@@ -73,7 +73,7 @@
 	}
 	series := []Policy{PolicyRouter, PolicyOracle, PolicyStrongest, PolicyCheapest}
 	err := bars(p, labels, series, func(i int, policy Policy) float64 {
-		return ratio(s.get(labels[i], FaultNone, policy).CostPerAnswer(), s.get(labels[i], FaultNone, PolicyOracle).CostPerAnswer())
+		return ratio(s.published(labels[i], FaultNone, policy).CostPerAnswer(), s.published(labels[i], FaultNone, PolicyOracle).CostPerAnswer())
 	})
 	return p, err
 }
@@ -91,7 +91,7 @@
 		labels = append(labels, g.kind)
 	}
 	err := bars(p, labels, Policies, func(i int, policy Policy) float64 {
-		return s.get(groups[i].scenario, FaultNone, policy).Kinds[groups[i].kind].P95.Seconds()
+		return s.published(groups[i].scenario, FaultNone, policy).Kinds[groups[i].kind].P95.Seconds()
 	})
 	return p, err
 }
@@ -103,7 +103,7 @@
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = "share answered"
 	for i, policy := range Policies {
-		k := s.get("kiosk peak", FaultNone, policy).Kinds["quick"]
+		k := s.published("kiosk peak", FaultNone, policy).Kinds["quick"]
 		line, err := plotter.NewLine(distribution(k))
 		if err != nil {
 			return nil, err
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -39,14 +39,14 @@
 // Policies are all policies, in the order of the tables.
 var Policies = []Policy{PolicyRouter, PolicyInformed, PolicyOracle, PolicyStrongest, PolicyCheapest, PolicyRoundRobin, PolicyLeastReported}
 
-// avoidFailed is how long the simple baselines stay away from an engine that
+// failedEngineAvoidance is how long the simple baselines stay away from an engine that
 // failed.
-const avoidFailed = 5 * time.Second
+const failedEngineAvoidance = 5 * time.Second
 
-func (p Policy) oracle() bool { return p == PolicyOracle }
+func (p Policy) isOracle() bool { return p == PolicyOracle }
 
-// learns tells whether versions are chosen by what ratings taught.
-func (p Policy) learns() bool {
+// learnsFromRatings tells whether versions are chosen by what ratings taught.
+func (p Policy) learnsFromRatings() bool {
 	return p == PolicyRouter || p == PolicyRoundRobin || p == PolicyLeastReported
 }
 
@@ -56,9 +56,9 @@
 	return p == PolicyRouter || p == PolicyInformed || p == PolicyStrongest || p == PolicyCheapest
 }
 
-// choosesAgain tells whether a request is moved to another version when the
+// retriesOtherVersions tells whether a request is moved to another version when the
 // chosen one has no room, as the router does.
-func (p Policy) choosesAgain() bool { return p == PolicyRouter || p == PolicyInformed }
+func (p Policy) retriesOtherVersions() bool { return p == PolicyRouter || p == PolicyInformed }
 
 // version chooses the version of a request.
 func (p Policy) version(s *sim, r *request) (selection.Decision, error) {
@@ -69,15 +69,15 @@
 	case PolicyOracle:
 		return s.oracleVersion(r)
 	case PolicyStrongest:
-		return s.extreme(r, func(v *bronzeturnv1.Version) float64 { return -priorOf(v, r.kind.GetName()) })
+		return s.usableVersionWithMin(r, func(v *bronzeturnv1.Version) float64 { return -priorQuality(v, r.kind.GetName()) })
 	case PolicyCheapest:
-		return s.extreme(r, func(v *bronzeturnv1.Version) float64 {
+		return s.usableVersionWithMin(r, func(v *bronzeturnv1.Version) float64 {
 			return s.truth.cost(v.GetName(), r.prompt, r.kind.GetExpectedCompletionTokens())
 		})
 	}
 	request := selection.Request{
 		Organisation: r.organisation, Kind: r.kind.GetName(), Key: r.key, InConversation: r.conversation != nil,
-		PromptTokens: r.prompt, Deadline: r.deadline, Tried: r.noRoom,
+		PromptTokens: r.prompt, Deadline: r.deadline, Tried: r.fullVersions,
 	}
 	if r.conversation != nil {
 		request.Constraint = r.conversation.version
@@ -89,12 +89,12 @@
 func (p Policy) engine(s *sim, r *request) (*fakeEngine, balance.Decision, bool) {
 	switch p {
 	case PolicyOracle:
-		e := s.fastest(r, r.flow.version)
+		e := s.fastestEngine(r, r.flow.version)
 		return e, balance.Decision{}, e != nil
 	case PolicyRoundRobin:
 		candidates := r.daemon.candidates(r.flow.version)
-		r.daemon.turn++
-		return candidates[r.daemon.turn%len(candidates)], balance.Decision{}, true
+		r.daemon.nextEngine++
+		return candidates[r.daemon.nextEngine%len(candidates)], balance.Decision{}, true
 	case PolicyLeastReported:
 		candidates := r.daemon.candidates(r.flow.version)
 		r.daemon.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
@@ -117,7 +117,7 @@
 	all := d.sim.serving[version]
 	var usable []*fakeEngine
 	for _, e := range all {
-		if failed, ok := d.failedAt[e]; !ok || d.sim.now.Sub(failed) > avoidFailed {
+		if failed, ok := d.failedAt[e]; !ok || d.sim.now.Sub(failed) > failedEngineAvoidance {
 			usable = append(usable, e)
 		}
 	}
@@ -127,32 +127,32 @@
 	return usable
 }
 
-// usable lists the versions that the rules and the register let a request use.
-func (s *sim) usable(r *request) []*bronzeturnv1.Version {
+// usableVersions lists the versions that the rules and the register let a request use.
+func (s *sim) usableVersions(r *request) []*bronzeturnv1.Version {
 	i := slices.IndexFunc(s.reg.GetOrganisations(), func(o *bronzeturnv1.Organisation) bool { return o.GetName() == r.organisation })
 	organisation := s.reg.GetOrganisations()[i]
 	var usable []*bronzeturnv1.Version
 	for _, v := range s.reg.GetVersions() {
 		allowed := slices.Contains(organisation.GetAllowedVersions(), v.GetName()) ||
 			slices.Contains(organisation.GetAllowedModels(), v.GetModel())
-		if allowed && len(s.serving[v.GetName()]) > 0 && !s.outOfUse(v.GetName()) {
+		if allowed && len(s.serving[v.GetName()]) > 0 && !s.excluded(v.GetName()) {
 			usable = append(usable, v)
 		}
 	}
 	return usable
 }
 
-// outOfUse reports whether the rules withdraw a version or halt its roll-out.
-func (s *sim) outOfUse(version string) bool {
+// excluded reports whether the rules withdraw a version or halt its roll-out.
+func (s *sim) excluded(version string) bool {
 	withdrawn := slices.ContainsFunc(s.rules.GetWithdrawals(), func(w *bronzeturnv1.Withdrawal) bool { return w.GetVersion() == version })
 	return withdrawn || slices.ContainsFunc(s.rules.GetRollouts(), func(o *bronzeturnv1.Rollout) bool {
 		return o.GetVersion() == version && o.GetState() == bronzeturnv1.RolloutState_ROLLOUT_STATE_HALTED
 	})
 }
 
-// extreme chooses the usable version with the least value.
-func (s *sim) extreme(r *request, value func(*bronzeturnv1.Version) float64) (selection.Decision, error) {
-	usable := s.usable(r)
+// usableVersionWithMin chooses the usable version with the least value.
+func (s *sim) usableVersionWithMin(r *request, value func(*bronzeturnv1.Version) float64) (selection.Decision, error) {
+	usable := s.usableVersions(r)
 	if len(usable) == 0 {
 		return selection.Decision{}, failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "no usable version")
 	}
@@ -169,10 +169,10 @@
 	best, bestCost := selection.Decision{}, math.Inf(1)
 	var fallback selection.Decision
 	fallbackQuality := -1.0
-	usable := s.usable(r)
+	usable := s.usableVersions(r)
 	for _, v := range usable {
 		q := s.truth.quality(v.GetName(), kind, s.now)
-		if s.fastest(r, v.GetName()).finishAfter(r) > r.deadline.Sub(s.now) {
+		if s.fastestEngine(r, v.GetName()).timeToFinish(r) > r.deadline.Sub(s.now) {
 			continue
 		}
 		cost := s.truth.cost(v.GetName(), r.prompt, r.completion)
@@ -200,25 +200,25 @@
 	left := r.deadline.Sub(s.now)
 	for _, cheap := range usable {
 		for _, strong := range usable {
-			a, b := s.fastest(r, cheap.GetName()), s.fastest(r, strong.GetName())
-			out := s.truth.outlook(cheap.GetName(), strong.GetName(), r, s.now)
-			if cheap == strong || out.Quality < r.kind.GetQualityTarget() || out.Cost >= bestCost || a.finishAfter(r)+b.finishAfter(r) > left {
+			a, b := s.fastestEngine(r, cheap.GetName()), s.fastestEngine(r, strong.GetName())
+			out := s.truth.expectedCascade(cheap.GetName(), strong.GetName(), r, s.now)
+			if cheap == strong || out.Quality < r.kind.GetQualityTarget() || out.Cost >= bestCost || a.timeToFinish(r)+b.timeToFinish(r) > left {
 				continue
 			}
 			bestCost = out.Cost
 			best = selection.Decision{
 				Version: cheap.GetName(), Escalatable: true,
-				Cascade: cascade.Plan{Next: strong.GetName(), NextDuration: b.finishAfter(r)},
+				Cascade: cascade.Plan{Next: strong.GetName(), NextDuration: b.timeToFinish(r)},
 			}
 		}
 	}
 	return best
 }
 
-// fastest is the engine that would truly answer first.
-func (s *sim) fastest(r *request, version string) *fakeEngine {
+// fastestEngine is the engine that would truly answer first.
+func (s *sim) fastestEngine(r *request, version string) *fakeEngine {
 	return slices.MinFunc(s.serving[version], func(a, b *fakeEngine) int {
-		return compare(a.finishAfter(r).Seconds(), b.finishAfter(r).Seconds())
+		return compare(a.timeToFinish(r).Seconds(), b.timeToFinish(r).Seconds())
 	})
 }
 
--- a/measure/result.go
+++ b/measure/result.go
@@ -17,13 +17,13 @@
 	Offered, Answered, Refused, Failed int
 	// CostMicros is the price of all that ran, in micro-units.
 	CostMicros float64
-	// Below counts answers of versions or cascades whose true quality is below
+	// BelowTarget counts answers of versions or cascades whose true quality is below
 	// the target, Good counts good answers.
-	Below, Good int
-	// ToBad counts attempts at the bad version after it turned, ToHalted those
+	BelowTarget, Good int
+	// BadVersionAttempts counts attempts at the bad version after it turned, ToHalted those
 	// at the halted version after the halt.
-	ToBad, ToHalted int
-	Hedges          int
+	BadVersionAttempts, HaltedVersionAttempts int
+	Hedges                                    int
 	// Kinds holds the latencies by task kind.
 	Kinds map[string]*KindResult
 }
@@ -47,84 +47,86 @@
 // CostPerAnswer is the cost per answered request, in micro-units.
 func (r *Result) CostPerAnswer() float64 { return r.CostMicros / float64(max(r.Answered, 1)) }
 
-// BelowShare is the share of answers below the target.
-func (r *Result) BelowShare() float64 { return float64(r.Below) / float64(max(r.Answered, 1)) }
+// BelowTargetShare is the share of answers below the target.
+func (r *Result) BelowTargetShare() float64 {
+	return float64(r.BelowTarget) / float64(max(r.Answered, 1))
+}
 
-// counted tells whether a request arrived after the warm-up.
-func counted(r *request) bool { return !r.arrival.Before(epoch.Add(warmUp)) }
+// arrivedAfterWarmUp tells whether a request arrived after the warm-up.
+func arrivedAfterWarmUp(r *request) bool { return !r.arrival.Before(epoch.Add(warmUp)) }
 
 func (r *Result) kind(q *request) *KindResult {
 	k := r.Kinds[q.kind.GetName()]
 	if k == nil {
-		k = &KindResult{Urgent: urgent(q.kind), Versions: make(map[string]int)}
+		k = &KindResult{Urgent: isUrgent(q.kind), Versions: make(map[string]int)}
 		r.Kinds[q.kind.GetName()] = k
 	}
 	return k
 }
 
-func (r *Result) offered(q *request) {
-	if counted(q) {
+func (r *Result) recordOffered(q *request) {
+	if arrivedAfterWarmUp(q) {
 		r.Offered++
 		r.kind(q).Offered++
 	}
 }
 
-func (r *Result) hedged() { r.Hedges++ }
+func (r *Result) recordHedge() { r.Hedges++ }
 
-// dispatched counts what goes to versions that should get nothing.
-func (r *Result) dispatched(s *sim, version string) {
-	if version == s.truth.bad && !s.now.Before(s.truth.badSince) {
-		r.ToBad++
+// recordDispatch counts what goes to versions that should get nothing.
+func (r *Result) recordDispatch(s *sim, version string) {
+	if version == s.truth.badVersion && !s.now.Before(s.truth.badSince) {
+		r.BadVersionAttempts++
 	}
-	if version == s.scenario.halted && !s.haltedAt.IsZero() {
-		r.ToHalted++
+	if version == s.scenario.haltedVersion && !s.haltedAt.IsZero() {
+		r.HaltedVersionAttempts++
 	}
 }
 
-func (r *Result) answered(s *sim, q *request, good bool) {
-	if !counted(q) {
+func (r *Result) recordAnswer(s *sim, q *request, good bool) {
+	if !arrivedAfterWarmUp(q) {
 		return
 	}
 	k := r.kind(q)
 	r.Answered++
 	k.Answered++
-	r.pay(q)
+	r.addCost(q)
 	k.Versions[q.flow.version]++
 	if good {
 		r.Good++
 	}
 	if s.expectedQuality(q) < q.kind.GetQualityTarget() {
-		r.Below++
+		r.BelowTarget++
 	}
 	k.latencies = append(k.latencies, s.now.Sub(q.arrival))
 }
 
-func (r *Result) refused(q *request, _ failure.Code) {
-	if !counted(q) {
+func (r *Result) recordRefusal(q *request, _ failure.Code) {
+	if !arrivedAfterWarmUp(q) {
 		return
 	}
 	r.Refused++
 	r.kind(q).Refused++
-	r.pay(q)
+	r.addCost(q)
 }
 
-func (r *Result) failed(q *request) {
-	if !counted(q) {
+func (r *Result) recordFailure(q *request) {
+	if !arrivedAfterWarmUp(q) {
 		return
 	}
 	r.Failed++
 	r.kind(q).Failed++
-	r.pay(q)
+	r.addCost(q)
 }
 
-// pay adds what the request cost.
-func (r *Result) pay(q *request) {
+// addCost adds what the request cost.
+func (r *Result) addCost(q *request) {
 	r.CostMicros += q.cost
 	r.kind(q).CostMicros += q.cost
 }
 
-// finish computes the quantiles.
-func (r *Result) finish() {
+// computeQuantiles computes the quantiles.
+func (r *Result) computeQuantiles() {
 	for _, k := range r.Kinds {
 		slices.Sort(k.latencies)
 		k.P50, k.P95, k.P99 = quantile(k.latencies, 0.5), quantile(k.latencies, 0.95), quantile(k.latencies, 0.99)
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -14,45 +14,45 @@
 
 // The faults. All but the cold start begin at FaultAt.
 const (
-	FaultNone          Fault = "none"
-	FaultVersionBad    Fault = "version turns bad"
-	FaultBadRatedLate  Fault = "version turns bad, ratings a minute late"
-	FaultHalfPool      Fault = "half a pool lost"
-	FaultRolloutHalted Fault = "roll-out halted"
-	FaultRatingsSilent Fault = "ratings silent"
-	FaultOldReports    Fault = "load reports 2 s old"
-	FaultSlowEngine    Fault = "a slow engine"
-	FaultBulkOverrun   Fault = "bulk overruns"
+	FaultNone                  Fault = "none"
+	FaultVersionBad            Fault = "version turns bad"
+	FaultVersionBadLateRatings Fault = "version turns bad, ratings a minute late"
+	FaultHalfPoolLost          Fault = "half a pool lost"
+	FaultRolloutHalted         Fault = "roll-out halted"
+	FaultRatingsStopped        Fault = "ratings silent"
+	FaultStaleReports          Fault = "load reports 2 s old"
+	FaultSlowEngine            Fault = "a slow engine"
+	FaultBulkOverrun           Fault = "bulk overruns"
 	// FaultColdStart is a fleet that has no ratings yet.
 	FaultColdStart Fault = "no ratings yet"
 )
 
 // Faults are all faults, in the order of the tables.
 var Faults = []Fault{
-	FaultNone, FaultVersionBad, FaultBadRatedLate, FaultHalfPool, FaultRolloutHalted,
-	FaultRatingsSilent, FaultOldReports, FaultSlowEngine, FaultBulkOverrun, FaultColdStart,
+	FaultNone, FaultVersionBad, FaultVersionBadLateRatings, FaultHalfPoolLost, FaultRolloutHalted,
+	FaultRatingsStopped, FaultStaleReports, FaultSlowEngine, FaultBulkOverrun, FaultColdStart,
 }
 
 const (
 	// warmUp is left out of all figures but the exposure to bad versions.
 	warmUp = 20 * time.Second
-	// faultAt is the FaultAt of the full runs.
-	faultAt = 60 * time.Second
-	// history is the History of the full runs.
-	history = 4 * time.Hour
-	// overrun multiplies the rates of bulk kinds when bulk overruns.
-	overrun = 10
+	// fullFaultAt is the FaultAt of the full runs.
+	fullFaultAt = 60 * time.Second
+	// fullHistory is the History of the full runs.
+	fullHistory = 4 * time.Hour
+	// bulkOverrunFactor multiplies the rates of bulk kinds when bulk overruns.
+	bulkOverrunFactor = 10
 )
 
 // stream is one kind of work.
 type stream struct {
-	kind   string
-	rate   float64 // requests per second
-	prompt int64   // mean prompt tokens
+	kind         string
+	rate         float64 // requests per second
+	promptTokens int64   // mean prompt tokens
 	// organisations send in equal parts; name one twice for a large one.
 	organisations []string
-	// conversations is the share of requests that continue a conversation.
-	conversations float64
+	// conversationShare is the share of requests that continue a conversation.
+	conversationShare float64
 }
 
 // Scenario is a deployment with its work.
@@ -66,12 +66,12 @@
 	// a run shows a fleet that knows nothing but priors, as FaultColdStart does.
 	History time.Duration
 	streams []stream
-	// bad is the version that turns bad, halted the one whose roll-out is.
-	bad, halted string
-	// pool loses half of its engines, slow is the engine that turns slow.
-	pool, slow string
-	// biased is an organisation whose ratings are too low.
-	biased string
+	// badVersion is the version that turns bad, halted the one whose roll-out is.
+	badVersion, haltedVersion string
+	// failingPool loses half of its engines, slow is the engine that turns slow.
+	failingPool, slowEngine string
+	// biasedOrganisation is an organisation whose ratings are too low.
+	biasedOrganisation string
 }
 
 var (
@@ -90,48 +90,48 @@
 // burst bring the pool of their quick kind to about 85% load.
 var Scenarios = []Scenario{
 	{
-		Name: "steady day", Deployment: examples.CampinaVerde, Duration: 240 * time.Second, FaultAt: faultAt, History: history,
+		Name: "steady day", Deployment: examples.CampinaVerde, Duration: 240 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "quick", rate: 80, prompt: 200, organisations: kiosks},
-			{kind: "tag", rate: 8, prompt: 400, organisations: workshops},
-			{kind: "report", rate: 2, prompt: 3000, organisations: workshops},
-			{kind: "explain", rate: 2, prompt: 1500, organisations: depots, conversations: 0.6},
+			{kind: "quick", rate: 80, promptTokens: 200, organisations: kiosks},
+			{kind: "tag", rate: 8, promptTokens: 400, organisations: workshops},
+			{kind: "report", rate: 2, promptTokens: 3000, organisations: workshops},
+			{kind: "explain", rate: 2, promptTokens: 1500, organisations: depots, conversationShare: 0.6},
 		},
-		bad: "dock-quick@2", halted: "diag-small@5", pool: "diag-llm", slow: "dock-app-1", biased: "rider-app",
+		badVersion: "dock-quick@2", haltedVersion: "diag-small@5", failingPool: "diag-llm", slowEngine: "dock-app-1", biasedOrganisation: "rider-app",
 	},
 	{
-		Name: "kiosk peak", Deployment: examples.CampinaVerde, Duration: 180 * time.Second, FaultAt: faultAt, History: history,
+		Name: "kiosk peak", Deployment: examples.CampinaVerde, Duration: 180 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "quick", rate: 225, prompt: 200, organisations: kiosks},
-			{kind: "tag", rate: 6, prompt: 400, organisations: workshops},
-			{kind: "report", rate: 1, prompt: 3000, organisations: workshops},
-			{kind: "explain", rate: 1, prompt: 1500, organisations: depots, conversations: 0.6},
+			{kind: "quick", rate: 225, promptTokens: 200, organisations: kiosks},
+			{kind: "tag", rate: 6, promptTokens: 400, organisations: workshops},
+			{kind: "report", rate: 1, promptTokens: 3000, organisations: workshops},
+			{kind: "explain", rate: 1, promptTokens: 1500, organisations: depots, conversationShare: 0.6},
 		},
-		bad: "dock-quick@2", halted: "diag-small@5", pool: "dock-app", slow: "dock-app-1", biased: "rider-app",
+		badVersion: "dock-quick@2", haltedVersion: "diag-small@5", failingPool: "dock-app", slowEngine: "dock-app-1", biasedOrganisation: "rider-app",
 	},
 	{
-		Name: "nightly bulk", Deployment: examples.Andina, Duration: 300 * time.Second, FaultAt: faultAt, History: history,
+		Name: "nightly bulk", Deployment: examples.Andina, Duration: 300 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "settlement", rate: 3, prompt: 4000, organisations: franchisees},
-			{kind: "reorder", rate: 8, prompt: 600, organisations: franchisees},
-			{kind: "crate-tag", rate: 25, prompt: 150, organisations: crates},
+			{kind: "settlement", rate: 3, promptTokens: 4000, organisations: franchisees},
+			{kind: "reorder", rate: 8, promptTokens: 600, organisations: franchisees},
+			{kind: "crate-tag", rate: 25, promptTokens: 150, organisations: crates},
 		},
-		bad: "revision-grande@7", halted: "revision-grande@8", pool: "modelo-pool", slow: "modelo-pool-2", biased: "franquicia-merlo",
+		badVersion: "revision-grande@7", haltedVersion: "revision-grande@8", failingPool: "modelo-pool", slowEngine: "modelo-pool-2", biasedOrganisation: "franquicia-merlo",
 	},
 	{
-		Name: "morning burst", Deployment: examples.Andina, Duration: 180 * time.Second, FaultAt: faultAt, History: history,
+		Name: "morning burst", Deployment: examples.Andina, Duration: 180 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "sheet", rate: 56, prompt: 500, organisations: handhelds},
-			{kind: "price", rate: 30, prompt: 300, organisations: handhelds},
-			{kind: "settlement", rate: 1, prompt: 4000, organisations: franchisees},
-			{kind: "crate-tag", rate: 15, prompt: 150, organisations: crates},
+			{kind: "sheet", rate: 56, promptTokens: 500, organisations: handhelds},
+			{kind: "price", rate: 30, promptTokens: 300, organisations: handhelds},
+			{kind: "settlement", rate: 1, promptTokens: 4000, organisations: franchisees},
+			{kind: "crate-tag", rate: 15, promptTokens: 150, organisations: crates},
 		},
-		bad: "hoja@2", halted: "revision-grande@8", pool: "ruta-api", slow: "ruta-api-1", biased: "franquicia-merlo",
+		badVersion: "hoja@2", haltedVersion: "revision-grande@8", failingPool: "ruta-api", slowEngine: "ruta-api-1", biasedOrganisation: "franquicia-merlo",
 	},
 }
 
-// meets reports whether a fault can happen in the scenario.
-func (s *Scenario) meets(f Fault) bool {
+// supports reports whether a fault can happen in the scenario.
+func (s *Scenario) supports(f Fault) bool {
 	return f != FaultBulkOverrun || s.Deployment == examples.Andina
 }
 
@@ -143,8 +143,8 @@
 	return &s
 }
 
-// load reads the register and the rules of the scenario's deployment.
-func (s *Scenario) load() (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
+// readConfiguration reads the register and the rules of the scenario's deployment.
+func (s *Scenario) readConfiguration() (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	file := s.Deployment + "/register.yaml"
 	data, err := examples.Files.ReadFile(file)
 	if err != nil {
--- a/measure/suite.go
+++ b/measure/suite.go
@@ -33,7 +33,7 @@
 	var cases []Case
 	for i := range Scenarios {
 		for _, fault := range Faults {
-			if !Scenarios[i].meets(fault) {
+			if !Scenarios[i].supports(fault) {
 				continue
 			}
 			for _, policy := range Policies {
@@ -60,7 +60,7 @@
 		}
 		add(FaultNone, PolicyRouter, PolicyInformed, PolicyOracle, PolicyStrongest)
 		add(FaultVersionBad, PolicyRouter)
-		if Scenarios[i].meets(FaultBulkOverrun) {
+		if Scenarios[i].supports(FaultBulkOverrun) {
 			add(FaultBulkOverrun, PolicyRouter)
 		}
 	}
@@ -96,31 +96,31 @@
 	return s, failed
 }
 
-// get returns the result of the published seed, or nil when the case was not run.
-func (s *Suite) get(scenario string, fault Fault, policy Policy) *Result {
+// published returns the result of the published seed, or nil when the case was not run.
+func (s *Suite) published(scenario string, fault Fault, policy Policy) *Result {
 	return s.results[key{scenario, fault, policy, Seed}]
 }
 
-// neededAnswers is how many answers the sequential test needs on average to
+// expectedAnswersToDetection is how many answers the sequential test needs on average to
 // find the bad version, for the kind that the version mostly serves.
-func (s *Scenario) neededAnswers() (answers float64) {
-	reg, rules, err := s.load()
+func (s *Scenario) expectedAnswersToDetection() (answers float64) {
+	reg, rules, err := s.readConfiguration()
 	if err != nil {
 		return 0
 	}
-	t := newTruth(reg, rules)
+	t := newGroundTruth(reg, rules)
 	best := 0.0
 	for i := range s.streams {
 		st := &s.streams[i]
 		for _, k := range rules.GetKinds() {
-			q := t.qualities[[2]string{s.bad, st.kind}]
+			q := t.qualities[[2]string{s.badVersion, st.kind}]
 			if k.GetName() != st.kind || q < k.GetQualityTarget() || st.rate <= best {
 				continue
 			}
 			best = st.rate
-			reference := min(k.GetQualityTarget(), priorOf(t.versions[s.bad], st.kind))
+			reference := min(k.GetQualityTarget(), priorQuality(t.versions[s.badVersion], st.kind))
 			organisations := len(slices.Compact(slices.Sorted(slices.Values(st.organisations))))
-			answers = rollout.Options{}.ExpectedRatings(reference, q-badDrop, organisations) / ratedShare
+			answers = rollout.Options{}.ExpectedRatings(reference, q-badVersionQualityDrop, organisations) / ratedShare
 		}
 	}
 	return answers
@@ -134,8 +134,8 @@
 	return a / b
 }
 
-// kindsOf lists the task kinds of a result in order.
-func kindsOf(r *Result) []string {
+// sortedKinds lists the task kinds of a result in order.
+func sortedKinds(r *Result) []string {
 	var kinds []string
 	for k := range r.Kinds {
 		kinds = append(kinds, k)
--- a/measure/table.go
+++ b/measure/table.go
@@ -71,52 +71,52 @@
 
 func (p *page) scenario(s *Suite, scenario *Scenario) {
 	p.printf("\n## %s (%s)\n\n", scenario.Name, scenario.Deployment)
-	p.printf("Work: %s.\n\n", scenario.work())
+	p.printf("Work: %s.\n\n", scenario.description())
 	p.printf("Without a fault:\n\n")
-	p.header(s.get(scenario.Name, FaultNone, PolicyRouter))
+	p.header(s.published(scenario.Name, FaultNone, PolicyRouter))
 	for _, policy := range Policies {
-		p.row(string(policy), s.get(scenario.Name, FaultNone, policy))
+		p.row(string(policy), s.published(scenario.Name, FaultNone, policy))
 	}
 	p.printf("\nThe router under faults, and the oracle below it:\n\n")
-	p.header(s.get(scenario.Name, FaultNone, PolicyRouter))
+	p.header(s.published(scenario.Name, FaultNone, PolicyRouter))
 	for _, fault := range Faults {
-		if scenario.meets(fault) && fault != FaultNone {
-			p.row(string(fault), s.get(scenario.Name, fault, PolicyRouter))
-			p.row("– oracle", s.get(scenario.Name, fault, PolicyOracle))
+		if scenario.supports(fault) && fault != FaultNone {
+			p.row(string(fault), s.published(scenario.Name, fault, PolicyRouter))
+			p.row("– oracle", s.published(scenario.Name, fault, PolicyOracle))
 		}
 	}
 }
 
-// work describes the streams.
-func (s *Scenario) work() string {
+// description describes the streams.
+func (s *Scenario) description() string {
 	var parts []string
 	for i := range s.streams {
 		parts = append(parts, fmt.Sprintf("%s %g/s", s.streams[i].kind, s.streams[i].rate))
 	}
 	return strings.Join(parts, ", ") + fmt.Sprintf("; %v, the fault after %v; %s turns bad, half of %s is lost, %s is slow",
-		s.Duration, s.FaultAt, s.bad, s.pool, s.slow)
+		s.Duration, s.FaultAt, s.badVersion, s.failingPool, s.slowEngine)
 }
 
 func (p *page) header(r *Result) {
 	p.printf("| | cost per answer | below target | good | refused | failed | to bad | hedges |")
-	for _, kind := range kindsOf(r) {
+	for _, kind := range sortedKinds(r) {
 		p.printf(" %s p50 / p95 / p99 |", kind)
 	}
 	p.printf("\n|---|---|---|---|---|---|---|---|%s\n", strings.Repeat("---|", len(r.Kinds)))
 }
 
 func (p *page) row(name string, r *Result) {
-	p.printf("| %s | %.1f | %.1f%% | %.1f%% | %d | %d | %d | %d |", name, r.CostPerAnswer(), 100*r.BelowShare(),
-		100*ratio(float64(r.Good), float64(r.Answered)), r.Refused, r.Failed, r.ToBad+r.ToHalted, r.Hedges)
-	for _, kind := range kindsOf(r) {
+	p.printf("| %s | %.1f | %.1f%% | %.1f%% | %d | %d | %d | %d |", name, r.CostPerAnswer(), 100*r.BelowTargetShare(),
+		100*ratio(float64(r.Good), float64(r.Answered)), r.Refused, r.Failed, r.BadVersionAttempts+r.HaltedVersionAttempts, r.Hedges)
+	for _, kind := range sortedKinds(r) {
 		k := r.Kinds[kind]
-		p.printf(" %s / %s / %s |", short(k.P50), short(k.P95), short(k.P99))
+		p.printf(" %s / %s / %s |", formatDuration(k.P50), formatDuration(k.P95), formatDuration(k.P99))
 	}
 	p.printf("\n")
 }
 
-// short formats a duration with three digits or so.
-func short(d time.Duration) string {
+// formatDuration formats a duration with three digits or so.
+func formatDuration(d time.Duration) string {
 	if d >= 10*time.Second {
 		return fmt.Sprintf("%.0f s", d.Seconds())
 	}
@@ -130,7 +130,7 @@
 	for i := range Scenarios {
 		for _, fault := range Faults {
 			for _, policy := range Policies {
-				if r := s.get(Scenarios[i].Name, fault, policy); r != nil {
+				if r := s.published(Scenarios[i].Name, fault, policy); r != nil {
 					p.csvRows(r)
 				}
 			}
@@ -141,8 +141,8 @@
 
 func (p *page) csvRows(r *Result) {
 	p.printf("%s,%q,%s,all,%d,%d,%d,%d,%.0f,%d,%d,%d,%d,%d,,,\n", r.Scenario, r.Fault, r.Policy,
-		r.Offered, r.Answered, r.Refused, r.Failed, r.CostMicros, r.Below, r.Good, r.ToBad, r.ToHalted, r.Hedges)
-	for _, kind := range kindsOf(r) {
+		r.Offered, r.Answered, r.Refused, r.Failed, r.CostMicros, r.BelowTarget, r.Good, r.BadVersionAttempts, r.HaltedVersionAttempts, r.Hedges)
+	for _, kind := range sortedKinds(r) {
 		k := r.Kinds[kind]
 		p.printf("%s,%q,%s,%s,%d,%d,%d,%d,%.0f,,,,,,%d,%d,%d\n", r.Scenario, r.Fault, r.Policy, kind,
 			k.Offered, k.Answered, k.Refused, k.Failed, k.CostMicros, k.P50.Milliseconds(), k.P95.Milliseconds(), k.P99.Milliseconds())
