--- a/measure/bounds.go
+++ b/measure/bounds.go
@@ -43,7 +43,7 @@
 	f := Figures{
 		Case:                  fmt.Sprintf("%s, %s", r.Scenario, r.Fault),
 		CostPerAnswer:         r.CostPerAnswer(),
-		BelowTargetShare:      r.BelowTargetShare(),
+		BelowTargetShare:      r.BelowShare(),
 		BadAnswerShare:        1 - ratio(float64(r.Good), float64(r.Answered)),
 		RefusedOrFailedShare:  ratio(float64(r.Refused+r.Failed), float64(r.Offered)),
 		BadVersionAttempts:    float64(r.BadVersionAttempts),
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -23,8 +23,8 @@
 	// localHopLatency and remoteHop are one-way latencies to engines.
 	localHopLatency  = 100 * time.Microsecond
 	remoteHopLatency = time.Millisecond
-	// connectFailureDelay is how long a connection to a dead engine takes to fail.
-	connectFailureDelay = 2 * time.Millisecond
+	// failDelay is how long a connection to a dead engine takes to fail.
+	failDelay = 2 * time.Millisecond
 )
 
 // daemon decides for the requests that callers sent to it.
--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -85,10 +85,7 @@
 		request: r, engine: e, sentAt: s.now, launchNumber: f.launchNumber, expectedFirst: d.ExpectedFirstToken,
 		onFirst: func(a *attempt) { s.after(hop, func() { s.handleFirstToken(a) }) },
 		onDone:  func(a *attempt) { s.after(hop, func() { s.handleAnswer(a) }) },
-		onFail: func(a *attempt, ran bool) {
-			a.ended = true
-			s.after(hop+connectFailureDelay, func() { s.handleFailure(a, ran) })
-		},
+		onFail: func(a *attempt, ran bool) { a.done = true; s.after(hop+failDelay, func() { s.handleFailure(a, ran) }) },
 	}
 	f.liveAttempts = append(f.liveAttempts, a)
 	r.daemon.state.Dispatched(balance.Dispatched{Engine: e.GetName(), Work: work(r), PrefixHash: r.prefix, At: s.now})
@@ -133,12 +130,12 @@
 // cancel ends a copy that is no longer wanted. What it generated is paid.
 func (s *sim) cancel(a *attempt) {
 	r := a.request
-	if !a.startedAt.IsZero() && !a.ended {
+	if !a.startedAt.IsZero() && !a.done {
 		generated := float64(s.now.Sub(a.startedAt)-a.prefill) / float64(max(a.generate, 1))
 		tokens := int64(max(0, min(generated, 1)) * float64(r.completion))
 		r.cost += s.truth.cost(r.flow.version, r.prompt, tokens)
 	}
-	if !a.ended {
+	if !a.done {
 		a.engine.remove(a)
 	}
 	r.daemon.state.Finished(balance.Finished{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.firstTokenSeen, Cancelled: true, At: s.now})
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -44,7 +44,7 @@
 	prefill        time.Duration
 	generate       time.Duration
 	firstTokenSeen bool // the daemon has seen the first token
-	ended          bool // finished, failed or canceled
+	done          bool // finished, failed or canceled
 	launchNumber   int  // number of the launch that sent it
 
 	expectedFirst time.Duration
@@ -55,7 +55,7 @@
 
 // submit takes in an attempt.
 func (e *fakeEngine) submit(a *attempt) {
-	if a.ended {
+	if a.done {
 		return
 	}
 	if e.dead {
@@ -80,12 +80,12 @@
 		a.generate *= stragglerFactor
 	}
 	e.clock.after(a.prefill, func() {
-		if !a.ended {
+		if !a.done {
 			a.onFirst(a)
 		}
 	})
 	e.clock.after(a.prefill+a.generate, func() {
-		if !a.ended {
+		if !a.done {
 			e.remove(a)
 			a.onDone(a)
 		}
@@ -118,7 +118,7 @@
 
 // remove takes an attempt out and starts the next one.
 func (e *fakeEngine) remove(a *attempt) {
-	a.ended = true
+	a.done = true
 	e.running = slices.DeleteFunc(e.running, func(o *attempt) bool { return o == a })
 	for class := range e.waiting {
 		e.waiting[class] = slices.DeleteFunc(e.waiting[class], func(o *attempt) bool { return o == a })
@@ -143,7 +143,7 @@
 	}
 	e.running = nil
 	for _, a := range lost {
-		a.ended = true
+		a.done = true
 	}
 	for _, a := range lost {
 		a.onFail(a, true)
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -83,7 +83,7 @@
 		results[policy] = r
 	}
 	qt.Check(t, results[PolicyOracle].BelowTarget, qt.Equals, 0)
-	qt.Check(t, results[PolicyCheapest].BelowTargetShare() > 0.2, qt.IsTrue)
+	qt.Check(t, results[PolicyCheapest].BelowShare() > 0.2, qt.IsTrue)
 	qt.Check(t, results[PolicyOracle].CostPerAnswer() < results[PolicyStrongest].CostPerAnswer(), qt.IsTrue)
 	qt.Check(t, results[PolicyCheapest].CostPerAnswer() < results[PolicyOracle].CostPerAnswer(), qt.IsTrue)
 }
--- a/measure/result.go
+++ b/measure/result.go
@@ -47,10 +47,8 @@
 // CostPerAnswer is the cost per answered request, in micro-units.
 func (r *Result) CostPerAnswer() float64 { return r.CostMicros / float64(max(r.Answered, 1)) }
 
-// BelowTargetShare is the share of answers below the target.
-func (r *Result) BelowTargetShare() float64 {
-	return float64(r.BelowTarget) / float64(max(r.Answered, 1))
-}
+// BelowShare is the share of answers below the target.
+func (r *Result) BelowShare() float64 { return float64(r.BelowTarget) / float64(max(r.Answered, 1)) }
 
 // arrivedAfterWarmUp tells whether a request arrived after the warm-up.
 func arrivedAfterWarmUp(r *request) bool { return !r.arrival.Before(epoch.Add(warmUp)) }
--- a/measure/table.go
+++ b/measure/table.go
@@ -106,7 +106,7 @@
 }
 
 func (p *page) row(name string, r *Result) {
-	p.printf("| %s | %.1f | %.1f%% | %.1f%% | %d | %d | %d | %d |", name, r.CostPerAnswer(), 100*r.BelowTargetShare(),
+	p.printf("| %s | %.1f | %.1f%% | %.1f%% | %d | %d | %d | %d |", name, r.CostPerAnswer(), 100*r.BelowShare(),
 		100*ratio(float64(r.Good), float64(r.Answered)), r.Refused, r.Failed, r.BadVersionAttempts+r.HaltedVersionAttempts, r.Hedges)
 	for _, kind := range sortedKinds(r) {
 		k := r.Kinds[kind]
