--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -85,7 +85,7 @@
 		request: r, engine: e, sentAt: s.now, launchNumber: f.launchNumber, expectedFirst: d.ExpectedFirstToken,
 		onFirst: func(a *attempt) { s.after(hop, func() { s.handleFirstToken(a) }) },
 		onDone:  func(a *attempt) { s.after(hop, func() { s.handleAnswer(a) }) },
-		onFail: func(a *attempt, ran bool) { a.done = true; s.after(hop+failDelay, func() { s.handleFailure(a, ran) }) },
+		onFail:  func(a *attempt, ran bool) { a.done = true; s.after(hop+failDelay, func() { s.handleFailure(a, ran) }) },
 	}
 	f.liveAttempts = append(f.liveAttempts, a)
 	r.daemon.state.Dispatched(balance.Dispatched{Engine: e.GetName(), Work: work(r), PrefixHash: r.prefix, At: s.now})
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -44,7 +44,7 @@
 	prefill        time.Duration
 	generate       time.Duration
 	firstTokenSeen bool // the daemon has seen the first token
-	done          bool // finished, failed or canceled
+	done           bool // finished, failed or canceled
 	launchNumber   int  // number of the launch that sent it
 
 	expectedFirst time.Duration
