--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -22,15 +22,15 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// The one version, organisation and engine of the benchmarks.
+// Properties of the only version, organisation and engine in the benchmarks.
 const (
 	benchVersion = "bench@1"
 	benchKey     = "key-bench"
 	benchSlots   = 1024
 )
 
-// startBench starts one daemon before one engine and returns the addresses of
-// both. The engine's stand-in has the given properties.
+// startBench starts three daemons and one engine, whose stand-in has the given
+// configuration, and returns the addresses of the first daemon and of the engine.
 func startBench(c *qt.C, config standin.EngineConfig) (daemon, engine string) {
 	config.Versions, config.Slots = []string{benchVersion}, benchSlots
 	digest := sha256.Sum256([]byte(benchKey))
@@ -64,14 +64,15 @@
 	return f.Daemons[0].CallerAddress(), p.Register.Engines[0].GetAddress()
 }
 
-// benchClient keeps enough connections for all requests in progress.
+// benchClient returns a client that keeps enough idle connections for all requests
+// in progress.
 func benchClient(c *qt.C) *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: benchSlots}
 	c.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, Timeout: time.Minute}
 }
 
-// streamResult is what one streamed answer took.
+// streamResult holds the latencies and the number of tokens of a streamed answer.
 type streamResult struct {
 	firstToken, total time.Duration
 	tokens            int
@@ -80,7 +81,8 @@
 
 var eventStart = []byte("data:")
 
-// stream asks for a stream and reads it to the end, without decoding events.
+// stream requests a streamed answer and reads it to the end without decoding the
+// events.
 func stream(client *http.Client, address, prompt string) streamResult {
 	start := time.Now()
 	request, err := Chat{Key: benchKey, Model: benchVersion, Prompt: prompt, Stream: true}.NewRequest(context.Background(), address)
@@ -115,7 +117,8 @@
 	}
 }
 
-// measurements collects the answers of one side of a comparison.
+// measurements collects the results of one of the two compared paths: directly to
+// the engine, or through the daemon.
 type measurements struct {
 	mu                sync.Mutex
 	firstToken, total *load.Latencies
@@ -139,10 +142,11 @@
 	s.tokens += got.tokens
 }
 
-// BenchmarkAddedLatency sends 500 requests a second to the engine itself and as
-// many through the daemon, in turn, and reports the quantiles of both. The goal
-// of the first token is p50 150 µs and p99 1 ms more through the daemon. The end
-// of an answer also waits until its bill is recorded.
+// BenchmarkAddedLatency alternately sends requests directly to the engine and
+// through the daemon, 500 per second each, and reports the latency quantiles of the
+// direct requests and what the daemon adds to them. The goal is that it adds at most
+// 150 µs to the p50 and 1 ms to the p99 of the time to first token. The end of an
+// answer is delayed further, until its bill is recorded.
 func BenchmarkAddedLatency(b *testing.B) {
 	const interval = time.Second / 500
 	c := qt.New(b)
@@ -175,10 +179,11 @@
 	b.ReportMetric((through.P99-direct.P99)*1000, name+"-added-p99-µs")
 }
 
-// BenchmarkStreamedTokens runs 200 streams of 250 tokens a second, to the engine
-// itself and then through the daemon. The daemon's processor time for a token is
-// the difference between the two, since both have the same engine and callers in
-// this process. The goal is 50,000 tokens a second on one core.
+// BenchmarkStreamedTokens runs 200 streams of 250 tokens per second directly to the
+// engine and then through the daemon. The CPU time of the daemon per token is the
+// difference between the two, since the engine and the callers run in this process
+// and do the same work in both cases. The goal is 50,000 tokens per second on one
+// core.
 func BenchmarkStreamedTokens(b *testing.B) {
 	const streams = 200
 	c := qt.New(b)
@@ -200,22 +205,22 @@
 	b.ReportMetric(tokens/seconds, "tokens/s")
 }
 
-// runStreams runs streams at once and returns the processor seconds of this
-// process and the number of tokens.
+// runStreams runs the given number of concurrent streams and returns the CPU time
+// of this process in seconds and the number of tokens.
 func runStreams(c *qt.C, client *http.Client, address string, streams int) (cpu float64, tokens int) {
 	results := newMeasurements()
-	before := processorSeconds(c)
+	before := cpuSeconds(c)
 	var inFlight sync.WaitGroup
 	for i := range streams {
 		inFlight.Go(func() { results.add(stream(client, address, fmt.Sprintf("stream %d", i))) })
 	}
 	inFlight.Wait()
 	c.Assert(results.lastErr, qt.IsNil)
-	return processorSeconds(c) - before, results.tokens
+	return cpuSeconds(c) - before, results.tokens
 }
 
-// processorSeconds is the processor time of this process so far.
-func processorSeconds(c *qt.C) float64 {
+// cpuSeconds returns the CPU time that this process has used so far.
+func cpuSeconds(c *qt.C) float64 {
 	var usage syscall.Rusage
 	c.Assert(syscall.Getrusage(syscall.RUSAGE_SELF, &usage), qt.IsNil)
 	total := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/demo/chat.go
+++ b/demo/chat.go
@@ -12,11 +12,11 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// Chat is one chat completion as a test sends it, to a daemon of its choice and
-// exactly once. Programs use package caller: its client picks the daemon, tries
-// another one and turns refusals into errors. Tests of the daemons need what
-// that hides: the raw status, headers and body of one daemon's single answer.
-// Empty headers are left out.
+// Chat is a chat completion request that is sent exactly once, to a given daemon.
+// It is meant for tests of the daemons, which need the raw status, headers and
+// body of a single response. Programs use package caller instead, whose client
+// selects the daemon, fails over to another one and turns refusals into errors.
+// A header whose field is empty is not sent.
 type Chat struct {
 	Key            string
 	Kind           string
@@ -27,7 +27,8 @@
 	Stream         bool
 }
 
-// Result is what the caller got. Err is set when no whole answer came.
+// Result is the response to a Chat. Err is set if no complete response was
+// received.
 type Result struct {
 	Status int
 	Header http.Header
@@ -35,7 +36,8 @@
 	Err    error
 }
 
-// Send posts the request to a daemon and reads the whole answer.
+// Send posts the request to the daemon at the address and reads the complete
+// response.
 func (c Chat) Send(ctx context.Context, client *http.Client, address string) Result {
 	req, err := c.NewRequest(ctx, address)
 	if err != nil {
@@ -50,7 +52,7 @@
 	return Result{Status: resp.StatusCode, Header: resp.Header, Body: body, Err: err}
 }
 
-// NewRequest returns the HTTP request to a daemon.
+// NewRequest returns the HTTP request to the daemon at the address.
 func (c Chat) NewRequest(ctx context.Context, address string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+callerapi.PathChatCompletions, bytes.NewReader(c.body()))
 	if err != nil {
@@ -70,13 +72,13 @@
 	return req, nil
 }
 
-// message is one turn of a conversation.
+// message is a message of a chat completion.
 type message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chatBody is the body of a chat completion.
+// chatBody is the body of a chat completion request.
 type chatBody struct {
 	Model    string    `json:"model,omitempty"`
 	Stream   bool      `json:"stream"`
@@ -86,12 +88,12 @@
 func (c Chat) body() []byte {
 	data, err := json.Marshal(chatBody{Model: c.Model, Stream: c.Stream, Messages: []message{{Role: "user", Content: c.Prompt}}})
 	if err != nil {
-		panic(err) // Strings and booleans always encode.
+		panic(err) // Strings and booleans can always be encoded.
 	}
 	return data
 }
 
-// answerPart is a whole answer or one event of a stream.
+// answerPart is a complete answer or one event of a streamed answer.
 type answerPart struct {
 	Choices []struct {
 		Message message `json:"message"`
@@ -99,13 +101,13 @@
 	} `json:"choices"`
 }
 
-// Text is the content of a whole or streamed answer.
+// Text returns the content of the answer, whether it was streamed or not.
 func (r Result) Text() string {
 	var text strings.Builder
 	for line := range strings.Lines(string(r.Body)) {
 		var part answerPart
 		if json.Unmarshal([]byte(strings.TrimPrefix(line, "data: ")), &part) != nil {
-			continue // Blank lines and the end mark are not JSON.
+			continue // Blank lines and the [DONE] event are not JSON.
 		}
 		for _, choice := range part.Choices {
 			text.WriteString(choice.Message.Content + choice.Delta.Content)
@@ -114,7 +116,8 @@
 	return text.String()
 }
 
-// Failure is the error of a refusal, the zero value without one.
+// Failure returns the error detail in the body of a refusal, or the zero value if
+// there is none.
 func (r Result) Failure() callerapi.ErrorDetail {
 	var body callerapi.ErrorBody
 	if json.Unmarshal(r.Body, &body) != nil {
@@ -123,7 +126,7 @@
 	return body.Error
 }
 
-// Check returns an error unless the answer is the whole one that a stand-in
+// Check returns an error unless the result is the complete answer that a stand-in
 // engine gives to the request.
 func (r Result) Check(c Chat) error {
 	if r.Err != nil {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -1,5 +1,6 @@
-// Package demo runs whole deployments in one process: the stand-ins of the
-// platform and a fleet of daemons, for the demo command, tests and measurements.
+// Package demo runs a complete deployment in one process, for the demo command,
+// tests and benchmarks: a fleet of daemons, and stand-ins for the engines, the
+// plain services and the platform services that the daemons use.
 package demo
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/bronzeturn/bronzeturn/settings"
 )
 
-// anyPort makes a listener choose a free loopback port.
+// anyPort is a listen address on a free loopback port.
 const anyPort = "127.0.0.1:0"
 
-// Fleet is a number of daemons in this process.
+// Fleet is a set of daemons that run in this process.
 type Fleet struct {
 	Daemons []*bronzeturn.Daemon
-	// cancels end one daemon each.
+	// cancels holds the function that stops each daemon, in the order of Daemons.
 	cancels   []context.CancelFunc
 	running   sync.WaitGroup
 	mu        sync.Mutex
@@ -31,16 +32,17 @@
 // FleetOptions configure a Fleet.
 type FleetOptions struct {
 	Daemons int
-	// Log takes the log lines of all daemons.
+	// Log receives the log lines of all daemons.
 	Log io.Writer
-	// Arguments are added to the settings of each daemon.
+	// Arguments are appended to the command-line arguments of each daemon.
 	Arguments []string
-	// WithoutSeeds leaves the seeds out of the settings, so that the daemons
-	// find each other through the store.
+	// WithoutSeeds configures no seeds, so that the daemons discover each other
+	// through the store.
 	WithoutSeeds bool
 }
 
-// StartFleet starts daemons over the platform.
+// StartFleet starts the daemons on the platform. It does not wait until they are
+// ready.
 func StartFleet(p *Platform, o FleetOptions) (*Fleet, error) {
 	f := &Fleet{}
 	for i := range o.Daemons {
@@ -51,7 +53,7 @@
 	return f, nil
 }
 
-// startDaemon provisions one daemon and runs it.
+// startDaemon creates one daemon and runs it in the background.
 func (f *Fleet) startDaemon(p *Platform, o FleetOptions, number int) error {
 	s, err := settings.Parse(append(f.arguments(p, o, number), o.Arguments...), nil)
 	if err != nil {
@@ -78,7 +80,8 @@
 	return nil
 }
 
-// arguments are the settings of one daemon. Those started before are its seeds.
+// arguments returns the command-line arguments of one daemon. Its seeds are
+// daemons that were started before it.
 func (f *Fleet) arguments(p *Platform, o FleetOptions, number int) []string {
 	return []string{
 		"--name", DaemonName(number),
@@ -92,10 +95,10 @@
 	}
 }
 
-// maxSeedsPerDaemon is how many daemons are named to a new one.
+// maxSeedsPerDaemon limits the seeds of a daemon.
 const maxSeedsPerDaemon = 3
 
-// seeds are the peer addresses of the first daemons.
+// seeds returns the peer addresses of the daemons that were started first.
 func (f *Fleet) seeds(o FleetOptions) []string {
 	var seeds []string
 	if o.WithoutSeeds {
@@ -110,7 +113,7 @@
 // StopDaemon begins the graceful stop of one daemon.
 func (f *Fleet) StopDaemon(number int) { f.cancels[number]() }
 
-// Stop stops all daemons gracefully and returns what failed.
+// Stop stops all daemons gracefully and returns the errors of those that failed.
 func (f *Fleet) Stop() error {
 	for _, stop := range f.cancels {
 		stop()
@@ -121,11 +124,11 @@
 	return errors.Join(f.runErrors...)
 }
 
-// pollInterval is the time between two questions whether a daemon is ready.
+// pollInterval is the interval at which the state of a daemon is polled.
 const pollInterval = 20 * time.Millisecond
 
-// WaitReady returns when every daemon takes requests and knows the others, or
-// ctx ends.
+// WaitReady waits until every daemon accepts requests and regards all daemons of
+// the fleet as live. It returns an error if ctx ends first.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, d := range f.Daemons {
 		for !d.Ready() || d.LiveDaemons() < len(f.Daemons) {
@@ -139,8 +142,8 @@
 	return nil
 }
 
-// WaitGeneration returns when the generation, or a later one, is in force on
-// every daemon, or ctx ends.
+// WaitGeneration waits until the configuration generation, or a later one, is in
+// force on every daemon. It returns an error if ctx ends first.
 func (f *Fleet) WaitGeneration(ctx context.Context, generation uint64) error {
 	for _, d := range f.Daemons {
 		for d.Generation() < generation {
--- a/demo/output.go
+++ b/demo/output.go
@@ -10,30 +10,31 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// columns are those of the table of a deployment.
+// columns are the headings of the table of a deployment.
 var columns = []string{
 	"KIND", "VERSION", "POOL", "ANSWERS", "TOKENS", "COST", "STRONGEST", "P50 MS", "P95 MS", "P99 MS", "FIRST TOKEN P50",
 }
 
-// microsPerUnit is the number of micro-units in a unit of the currency.
+// microsPerUnit is the number of micro-units in one unit of the currency.
 const microsPerUnit = 1_000_000
 
-// faults returns what the bills show to be wrong.
+// faults returns a fault if the number of bills differs from that of the answers,
+// and another if there were broken answers.
 func (b Bills) faults(broken int64) []string {
 	var faults []string
 	if b.Recorded != b.Answers {
 		faults = append(faults, fmt.Sprintf("%d bills for %d answers", b.Recorded, b.Answers))
 	}
 	if broken > 0 {
-		faults = append(faults, fmt.Sprintf("%d answers were not whole", broken))
+		faults = append(faults, fmt.Sprintf("%d broken answers", broken))
 	}
 	return faults
 }
 
-// write writes the report as JSON or for people.
+// write writes the report as JSON or as tables.
 func (r Report) write(out io.Writer, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(out)
@@ -50,7 +51,7 @@
 	return err
 }
 
-// print writes the table of a deployment for people.
+// print writes the table and the summary of a deployment.
 func (d DeploymentReport) print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n", d.Deployment)
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
@@ -86,12 +87,12 @@
 
 func formatMillis(value float64) string { return fmt.Sprintf("%.1f", value) }
 
-// formatCurrency writes micro-units as units of the currency.
+// formatCurrency formats micro-units as units of the currency.
 func formatCurrency(micros int64) string {
 	return fmt.Sprintf("%d.%06d", micros/microsPerUnit, micros%microsPerUnit)
 }
 
-// costShare compares a cost with a higher one.
+// costShare formats a cost as a percentage of the cost of the strongest versions.
 func costShare(cost, strongest int64) string {
 	if strongest == 0 {
 		return "nothing to compare"
--- a/demo/platform.go
+++ b/demo/platform.go
@@ -19,24 +19,26 @@
 
 // Properties of the stand-ins of a deployment.
 const (
-	// hostListLag and ratingLag are how late the stand-ins show news.
+	// hostListLag and ratingLag delay the visibility of host changes and ratings,
+	// reportLag is the age of the load in engine reports.
 	hostListLag = 200 * time.Millisecond
 	ratingLag   = 500 * time.Millisecond
 	reportLag   = 500 * time.Millisecond
-	// engineSpeedup makes the engines of the demo faster than the register says, so
-	// that long reports end within the time of the demo.
+	// engineSpeedup multiplies the token rates in the register, so that long
+	// reports complete within the duration of the demo.
 	engineSpeedup = 8
-	// answerTokens is the usual length of an answer.
+	// answerTokens is the typical length of an answer.
 	answerTokens = 160
-	// prefillTokensPerSecond is the rate at which engines read prompts.
+	// prefillTokensPerSecond is the rate at which engines process prompts.
 	prefillTokensPerSecond = 20_000
-	// ratingNoise is the standard deviation of one rating.
+	// ratingNoise is the standard deviation of a single rating.
 	ratingNoise = 0.05
-	// serviceCallDuration is the time that a call of a plain service takes.
+	// serviceCallDuration is the processing time of a plain service call.
 	serviceCallDuration = 5 * time.Millisecond
 )
 
-// Platform holds the stand-ins of one deployment, each on a loopback port.
+// Platform holds the stand-ins for everything but the daemons in one deployment.
+// Each of them listens on a loopback port.
 type Platform struct {
 	Register *bronzeturnv1.Register
 	Rules    *bronzeturnv1.Rules
@@ -50,15 +52,15 @@
 
 	StoreURL, HostsURL, RatingURL, WeightsURL string
 
-	// engineConfig gives the properties of an engine's stand-in.
+	// engineConfig returns the configuration of the stand-in for an engine.
 	engineConfig func(*bronzeturnv1.Engine) standin.EngineConfig
 
 	cancel  context.CancelFunc
 	serving sync.WaitGroup
 }
 
-// StartPlatform starts the stand-ins of an example with so many daemon hosts,
-// whose names DaemonName gives.
+// StartPlatform starts the stand-ins for an example deployment. Its host list
+// contains the given number of daemon hosts, named by DaemonName.
 func StartPlatform(example string, daemons int) (*Platform, error) {
 	register, rules, err := readExample(example)
 	if err != nil {
@@ -72,8 +74,8 @@
 	return p, nil
 }
 
-// engineConfig gives an engine the properties that the register states, faster
-// by speedUp.
+// engineConfig takes the properties of an engine from the register and multiplies
+// its token rate by engineSpeedup.
 func engineConfig(e *bronzeturnv1.Engine) standin.EngineConfig {
 	return standin.EngineConfig{
 		Versions:               e.GetVersions(),
@@ -85,7 +87,7 @@
 	}
 }
 
-// readExample decodes the register and the rules of an example.
+// readExample decodes the register and the rules of an example deployment.
 func readExample(example string) (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	registerFile := example + "/register.yaml"
 	data, err := examples.Files.ReadFile(registerFile)
@@ -104,13 +106,14 @@
 	return register, rules, err
 }
 
-// Stop ends all stand-ins.
+// Stop stops all stand-ins.
 func (p *Platform) Stop() {
 	p.cancel()
 	p.serving.Wait()
 }
 
-// start starts each stand-in and writes its address into the register.
+// start starts the stand-ins and writes the addresses of the engines and plain
+// services into the register.
 func (p *Platform) start(daemons int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -135,19 +138,20 @@
 	return p.startServices(ctx)
 }
 
-// server is a stand-in.
+// server is implemented by every stand-in.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// serve runs a stand-in on a free loopback port.
+// serve runs a stand-in on a free loopback port in the background and returns its
+// address.
 func (p *Platform) serve(ctx context.Context, s server) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("listen for a stand-in: %w", err)
 	}
 	p.serving.Go(func() {
-		_ = s.Serve(ctx, l) // It ends with ctx.
+		_ = s.Serve(ctx, l) // Returns when ctx ends.
 	})
 	return l.Addr().String(), nil
 }
@@ -186,16 +190,17 @@
 	return nil
 }
 
-// DaemonName is the host of the daemon with the number given.
+// DaemonName returns the host name of the daemon with the given number.
 func DaemonName(number int) string { return fmt.Sprintf("entry-%d", number+1) }
 
-// DataCentre is that of the daemon with the number given.
+// DataCentre returns the data centre of the daemon with the given number. Daemons
+// are assigned to the data centres in turn.
 func (p *Platform) DataCentre(number int) string {
 	all := p.Register.GetDataCentres()
 	return all[number%len(all)].GetName()
 }
 
-// hosts lists the hosts of the daemons and of all backend servers.
+// hosts returns the hosts of the daemons and of all backend servers.
 func (p *Platform) hosts(daemons int) []hostlist.Host {
 	var hosts []hostlist.Host
 	for i := range daemons {
@@ -218,7 +223,8 @@
 	return hosts
 }
 
-// qualities are the true qualities: those that the register believes.
+// qualities returns the true qualities of the versions, which are equal to the
+// priors in the register.
 func (p *Platform) qualities() []standin.Quality {
 	var all []standin.Quality
 	for _, v := range p.Register.GetVersions() {
@@ -230,7 +236,8 @@
 	return all
 }
 
-// enginesThatExecuted names the engines that executed a request, one entry for each time.
+// enginesThatExecuted returns the names of the engines that executed a request,
+// with one entry for each execution.
 func (p *Platform) enginesThatExecuted(requestID string) []string {
 	var names []string
 	for name, e := range p.Engines {
@@ -241,7 +248,8 @@
 	return names
 }
 
-// poolsByRequest returns the pools that executed each request, joined by "+".
+// poolsByRequest returns the pools that executed each request, by request ID.
+// Several pools are joined by "+".
 func (p *Platform) poolsByRequest() map[string]string {
 	pools := make(map[string]string)
 	for _, pool := range p.Register.GetPools() {
@@ -255,7 +263,7 @@
 	return pools
 }
 
-// requestsExecutedBy returns the ids of the requests that a pool executed.
+// requestsExecutedBy returns the IDs of the requests that a pool executed.
 func (p *Platform) requestsExecutedBy(pool string) map[string]bool {
 	ids := make(map[string]bool)
 	for _, e := range p.Register.GetEngines() {
@@ -269,14 +277,15 @@
 	return ids
 }
 
-// Withdraw withdraws a version and returns the generation that says so.
+// Withdraw publishes the withdrawal of a version and returns the generation of the
+// configuration that contains it.
 func (p *Platform) Withdraw(ctx context.Context, version, reason string) (uint64, error) {
 	publisher := config.NewPublisher(config.PublisherOptions{Store: p.Store.Store()})
 	result, err := publisher.Apply(ctx, config.Change{Withdraw: &bronzeturnv1.Withdrawal{Version: version, Reason: reason}})
 	return result.Generation, err
 }
 
-// Publish puts the register and the rules in force through the store.
+// Publish publishes the register and the rules through the store.
 func (p *Platform) Publish(ctx context.Context) error {
 	publisher := config.NewPublisher(config.PublisherOptions{Store: p.Store.Store()})
 	_, err := publisher.Apply(ctx, config.Change{
--- a/demo/report.go
+++ b/demo/report.go
@@ -10,45 +10,47 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// noPool stands for the engine pool of plain services.
+// noPool is shown as the engine pool of requests that no engine executed, such as
+// plain service calls.
 const noPool = "-"
 
-// Row sums up the answers of one kind, version and engine pool.
+// Row aggregates the answers of one kind, version and engine pool.
 type Row struct {
 	Kind string `json:"kind"`
-	// Version is the version, or the plain service, that answered.
+	// Version is the version, or the name of the plain service, that answered.
 	Version string `json:"version"`
-	// Pool names the engine pools that the requests ran in.
+	// Pool is the engine pool that executed the requests. Several are joined by "+".
 	Pool             string `json:"pool"`
 	Answers          int64  `json:"answers"`
 	PromptTokens     int64  `json:"prompt_tokens"`
 	CompletionTokens int64  `json:"completion_tokens"`
-	// CostMicros is the price of the tokens of the answers at their versions.
+	// CostMicros is the price of the answers at the versions that gave them.
 	CostMicros int64 `json:"cost_micros"`
-	// StrongestMicros is the price of the same tokens at the strongest version
-	// that each organisation may use.
+	// StrongestMicros is the price of the same number of tokens at the strongest
+	// version that each organisation may use.
 	StrongestMicros int64           `json:"strongest_cost_micros"`
 	Total           load.Quantiles  `json:"total"`
 	FirstToken      *load.Quantiles `json:"first_token,omitempty"`
 }
 
-// Bills compares the ledger with what the callers got.
+// Bills compares the bills in the ledger with the answers that callers received.
 type Bills struct {
 	// Recorded is the number of bills in the ledger.
 	Recorded uint64 `json:"recorded"`
-	// Answers is the number of requests that were answered. Repeats of a request
-	// that was answered before are not counted.
+	// Answers is the number of answered requests, without the Repeats.
 	Answers uint64 `json:"answers"`
-	// Repeats are the further answers to requests that were answered before.
+	// Repeats is the number of answers that were given without executing the
+	// request, since another one with the same idempotency key was executed.
 	Repeats uint64 `json:"repeats"`
-	// CostMicros is the sum of the bills for answers of models.
+	// CostMicros is the sum of the bills for model answers, without those for plain
+	// services.
 	CostMicros uint64 `json:"cost_micros"`
 	// StrongestMicros is the price of the same answers at the strongest version
 	// that each organisation may use.
 	StrongestMicros int64 `json:"strongest_cost_micros"`
 }
 
-// DeploymentReport is what happened in one deployment.
+// DeploymentReport is the result of the demo for one deployment.
 type DeploymentReport struct {
 	Deployment string            `json:"deployment"`
 	Rows       []Row             `json:"rows"`
@@ -56,7 +58,7 @@
 	Broken     int64             `json:"broken_answers"`
 	Withdrawn  string            `json:"withdrawn_version"`
 	Bills      Bills             `json:"bills"`
-	// Faults are promises that did not hold. There must be none.
+	// Faults lists the guarantees that were violated. It is empty in a correct run.
 	Faults []string `json:"faults"`
 }
 
@@ -66,20 +68,20 @@
 	Deployments []DeploymentReport `json:"deployments"`
 }
 
-// rowKey names a row.
+// rowKey identifies a row.
 type rowKey struct{ kind, version, pool string }
 
-// rowResults collects one row.
+// rowResults collects the figures of one row.
 type rowResults struct {
 	row               Row
 	total, firstToken *load.Latencies
 }
 
-// reporter turns a tally into a report.
+// reporter computes the report of a deployment from its outcomes.
 type reporter struct {
 	platform *Platform
 	snapshot *config.Snapshot
-	// pools are the engine pools by request id.
+	// pools holds the engine pools that executed each request, by request ID.
 	pools map[string]string
 	rows  map[rowKey]*rowResults
 }
@@ -92,7 +94,7 @@
 	return &reporter{platform: p, snapshot: snapshot, pools: p.poolsByRequest(), rows: make(map[rowKey]*rowResults)}, nil
 }
 
-// report returns the report of a deployment, given the sums in the ledger.
+// report returns the report of a deployment. The totals are those of the ledger.
 func (r *reporter) report(s scenario, t *outcomes, totals []ledger.Total) DeploymentReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,7 +125,8 @@
 	return out
 }
 
-// addAnswer adds an answer to its row and returns its price at the strongest version.
+// addAnswer adds an answer to its row. It returns the price of the answer at the
+// strongest version, or zero for a plain service.
 func (r *reporter) addAnswer(a receivedAnswer) int64 {
 	key := rowKey{a.kind, a.version, cmp.Or(r.pools[a.requestID], noPool)}
 	results := r.rows[key]
@@ -162,9 +165,9 @@
 	return tokenPrice(version, a), tokenPrice(r.strongestVersion(a.organisation, a.kind), a)
 }
 
-// strongestVersion returns the version of the highest believed quality for the kind
-// among those that the organisation may use, without the withdrawn ones and
-// those that are being rolled out.
+// strongestVersion returns the version with the highest prior quality for the kind
+// among those that the organisation may use, except for versions that are
+// withdrawn or have a roll-out.
 func (r *reporter) strongestVersion(organisation, kind string) *bronzeturnv1.Version {
 	var best *bronzeturnv1.Version
 	for _, name := range r.snapshot.AllowedVersions(organisation) {
@@ -181,7 +184,7 @@
 	return best
 }
 
-// priorQuality is what the register believes of a version for a kind.
+// priorQuality returns the prior quality of a version for a kind from the register.
 func priorQuality(v *bronzeturnv1.Version, kind string) float64 {
 	for _, byKind := range v.GetPriorQualityByKind() {
 		if byKind.GetKind() == kind {
@@ -191,16 +194,17 @@
 	return v.GetPriorQuality()
 }
 
-// tokensPerPriceUnit is the number of tokens that prices are given for.
+// tokensPerPriceUnit is the number of tokens to which prices refer.
 const tokensPerPriceUnit = 1_000_000
 
-// tokenPrice returns the price of an answer's tokens, each part rounded up.
+// tokenPrice returns the price of the tokens of an answer. The prompt and the
+// completion are rounded up separately.
 func tokenPrice(v *bronzeturnv1.Version, a receivedAnswer) int64 {
 	part := func(tokens, price int64) int64 { return (tokens*price + tokensPerPriceUnit - 1) / tokensPerPriceUnit }
 	return part(a.usage.Prompt, v.GetPromptPriceMicros()) + part(a.usage.Completion, v.GetCompletionPriceMicros())
 }
 
-// sortedRows returns the rows by kind, version and pool.
+// sortedRows returns the rows ordered by kind, version and pool.
 func (r *reporter) sortedRows() []Row {
 	rows := make([]Row, 0, len(r.rows))
 	for _, results := range r.rows {
--- a/demo/run.go
+++ b/demo/run.go
@@ -12,41 +12,43 @@
 	"github.com/bronzeturn/bronzeturn/ledger"
 )
 
-// Extent of the demo.
+// Size and duration of the demo.
 const (
 	demoDaemons = 3
-	// trafficTime is how long the steady traffic of a deployment flows.
+	// trafficTime is the default duration of the steady traffic of a deployment.
 	trafficTime = 4 * time.Second
-	// readyTimeout bounds the start of a deployment.
+	// readyTimeout limits the start of a fleet.
 	readyTimeout = 20 * time.Second
-	// billsTimeout bounds the reading of the ledger.
+	// billsTimeout limits the reading of the ledger.
 	billsTimeout = 10 * time.Second
-	// logFileMode lets only the user read the log.
+	// logFileMode restricts the log file to its owner.
 	logFileMode = 0o600
 )
 
-// demoArguments are settings of the demo's daemons: every answer is rated, so
-// that the choice of versions learns within seconds.
+// demoArguments are additional arguments of the demo's daemons. Every answer is
+// rated, so that the selection of versions adapts within seconds.
 var demoArguments = []string{"--rating-sample-share", "1"}
 
 // Options configure Run.
 type Options struct {
-	// JSON writes one JSON document instead of tables for people.
+	// JSON selects a JSON document as output instead of tables.
 	JSON bool
-	// LogFile takes the log lines of the daemons. Empty: they are dropped.
+	// LogFile is the path of the file for the log lines of the daemons. If it is
+	// empty, they are discarded.
 	LogFile string
-	// Traffic is how long the steady traffic of each deployment flows. Zero: 4 s.
+	// Traffic is the duration of the steady traffic of each deployment. Zero means
+	// 4 s.
 	Traffic time.Duration
 }
 
-// FaultError reports promises that did not hold during the demo.
+// FaultError reports violations of the guarantees that the demo checks.
 type FaultError struct{ Faults []string }
 
 // Error implements error.
 func (e *FaultError) Error() string { return strings.Join(e.Faults, "; ") }
 
-// Run plays the traffic of every example deployment in this process, writes a
-// report to out and returns a *FaultError if a promise did not hold.
+// Run runs the scenario of every example deployment in this process and writes a
+// report to out. It returns a *FaultError if a guarantee was violated.
 func Run(ctx context.Context, out io.Writer, o Options) error {
 	if o.Traffic == 0 {
 		o.Traffic = trafficTime
@@ -72,7 +74,8 @@
 	return report.faultError()
 }
 
-// faultError returns a *FaultError when there are faults.
+// faultError returns a *FaultError with the faults of all deployments, or nil if
+// there are none.
 func (r Report) faultError() error {
 	var faults []string
 	for _, d := range r.Deployments {
@@ -86,7 +89,8 @@
 	return nil
 }
 
-// openLog opens the file for the daemons' log lines.
+// openLog opens the log file and returns a function that closes it. Without a path,
+// log lines are discarded.
 func openLog(path string) (io.Writer, func(), error) {
 	if path == "" {
 		return io.Discard, func() {}, nil
@@ -98,7 +102,8 @@
 	return file, func() { _ = file.Close() }, nil
 }
 
-// runDeployment starts a deployment, plays its scenario and stops it.
+// runDeployment starts a deployment, runs its scenario, stops it and returns its
+// report.
 func runDeployment(ctx context.Context, s scenario, log io.Writer, duration time.Duration) (DeploymentReport, error) {
 	p, err := StartPlatform(s.example, demoDaemons)
 	if err != nil {
@@ -112,8 +117,7 @@
 	if err != nil {
 		return DeploymentReport{}, err
 	}
-	// The fleet has stopped gracefully, so that every bill is in the store and
-	// none can follow.
+	// The daemons have stopped gracefully and have written all bills to the store.
 	ctx, cancel := context.WithTimeout(ctx, billsTimeout)
 	defer cancel()
 	totals, err := ledger.Totals(ctx, p.Store.Store())
@@ -127,7 +131,7 @@
 	return r.report(s, t, totals), nil
 }
 
-// playScenario runs a fleet for the time of the scenario.
+// playScenario starts a fleet, runs the scenario on it and stops it.
 func playScenario(ctx context.Context, s scenario, p *Platform, log io.Writer, duration time.Duration) (t *outcomes, err error) {
 	fleet, err := StartFleet(p, FleetOptions{Daemons: demoDaemons, Log: log, Arguments: demoArguments})
 	if err != nil {
--- a/demo/run_test.go
+++ b/demo/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/bronzeturn/bronzeturn/hostlist"
 )
 
-// shortTraffic is enough for some requests of each part of the scenarios.
+// shortTraffic is long enough for each part of the scenarios to send some requests.
 const shortTraffic = 600 * time.Millisecond
 
 func TestShortDemoBillsEveryAnswerOnce(t *testing.T) {
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -2,45 +2,48 @@
 
 import "github.com/bronzeturn/bronzeturn/examples"
 
-// task is a kind of request that an organisation sends again and again.
+// task describes the requests of one kind that an organisation sends repeatedly.
 type task struct {
 	organisation string
 	kind         string
-	// weight is its share of the traffic.
+	// weight is the relative share of this task in the steady traffic.
 	weight int
 	prompt string
 	stream bool
-	// maxTokens bounds the answer. Zero leaves its length to the engine.
+	// maxTokens limits the length of the answer. Zero leaves it to the engine.
 	maxTokens int
-	// withIdempotencyKey gives each request an idempotency key, as non-idempotent kinds need.
+	// withIdempotencyKey gives each request its own idempotency key, which
+	// non-idempotent kinds require.
 	withIdempotencyKey bool
 }
 
-// plainCall is one call of a plain service.
+// plainCall is a call of a plain service.
 type plainCall struct {
 	organisation, service, path, body string
 	withIdempotencyKey                bool
 }
 
-// scenario is what happens in one deployment during the demo.
+// scenario describes the traffic and the events of one deployment in the demo.
 type scenario struct {
 	example string
-	// tasks are the steady traffic.
+	// tasks make up the steady traffic.
 	tasks []task
-	// conversation is held turn by turn while the traffic flows.
+	// conversation is sent in turns, one after the other, during the steady
+	// traffic.
 	conversation task
 	turns        int
-	// duplicated is a non-idempotent task, sent with one key to several daemons.
+	// duplicated is a non-idempotent task that is sent to every daemon at the same
+	// time with the same idempotency key.
 	duplicated task
 	services   []plainCall
-	// withdrawnVersion is the version withdrawn while traffic flows.
+	// withdrawnVersion is the version that is withdrawn during the steady traffic.
 	withdrawnVersion string
-	// forbiddenTask asks for a version that its organisation may not use.
+	// forbiddenTask requests forbiddenVersion, which its organisation may not use.
 	forbiddenTask    task
 	forbiddenVersion string
 }
 
-// scenarios returns what the demo plays, in its order.
+// scenarios returns the scenarios of the demo in the order in which they run.
 func scenarios() []scenario { return []scenario{campinaVerde(), andina()} }
 
 func campinaVerde() scenario {
--- a/demo/script.go
+++ b/demo/script.go
@@ -10,8 +10,8 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// holdConversation holds a conversation, each turn at another daemon. All turns must run
-// on one version.
+// holdConversation sends the turns of a conversation, each to another daemon. All
+// turns must run on the same version.
 func (t *trafficGenerator) holdConversation(ctx context.Context) {
 	conversation := t.scenario.conversation
 	params := caller.Params{Kind: conversation.kind, Conversation: "demo-conversation"}
@@ -34,9 +34,9 @@
 	}
 }
 
-// sendDuplicates sends one non-idempotent request with one idempotency key to every
-// daemon at the same time. It must run once, and every caller must get the
-// answer of that run.
+// sendDuplicates sends the same non-idempotent request with the same idempotency
+// key to every daemon at the same time. The request must be executed exactly once,
+// and every caller must receive the answer of that execution.
 func (t *trafficGenerator) sendDuplicates(ctx context.Context) {
 	duplicated := t.scenario.duplicated
 	params := caller.Params{Kind: duplicated.kind, IdempotencyKey: "demo-repeat"}
@@ -56,8 +56,9 @@
 	t.recordDuplicates(duplicated, answers)
 }
 
-// recordDuplicates counts the answers to one repeated request as one: that of the
-// run. The others are repeats.
+// recordDuplicates records the answers to a duplicated request. The one of the
+// execution counts as an answer, the others as duplicates. It is a fault if the
+// request was not executed exactly once or reached fewer than two daemons.
 func (t *trafficGenerator) recordDuplicates(duplicated task, answers []*caller.Answer) {
 	runs, daemons := 0, make(map[string]bool)
 	for _, a := range answers {
@@ -79,7 +80,7 @@
 	}
 }
 
-// callServices calls the plain services.
+// callServices calls the plain services of the scenario.
 func (t *trafficGenerator) callServices(ctx context.Context) {
 	for i, call := range t.scenario.services {
 		params := caller.Params{}
@@ -100,11 +101,12 @@
 	}
 }
 
-// provokeRefusals sends requests that must be refused.
+// provokeRefusals sends requests that must be refused: with an unknown key, for a
+// version that is not allowed, and without a required idempotency key.
 func (t *trafficGenerator) provokeRefusals(ctx context.Context) {
 	unauthenticated, err := caller.New(caller.Options{Entry: t.fleet.Daemons[0].CallerAddress(), Key: exampleKeyPrefix + "nobody"})
 	if err != nil {
-		t.outcomes.recordFault("client: %v", err)
+		t.outcomes.recordFault("create client: %v", err)
 		return
 	}
 	defer unauthenticated.Close()
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -10,22 +10,23 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// receivedAnswer is one answer that a caller got.
+// receivedAnswer is a complete answer that a caller received.
 type receivedAnswer struct {
 	organisation string
 	kind         string
-	// version is the version, or the plain service, that answered.
+	// version is the version, or the name of the plain service, that answered.
 	version    string
 	requestID  string
 	usage      caller.Usage
 	firstToken time.Duration
 	total      time.Duration
 	service    bool
-	// duplicate marks the answer to a request that was answered before.
+	// duplicate is set if the request was not executed for this answer, which
+	// repeats the one of an earlier execution with the same idempotency key.
 	duplicate bool
 }
 
-// outcomes collects what came of all requests of a deployment. It is safe for
+// outcomes collects the results of all requests of a deployment. It is safe for
 // concurrent use.
 type outcomes struct {
 	mu       sync.Mutex
@@ -37,14 +38,14 @@
 
 func newOutcomes() *outcomes { return &outcomes{refusals: make(map[string]int64)} }
 
-// recordAnswer records an answer.
 func (t *outcomes) recordAnswer(r receivedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers = append(t.answers, r)
 }
 
-// recordFailure records a request without a whole answer.
+// recordFailure counts a request that got no complete answer, by its refusal code
+// or as a broken answer. Any other error counts as load.CodeUnavailable.
 func (t *outcomes) recordFailure(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// recordFault records that a promise did not hold.
+// recordFault records the violation of a guarantee that the demo checks.
 func (t *outcomes) recordFault(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/demo/traffic.go
+++ b/demo/traffic.go
@@ -15,17 +15,19 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// Shape of the traffic of one deployment.
+// Properties of the traffic of one deployment.
 const (
 	requestsPerSecond = 60
 	trafficSeed       = 1
-	// requestTimeout bounds each request of the demo.
+	// requestTimeout limits the duration of each request.
 	requestTimeout = 15 * time.Second
-	// withdrawalTimeout bounds the wait for a withdrawal to be in force.
+	// withdrawalTimeout limits the time until a withdrawal is in force on every
+	// daemon.
 	withdrawalTimeout = 10 * time.Second
 )
 
-// exampleKeyPrefix and the name of an organisation make its example key.
+// exampleKeyPrefix, followed by the name of an organisation, is the key of that
+// organisation in the example deployments.
 const exampleKeyPrefix = "key-"
 
 // trafficGenerator sends the requests of a scenario.
@@ -34,14 +36,16 @@
 	platform *Platform
 	fleet    *Fleet
 	outcomes *outcomes
-	// clients has one for each organisation and daemon.
+	// clients holds one client for each organisation and daemon.
 	clients      map[clientKey]*caller.Client
 	requestCount atomic.Int64
-	// withdrawalInForce is set once the withdrawal is in force on every daemon.
+	// withdrawalInForce is set once the withdrawal of the scenario is in force on
+	// every daemon.
 	withdrawalInForce atomic.Bool
 }
 
-// clientKey names a client by organisation and the daemon that it asks first.
+// clientKey identifies a client by its organisation and the number of the daemon
+// that it uses as entry.
 type clientKey struct {
 	organisation string
 	daemon       int
@@ -68,8 +72,9 @@
 	}
 }
 
-// run sends the steady traffic for the duration, plays the script beside it and
-// returns when every request has ended.
+// run sends the steady traffic for the given duration and the special requests of
+// the scenario at the same time. The version is withdrawn after half the duration.
+// run returns when all requests have ended.
 func (t *trafficGenerator) run(ctx context.Context, duration time.Duration) {
 	var running sync.WaitGroup
 	for _, part := range []func(context.Context){t.holdConversation, t.sendDuplicates, t.callServices, t.provokeRefusals} {
@@ -84,8 +89,8 @@
 	running.Wait()
 }
 
-// sendSteady sends requests at a steady rate, whether earlier ones are answered or
-// not.
+// sendSteady sends requests at a constant rate (open loop), without waiting for the
+// answers to earlier ones.
 func (t *trafficGenerator) sendSteady(ctx context.Context, duration time.Duration, running *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(trafficSeed, 0))
 	ticker := time.NewTicker(time.Second / requestsPerSecond)
@@ -106,7 +111,7 @@
 	}
 }
 
-// pickTask draws a task by the weights.
+// pickTask selects a task at random, in proportion to the weights.
 func (t *trafficGenerator) pickTask(random *rand.Rand) task {
 	sum := 0
 	for _, one := range t.scenario.tasks {
@@ -139,8 +144,9 @@
 	}
 }
 
-// sendAndCheck sends one request and returns its answer, checked to be the whole
-// answer to this request and from a version that was not withdrawn.
+// sendAndCheck sends one request and returns its answer. It returns an error unless
+// this is the complete answer to the request, and records a fault if the answer
+// comes from a version whose withdrawal was in force when the request was sent.
 func (t *trafficGenerator) sendAndCheck(ctx context.Context, daemon int, work task, params caller.Params) (*caller.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -165,7 +171,8 @@
 	return a, nil
 }
 
-// withdrawVersion withdraws a version and notes when that is in force everywhere.
+// withdrawVersion withdraws the version of the scenario and sets withdrawalInForce
+// once the withdrawal is in force on every daemon.
 func (t *trafficGenerator) withdrawVersion(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawalTimeout)
 	defer cancel()
@@ -180,7 +187,8 @@
 	t.withdrawalInForce.Store(true)
 }
 
-// expectRefusal records a request that must be refused with the code.
+// expectRefusal records the outcome of a request that must be refused with the code
+// and must not have run. Any other outcome is a fault.
 func (t *trafficGenerator) expectRefusal(err error, code failure.Code, description string) {
 	var refused *caller.RefusalError
 	if !errors.As(err, &refused) || refused.Detail.Code != string(code) || refused.Detail.Ran != string(failure.RanNo) {
