--- a/measure/bench_test.go
+++ b/measure/bench_test.go
@@ -14,13 +14,13 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Numbers of versions and of engines that a daemon sees, at the target size.
+// Numbers of versions and engines in a deployment of the target size.
 const (
 	targetVersions = 36
 	targetEngines  = 65
 )
 
-// decider takes whole decisions: a version and then an engine.
+// decider makes complete decisions: it selects a version and then an engine.
 type decider struct {
 	versions   *selection.Policy
 	plan       *selection.Plan
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkDecision measures version and engine together.
+// BenchmarkDecision measures the selection of a version and an engine together.
 func BenchmarkDecision(b *testing.B) {
 	for _, kind := range []string{"quick", "report"} {
 		for _, size := range [][2]int{{12, 12}, {targetVersions, 12}, {targetVersions, targetEngines}} {
--- a/measure/bounds.go
+++ b/measure/bounds.go
@@ -7,13 +7,13 @@
 	"math"
 )
 
-// boundMargin is how much worse than its bound a figure may be. Runs are
-// deterministic on one machine; processors that fuse multiplications may round
-// otherwise.
+// boundMargin is the relative amount by which a figure may exceed its bound. Runs
+// are deterministic on one machine, but rounding differs between processors that
+// fuse multiplications and additions and those that do not.
 const boundMargin = 0.02
 
-// Figures are the seeded figures of one case that must not get worse. Lower
-// is better for all of them.
+// Figures holds the results of one case that must not get worse. Lower is better
+// for all of them.
 type Figures struct {
 	Case                  string  `json:"case"`
 	CostPerAnswer         float64 `json:"cost_micros_per_answer"`
@@ -22,13 +22,13 @@
 	RefusedOrFailedShare  float64 `json:"refused_or_failed_share"`
 	BadVersionAttempts    float64 `json:"attempts_at_bad_version"`
 	HaltedVersionAttempts float64 `json:"attempts_at_halted_version"`
-	// UrgentP95 and UrgentP99 are those of the slowest urgent kind, in
-	// milliseconds, or of the slowest kind without an urgent one.
+	// UrgentP95 and UrgentP99 are the highest latency quantiles of any urgent kind,
+	// in milliseconds, or of any kind if the scenario has no urgent one.
 	UrgentP95 float64 `json:"urgent_p95_ms"`
 	UrgentP99 float64 `json:"urgent_p99_ms"`
 }
 
-// BoundCases are the short cases that CI checks.
+// BoundCases returns the short cases that CI checks.
 func BoundCases() []Case {
 	faults := []Fault{FaultHalfPoolLost, FaultVersionBad, FaultRolloutHalted, FaultBulkOverrun}
 	var cases []Case
@@ -62,7 +62,8 @@
 	return f
 }
 
-// Regressions names the figures of f that are worse than the bound allows.
+// Regressions describes the figures of f that exceed the bound by more than
+// boundMargin.
 func (f Figures) Regressions(bound Figures) []string {
 	var regressions []string
 	for _, c := range []struct {
@@ -85,7 +86,7 @@
 	return regressions
 }
 
-// WriteBounds runs the bound cases and writes their figures.
+// WriteBounds runs the BoundCases and writes their figures as JSON.
 func WriteBounds(w io.Writer) error {
 	var all []Figures
 	for _, c := range BoundCases() {
@@ -100,7 +101,7 @@
 	return e.Encode(all)
 }
 
-// ReadBounds reads what WriteBounds wrote.
+// ReadBounds reads figures in the format of WriteBounds.
 func ReadBounds(r io.Reader) ([]Figures, error) {
 	var all []Figures
 	d := json.NewDecoder(r)
--- a/measure/clock.go
+++ b/measure/clock.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// epoch is the start of every run.
+// epoch is the virtual time at which every run starts.
 var epoch = time.Date(2026, 1, 5, 6, 0, 0, 0, time.UTC)
 
-// clock is virtual time with the events to come.
+// clock is a virtual clock with a queue of scheduled events.
 type clock struct {
 	now    time.Time
 	seq    uint64
 	events eventHeap
 }
 
-// event runs at a virtual time. Events at one time run in order of creation.
+// event is a function to be called at a virtual time. Events with the same time run
+// in the order in which they were scheduled.
 type event struct {
 	at  time.Time
 	seq uint64
@@ -24,13 +25,13 @@
 
 func newClock() *clock { return &clock{now: epoch} }
 
-// after runs a function a while from now.
+// after schedules a function to run after a delay. A negative delay counts as zero.
 func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now.Add(max(d, 0)), seq: c.seq, run: run})
 }
 
-// runUntil runs events until the given time.
+// runUntil runs all events up to and including the given time.
 func (c *clock) runUntil(end time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(end) {
 		e := heap.Pop(&c.events).(event)
@@ -59,5 +60,5 @@
 	return last
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// initialSlotRate is the assumed rate of a slot before measurements, as in the
-	// daemon.
+	// initialSlotRate is the service rate of a slot before one was measured, in tokens
+	// per second. It is the default of package admission.
 	initialSlotRate = 200
-	// maxReportAge is how long a load report counts for the room of bulk work.
+	// maxReportAge is the age from which a load report is ignored in the limit of bulk
+	// requests.
 	maxReportAge = 5 * time.Second
-	// localHopLatency and remoteHop are one-way latencies to engines.
+	// localHopLatency and remoteHopLatency are the one-way network latencies to engines
+	// in the same and in another data centre.
 	localHopLatency  = 100 * time.Microsecond
 	remoteHopLatency = time.Millisecond
-	// failDelay is how long a connection to a dead engine takes to fail.
+	// failDelay is the time until a daemon notices that its connection to an engine
+	// failed, beyond the network latency.
 	failDelay = 2 * time.Millisecond
 )
 
-// daemon decides for the requests that callers sent to it.
+// daemon makes the decisions for the requests that callers send to it.
 type daemon struct {
 	sim        *sim
 	dataCentre string
@@ -40,21 +43,21 @@
 	queues     map[string]*admission.Queue
 	waiting    map[*admission.Item]*request
 	reported   map[*fakeEngine]loadReport
-	failedAt   map[*fakeEngine]time.Time // last failure, for the baselines
+	failedAt   map[*fakeEngine]time.Time // last failure, for the baselines of engine selection
 	nextEngine int
 }
 
-// loadReport is what an engine last reported.
+// loadReport is the latest load report of an engine.
 type loadReport struct {
 	requests int64
 	asOf     time.Time
 }
 
-// flow is the way of a request through a daemon.
+// flow is the state of a request in a daemon.
 type flow struct {
 	queue        *admission.Queue
 	item         *admission.Item
-	started      time.Time // when it got its slot
+	started      time.Time // when it got its slot, zero before
 	version      string
 	launchNumber int
 	attempts     int
@@ -95,7 +98,8 @@
 	return nil
 }
 
-// reviewPeriodically compares the engines from time to time.
+// reviewPeriodically reviews the latencies of the engines and updates the limits of
+// bulk requests every reviewInterval.
 func (d *daemon) reviewPeriodically() {
 	d.state.Review(d.plan, d.sim.now)
 	if d.sim.now.After(epoch) {
@@ -109,7 +113,8 @@
 	d.state.LoadReported(balance.LoadReported{Engine: e.GetName(), Requests: requests, Tokens: tokens, AsOf: asOf})
 }
 
-// admit chooses a version and lets the request through admission.
+// admit selects a version for the request and passes the request to the admission
+// queue of that version. The oracle works without admission.
 func (s *sim) admit(r *request) {
 	var err error
 	if r.decision, err = s.policy.version(s, r); err != nil {
@@ -127,7 +132,7 @@
 	s.enqueue(r)
 }
 
-// enqueue lets the request wait for a place at its version.
+// enqueue offers the request to the admission queue of its version.
 func (s *sim) enqueue(r *request) {
 	d := r.daemon
 	tokens := float64(r.prompt + r.kind.GetExpectedCompletionTokens())
@@ -151,12 +156,14 @@
 	}
 }
 
-// maxOtherVersions bounds the versions tried for one request beyond the first, as
-// the router does.
+// maxOtherVersions limits the versions that are tried for one request after the
+// first one has no room, as in the router.
 const maxOtherVersions = 2
 
-// handleNoRoom moves a request that was not sent to the next version at the target,
-// or refuses it.
+// handleNoRoom handles a request that was not sent, since its version has no room.
+// It moves the request to another version that reaches the quality target, if there
+// is one, and refuses it otherwise. Bulk requests, requests in conversations and
+// escalated requests are refused at once.
 func (s *sim) handleNoRoom(r *request) {
 	bulk := r.kind.GetPriority() == bronzeturnv1.Priority_PRIORITY_BULK
 	if !s.policy.retriesOtherVersions() || bulk || r.conversation != nil || r.escalated || len(r.fullVersions) == maxOtherVersions {
@@ -175,7 +182,7 @@
 	s.enqueue(r)
 }
 
-// waitTimedOut ends a wait that took too long.
+// waitTimedOut removes a request that waited for too long from its queue.
 func (d *daemon) waitTimedOut(item *admission.Item) {
 	r := d.waiting[item]
 	if r != nil && r.flow.queue.Remove(item) {
@@ -184,7 +191,7 @@
 	}
 }
 
-// release frees the request's slot and starts those whose turn it is.
+// release frees the slot of the request and starts waiting requests.
 func (s *sim) release(r *request) {
 	if r.flow.queue == nil || r.flow.started.IsZero() {
 		return
@@ -197,7 +204,7 @@
 	r.daemon.startWaiting(r.flow.queue)
 }
 
-// startWaiting starts the requests whose turn it is.
+// startWaiting starts the waiting requests that the queue now admits.
 func (d *daemon) startWaiting(q *admission.Queue) {
 	for item := q.Next(d.sim.now); item != nil; item = q.Next(d.sim.now) {
 		next := d.waiting[item]
@@ -207,7 +214,8 @@
 	}
 }
 
-// updateBulkLimits bounds bulk work by what the engines reported.
+// updateBulkLimits limits the bulk requests of each version according to the recent
+// load reports of its engines, and starts waiting requests that are now admitted.
 func (d *daemon) updateBulkLimits() {
 	for _, v := range d.sim.reg.GetVersions() {
 		q := d.queues[v.GetName()]
@@ -225,7 +233,7 @@
 	}
 }
 
-// prefixHash names a prompt's prefix.
+// prefixHash returns a hash that identifies the prefix of a prompt.
 func prefixHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -235,7 +243,8 @@
 	return h.Sum64()
 }
 
-// isUrgent tells whether people wait for the answers of a kind.
+// isUrgent reports whether a kind has urgent priority, that is, people wait for its
+// answers.
 func isUrgent(k *bronzeturnv1.TaskKind) bool {
 	return k.GetPriority() == bronzeturnv1.Priority_PRIORITY_URGENT
 }
--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -9,7 +9,8 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// startVersion sends the request to engines that serve the version.
+// startVersion begins to execute the request at a version: at first, or after an
+// escalation. Attempts that belong to an earlier start are superseded.
 func (s *sim) startVersion(r *request, version string) {
 	f := &r.flow
 	f.version, f.winner, f.liveAttempts = version, nil, nil
@@ -20,7 +21,7 @@
 	s.dispatch(r)
 }
 
-// dispatch chooses an engine and sends the request, and later a hedge.
+// dispatch selects an engine, sends the request to it and schedules a hedge.
 func (s *sim) dispatch(r *request) {
 	if r.ended {
 		return
@@ -45,7 +46,8 @@
 	s.send(r, engine, decision)
 }
 
-// hedge sends a second copy of a request that has not begun its answer.
+// hedge sends a second attempt if the first one has produced no token yet and the
+// hedging policy grants it.
 func (s *sim) hedge(r *request, delay time.Duration, launch, attempts int) {
 	f := &r.flow
 	if r.ended || f.winner != nil || f.launchNumber != launch || f.attempts != attempts || len(f.liveAttempts) != 1 {
@@ -66,7 +68,7 @@
 	}
 }
 
-// send sends one copy to an engine.
+// send sends one attempt to an engine.
 func (s *sim) send(r *request, e *fakeEngine, d balance.Decision) {
 	f := &r.flow
 	f.attempts++
@@ -92,7 +94,7 @@
 	s.after(hop, func() { e.submit(a) })
 }
 
-// work is the size of a request as the balancer sees it.
+// work returns the size of a request as the balancer estimates it.
 func work(r *request) balance.Work {
 	return balance.Work{
 		Priority: r.kind.GetPriority(), PromptTokens: r.prompt,
@@ -100,12 +102,14 @@
 	}
 }
 
-// superseded reports whether an attempt no longer belongs to its request's way.
+// superseded reports whether events of an attempt no longer matter, since its
+// request ended, was started again at another version, or dropped the attempt.
 func (s *sim) superseded(a *attempt) bool {
 	return a.request.ended || a.launchNumber != a.request.flow.launchNumber || !containsAttempt(a.request.flow.liveAttempts, a)
 }
 
-// handleFirstToken makes the first copy that begins its answer the winner.
+// handleFirstToken handles the first token of an attempt. That attempt wins, and the
+// other one is cancelled.
 func (s *sim) handleFirstToken(a *attempt) {
 	r := a.request
 	if s.superseded(a) {
@@ -127,7 +131,7 @@
 	}
 }
 
-// cancel ends a copy that is no longer wanted. What it generated is paid.
+// cancel cancels an attempt. The tokens that it has generated are paid for.
 func (s *sim) cancel(a *attempt) {
 	r := a.request
 	if !a.startedAt.IsZero() && !a.done {
@@ -141,7 +145,7 @@
 	r.daemon.state.Finished(balance.Finished{Engine: a.engine.GetName(), Work: work(r), FirstTokenSeen: a.firstTokenSeen, Cancelled: true, At: s.now})
 }
 
-// handleAnswer takes in a whole answer.
+// handleAnswer handles a complete answer.
 func (s *sim) handleAnswer(a *attempt) {
 	r := a.request
 	if s.superseded(a) {
@@ -156,7 +160,9 @@
 	s.evaluateAnswer(r)
 }
 
-// handleFailure takes in that a copy got no answer, and tries again where it is safe.
+// handleFailure handles an attempt that got no complete answer. If no other attempt
+// is running, the request is retried when the retry policy allows it, and fails
+// otherwise.
 func (s *sim) handleFailure(a *attempt, ran bool) {
 	r := a.request
 	if s.superseded(a) {
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -9,43 +9,44 @@
 )
 
 const (
-	// prefillTokensPerSecond is how fast engines read prompts, in tokens per second.
+	// prefillTokensPerSecond is the rate at which engines process prompts.
 	prefillTokensPerSecond = 8000
-	// cachedPrefillFactor of the reading time is left when the prefix is cached.
+	// cachedPrefillFactor multiplies the prefill time if the prefix is cached.
 	cachedPrefillFactor = 0.2
-	// maxCachedPrefixes bounds the prefixes that an engine keeps.
+	// maxCachedPrefixes is the capacity of the prefix cache of an engine.
 	maxCachedPrefixes = 64
-	// One in stragglerOdds attempts generates stragglerFactor times slower.
+	// One in attemptsPerStraggler attempts is a straggler: its generation takes
+	// stragglerFactor times as long.
 	attemptsPerStraggler = 100
 	stragglerFactor      = 4
-	// priorityCount is the number of queues of an engine.
+	// priorityCount is the number of priorities, each with its own queue.
 	priorityCount = 3
 )
 
-// fakeEngine decodes up to slots requests together and queues the rest by
-// priority.
+// fakeEngine simulates an engine. It runs up to GetSlots attempts concurrently and
+// queues the others by priority.
 type fakeEngine struct {
 	*bronzeturnv1.Engine
 	clock    *clock
 	rng      *rand.Rand
-	slowdown float64 // factor on generation times
+	slowdown float64 // factor on prefill and generation times
 	dead     bool
 	running  []*attempt
 	waiting  [priorityCount][]*attempt
 	cache    []uint64 // least recently used first
 }
 
-// attempt is one copy of a request at an engine.
+// attempt is one execution of a request at an engine.
 type attempt struct {
 	request        *request
 	engine         *fakeEngine
 	sentAt         time.Time
-	startedAt      time.Time // zero while it waits
+	startedAt      time.Time // zero while it waits in the queue
 	prefill        time.Duration
 	generate       time.Duration
 	firstTokenSeen bool // the daemon has seen the first token
-	done           bool // finished, failed or canceled
-	launchNumber   int  // number of the launch that sent it
+	done           bool // finished, failed or cancelled
+	launchNumber   int  // flow.launchNumber of the request when the attempt was sent
 
 	expectedFirst time.Duration
 	onFirst       func(*attempt)
@@ -53,7 +54,7 @@
 	onFail        func(a *attempt, ran bool)
 }
 
-// submit takes in an attempt.
+// submit starts or queues an attempt, or fails it if the engine has crashed.
 func (e *fakeEngine) submit(a *attempt) {
 	if a.done {
 		return
@@ -70,7 +71,7 @@
 	e.waiting[class] = append(e.waiting[class], a)
 }
 
-// start starts to read the prompt and generate.
+// start begins an attempt and schedules its first token and its end.
 func (e *fakeEngine) start(a *attempt) {
 	a.startedAt = e.clock.now
 	e.running = append(e.running, a)
@@ -104,7 +105,7 @@
 	return seconds(float64(tokens) / e.GetTokensPerSecond() * e.slowdown)
 }
 
-// touch notes the use of a prefix and tells whether it was cached.
+// touch marks a prefix as most recently used and reports whether it was cached.
 func (e *fakeEngine) touch(prefix uint64) bool {
 	i := slices.Index(e.cache, prefix)
 	if i >= 0 {
@@ -116,7 +117,7 @@
 	return i >= 0
 }
 
-// remove takes an attempt out and starts the next one.
+// remove removes an attempt from the engine and starts the next one in the queue.
 func (e *fakeEngine) remove(a *attempt) {
 	a.done = true
 	e.running = slices.DeleteFunc(e.running, func(o *attempt) bool { return o == a })
@@ -133,7 +134,7 @@
 	}
 }
 
-// crash breaks every connection.
+// crash makes the engine fail all attempts, present and future.
 func (e *fakeEngine) crash() {
 	e.dead = true
 	lost := slices.Clone(e.running)
@@ -150,8 +151,9 @@
 	}
 }
 
-// load counts the requests and the tokens still to generate and to read, which
-// count a twentieth.
+// load returns the number of running and queued requests and the number of tokens
+// that they still have to generate. A prompt token of a queued request counts as a
+// twentieth of a generated one.
 func (e *fakeEngine) load() (requests, tokens int64) {
 	left := 0.0
 	for _, a := range e.running {
@@ -169,7 +171,9 @@
 	return requests, int64(left)
 }
 
-// timeToFinish is the true time until an answer would be whole, for the oracle.
+// timeToFinish returns the time until the answer to a new request would be complete,
+// for the oracle. It knows the remaining times of all running attempts, and takes
+// the median of them for each further round of attempts that are queued ahead.
 func (e *fakeEngine) timeToFinish(r *request) time.Duration {
 	if e.dead {
 		return time.Hour
@@ -194,7 +198,7 @@
 	return left[ahead%len(left)] + rounds*left[len(left)/2] + own
 }
 
-// priorityIndex orders priorities, the most urgent first.
+// priorityIndex returns the index of the queue for a priority, the most urgent first.
 func priorityIndex(p bronzeturnv1.Priority) int {
 	switch p {
 	case bronzeturnv1.Priority_PRIORITY_URGENT:
--- a/measure/goals.go
+++ b/measure/goals.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Goal is a goal with what was measured beside it: the mean over the seeds and
-// the lowest and highest of them.
+// Goal is an upper bound with the measured values: the mean, the lowest and the
+// highest over the seeds.
 type Goal struct {
 	Name            string
 	Bound           float64
@@ -11,10 +11,11 @@
 	Lowest, Highest float64
 }
 
-// Met tells whether the goal was met.
+// Met reports whether the mean is within the bound.
 func (g *Goal) Met() bool { return g.Measured <= g.Bound }
 
-// meanGoal averages a ratio over the seeds.
+// meanGoal computes the value for each seed and returns the goal with their mean and
+// range.
 func (s *Suite) meanGoal(name string, bound float64, value func(seed uint64) float64) Goal {
 	g := Goal{Name: name, Bound: bound, Lowest: math.Inf(1), Highest: math.Inf(-1)}
 	for seed := uint64(Seed); seed < Seed+goalSeeds; seed++ {
@@ -25,7 +26,7 @@
 	return g
 }
 
-// Goals compares the results with the goals of the project.
+// Goals returns the goals of the project with the measured values.
 func (s *Suite) Goals() []Goal {
 	var goals []Goal
 	for i := range Scenarios {
@@ -51,7 +52,7 @@
 	})
 }
 
-// latencyGoals compares the p95 of the urgent kinds with the oracle's.
+// latencyGoals compares the p95 latency of the urgent kinds with that of the oracle.
 func (s *Suite) latencyGoals(scenario string) []Goal {
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
@@ -64,8 +65,8 @@
 	return goals
 }
 
-// overrunGoals compares the p95 of the urgent kinds while bulk overruns with
-// that without.
+// overrunGoals compares the p95 latency of the urgent kinds under FaultBulkOverrun
+// with that without a fault.
 func (s *Suite) overrunGoals(scenario string) []Goal {
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
@@ -78,10 +79,10 @@
 	return goals
 }
 
-// p95 returns the 95th percentile of a kind's latency in seconds.
+// p95 returns the 95th percentile of the latency of a kind, in seconds.
 func (s *Suite) p95(k key, kind string) float64 { return s.results[k].Kinds[kind].P95.Seconds() }
 
-// urgentKinds lists the kinds of a scenario for whose answers people wait.
+// urgentKinds returns the kinds of a scenario that have urgent priority.
 func (s *Suite) urgentKinds(scenario string) []string {
 	r := s.published(scenario, FaultNone, PolicyRouter)
 	var kinds []string
@@ -93,9 +94,9 @@
 	return kinds
 }
 
-// exposureGoal compares the attempts at a version that turned bad with what
-// its sequential test needs on average. Ratings that are on their way count
-// against the policy.
+// exposureGoal compares the number of attempts at a version after it turned bad with
+// the number of answers that the sequential test needs on average to detect it.
+// Attempts that are made while ratings are delayed are included.
 func (s *Suite) exposureGoal(scenario *Scenario) Goal {
 	needed := scenario.expectedAnswersToDetection()
 	name := scenario.Name + ": attempts at " + scenario.badVersion + " after it turned bad, against what the test needs"
--- a/measure/learn.go
+++ b/measure/learn.go
@@ -12,8 +12,9 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// replayHistory lets the router's choice of versions meet the rated part of the
-// scenario's work for a while before the run, without engines.
+// replayHistory trains the selection of versions before the run. It passes the rated
+// share of the scenario's requests during Scenario.History through selection and
+// rating, without engines.
 func (s *sim) replayHistory(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	total := 0.0
@@ -36,7 +37,8 @@
 	}
 }
 
-// replayRequest serves and rates one request.
+// replayRequest selects a version for one request, draws the quality of the answer
+// and records its rating.
 func (s *sim) replayRequest(st *stream, id int, now time.Time, rng *rand.Rand) {
 	kind := s.kinds[st.kind]
 	organisation := st.organisations[rng.IntN(len(st.organisations))]
@@ -65,10 +67,10 @@
 	})
 }
 
-// fixedPriorWeight is the weight of priors that no rating moves.
+// fixedPriorWeight is a prior weight so high that ratings do not change the estimates.
 const fixedPriorWeight = 1e6
 
-// qualityOptions returns the options of the policy's estimates.
+// qualityOptions returns the options of the quality estimates for the policy.
 func (p Policy) qualityOptions() quality.Options {
 	if p == PolicyInformed {
 		return quality.Options{PriorWeight: fixedPriorWeight}
@@ -76,7 +78,8 @@
 	return quality.Options{}
 }
 
-// registerWithTrueQualities returns the register with true qualities for priors.
+// registerWithTrueQualities returns a copy of the register whose prior qualities are
+// the true ones.
 func (t *groundTruth) registerWithTrueQualities(reg *bronzeturnv1.Register) *bronzeturnv1.Register {
 	informed := proto.CloneOf(reg)
 	for _, v := range informed.GetVersions() {
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -13,9 +13,9 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// The seeded figures of the short cases are no worse than the committed ones.
-// To accept others, run the command with --bounds and show the table before
-// and after in the commit.
+// The figures of the short cases must not exceed the committed bounds. To accept
+// other figures, run bronzeturn-measure with --bounds and show the table before and
+// after the change in the commit message.
 func TestFiguresStayWithinBounds(t *testing.T) {
 	data, err := os.ReadFile("testdata/bounds.json")
 	qt.Assert(t, err, qt.IsNil)
@@ -72,8 +72,8 @@
 	qt.Check(t, reflect.DeepEqual(first, other), qt.IsFalse)
 }
 
-// The oracle reaches the target at a lower cost than strongest only, and
-// cheapest only misses it.
+// The oracle reaches the quality target at a lower cost than PolicyStrongest, and
+// PolicyCheapest is cheaper than the oracle but misses the target.
 func TestBaselinesAreInOrder(t *testing.T) {
 	t.Parallel()
 	results := make(map[Policy]*Result)
@@ -88,7 +88,7 @@
 	qt.Check(t, results[PolicyCheapest].CostPerAnswer() < results[PolicyOracle].CostPerAnswer(), qt.IsTrue)
 }
 
-// engineTest drives one fake engine of two slots and 10 tokens a second.
+// engineTest runs one fake engine with two slots and 10 tokens per second.
 type engineTest struct {
 	*clock
 	engine   *fakeEngine
--- a/measure/outcome.go
+++ b/measure/outcome.go
@@ -6,7 +6,8 @@
 	"github.com/bronzeturn/bronzeturn/quality"
 )
 
-// evaluateAnswer checks a whole answer, escalates it, or delivers it.
+// evaluateAnswer handles a complete answer. In a cascade, it checks the answer of the
+// first version and escalates the request if necessary. Otherwise it ends the request.
 func (s *sim) evaluateAnswer(r *request) {
 	f := &r.flow
 	version, kind := f.version, r.kind.GetName()
@@ -30,8 +31,8 @@
 	s.release(r)
 }
 
-// checkAnswer is the check of a cascade: it flags some bad answers and few
-// good ones.
+// checkAnswer simulates the check of a cascade. It flags bad answers with the
+// probability checkRecall and good ones with the probability checkFalseAlarm.
 func checkAnswer(good bool, draw float64) cascade.Verdict {
 	flagRate := checkRecall
 	if good {
@@ -43,8 +44,8 @@
 	return cascade.Passed
 }
 
-// expectedQuality is the true expected quality of what the request was given:
-// of its version, or of its cascade.
+// expectedQuality returns the true expected quality of the version or the cascade
+// that was selected for the request.
 func (s *sim) expectedQuality(r *request) float64 {
 	if r.decision.Escalatable {
 		return s.truth.expectedCascade(r.decision.Version, r.decision.Cascade.Next, r, s.now).Quality
@@ -52,13 +53,13 @@
 	return s.truth.quality(r.flow.version, r.kind.GetName(), s.now)
 }
 
-// end marks a request as ended.
+// end marks the request as ended.
 func (s *sim) end(r *request) {
 	r.ended = true
 	s.inProgress--
 }
 
-// refuse ends a request that did not run.
+// refuse ends a request that was not executed.
 func (s *sim) refuse(r *request, code failure.Code) {
 	if r.ended {
 		return
@@ -68,14 +69,15 @@
 	s.release(r)
 }
 
-// fail ends a request that got no whole answer.
+// fail ends a request that got no complete answer and may have been executed.
 func (s *sim) fail(r *request) {
 	s.end(r)
 	s.result.recordFailure(r)
 	s.release(r)
 }
 
-// expire ends a request at its deadline.
+// expire ends a request whose deadline has passed. It is refused if it was never
+// started, and fails otherwise.
 func (s *sim) expire(r *request) {
 	if r.ended {
 		return
--- a/measure/plots.go
+++ b/measure/plots.go
@@ -17,14 +17,14 @@
 	barWidth   = 9 * vg.Millimeter
 )
 
-// plotColors tell the policies apart, in their order.
+// plotColors are the colours of the policies, in the order in which they are plotted.
 var plotColors = []color.Color{
 	color.RGBA{R: 0x1b, G: 0x6c, B: 0xa8, A: 0xff}, color.RGBA{R: 0x33, G: 0x33, B: 0x33, A: 0xff},
 	color.RGBA{R: 0xc0, G: 0x39, B: 0x2b, A: 0xff}, color.RGBA{R: 0xe6, G: 0x9f, B: 0x00, A: 0xff},
 	color.RGBA{R: 0x2e, G: 0x8b, B: 0x57, A: 0xff}, color.RGBA{R: 0x8e, G: 0x6c, B: 0xb0, A: 0xff},
 }
 
-// WritePlots writes the plots into a directory.
+// WritePlots writes the plots as PNG files to a directory.
 func (s *Suite) WritePlots(dir string) error {
 	for name, draw := range map[string]func() (*plot.Plot, error){
 		"cost.png": s.plotCost, "urgent-p95.png": s.plotUrgent, "quick-latency.png": s.plotLatency,
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// bars adds one group of bars per label, with one bar per series.
+// bars adds a bar chart with one group per label and one bar per policy in each.
 func bars(p *plot.Plot, labels []string, series []Policy, value func(label int, policy Policy) float64) error {
 	for i, policy := range series {
 		values := make(plotter.Values, len(labels))
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// plotCost compares the cost per answer with the oracle's.
+// plotCost plots the cost per answer relative to that of the oracle.
 func (s *Suite) plotCost() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Cost per answer, oracle = 1 (cheapest only misses the target)"
@@ -78,7 +78,7 @@
 	return p, err
 }
 
-// plotUrgent shows the p95 of urgent kinds at peak load.
+// plotUrgent plots the p95 latency of urgent kinds at peak load.
 func (s *Suite) plotUrgent() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "p95 of urgent kinds at about 85% load"
@@ -96,7 +96,8 @@
 	return p, err
 }
 
-// plotLatency shows the distribution of quick checks at the kiosk peak.
+// plotLatency plots the latency distribution of the kind "quick" in the scenario
+// "kiosk peak".
 func (s *Suite) plotLatency() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Latency of quick checks at the kiosk peak"
@@ -117,7 +118,8 @@
 	return p, nil
 }
 
-// distribution returns points of the share of requests answered by a time.
+// distribution returns points of the cumulative latency distribution. Requests
+// without an answer count in the total, so it may end below 1.
 func distribution(k *KindResult) plotter.XYs {
 	const points = 200
 	var xys plotter.XYs
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -12,55 +12,58 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Policy says how versions and engines are chosen in a run.
+// Policy determines how versions and engines are selected in a run.
 type Policy string
 
-// The policies. All but the oracle use the same admission and retries.
+// The policies. All of them but the oracle use the admission of the router, and all
+// use its retries.
 const (
-	// PolicyRouter is the router's own decisions.
+	// PolicyRouter is the decision code of the router.
 	PolicyRouter Policy = "router"
-	// PolicyInformed is the router's own decisions with true qualities for priors
-	// that outweigh all ratings. What it costs beyond the oracle is routing, what
-	// the router costs beyond it is learning.
+	// PolicyInformed is the decision code of the router, with the true qualities as
+	// priors that outweigh all ratings. Its cost above the oracle's is due to routing,
+	// and the cost of PolicyRouter above that of PolicyInformed is due to learning.
 	PolicyInformed Policy = "router, qualities known"
-	// PolicyStrongest takes the allowed version of the highest prior quality.
+	// PolicyStrongest selects the allowed version with the highest prior quality.
 	PolicyStrongest Policy = "strongest only"
-	// PolicyCheapest takes the cheapest allowed version.
+	// PolicyCheapest selects the cheapest allowed version.
 	PolicyCheapest Policy = "cheapest only"
-	// PolicyRoundRobin takes the router's version, and engines in turn.
+	// PolicyRoundRobin selects versions as the router does, and engines in turn.
 	PolicyRoundRobin Policy = "round robin"
-	// PolicyLeastReported takes the router's version, and the engine that
-	// reported the fewest requests.
+	// PolicyLeastReported selects versions as the router does, and the engine that
+	// last reported the fewest requests.
 	PolicyLeastReported Policy = "least reported load"
-	// PolicyOracle knows true qualities, costs and queues.
+	// PolicyOracle selects with knowledge of the true qualities, costs and queues.
 	PolicyOracle Policy = "oracle"
 )
 
-// Policies are all policies, in the order of the tables.
+// Policies lists all policies in the order of the tables.
 var Policies = []Policy{PolicyRouter, PolicyInformed, PolicyOracle, PolicyStrongest, PolicyCheapest, PolicyRoundRobin, PolicyLeastReported}
 
-// failedEngineAvoidance is how long the simple baselines stay away from an engine that
-// failed.
+// failedEngineAvoidance is the time for which PolicyRoundRobin and PolicyLeastReported
+// avoid an engine after a failure.
 const failedEngineAvoidance = 5 * time.Second
 
 func (p Policy) isOracle() bool { return p == PolicyOracle }
 
-// learnsFromRatings tells whether versions are chosen by what ratings taught.
+// learnsFromRatings reports whether the policy selects versions by quality estimates
+// that ratings change.
 func (p Policy) learnsFromRatings() bool {
 	return p == PolicyRouter || p == PolicyRoundRobin || p == PolicyLeastReported
 }
 
-// hedges tells whether slow requests are hedged. Baselines of the choice of
-// engines do without.
+// hedges reports whether slow requests are hedged. The oracle and the baselines for
+// the selection of engines do not hedge.
 func (p Policy) hedges() bool {
 	return p == PolicyRouter || p == PolicyInformed || p == PolicyStrongest || p == PolicyCheapest
 }
 
-// retriesOtherVersions tells whether a request is moved to another version when the
-// chosen one has no room, as the router does.
+// retriesOtherVersions reports whether a request is moved to another version if the
+// selected one has no room, as in the router.
 func (p Policy) retriesOtherVersions() bool { return p == PolicyRouter || p == PolicyInformed }
 
-// version chooses the version of a request.
+// version selects the version for a request. The baselines and the oracle keep a
+// conversation at its version.
 func (p Policy) version(s *sim, r *request) (selection.Decision, error) {
 	if r.conversation != nil && r.conversation.version != "" && p != PolicyRouter && p != PolicyInformed {
 		return selection.Decision{Version: r.conversation.version}, nil
@@ -85,7 +88,7 @@
 	return s.versions.Choose(s.plan, &request, s.now, r.daemon.rng)
 }
 
-// engine chooses the engine of a request.
+// engine selects the engine for a request.
 func (p Policy) engine(s *sim, r *request) (*fakeEngine, balance.Decision, bool) {
 	switch p {
 	case PolicyOracle:
@@ -112,7 +115,8 @@
 	return s.engines[d.Index], d, true
 }
 
-// candidates are the engines that serve a version and did not fail lately.
+// candidates returns the engines that serve a version and have not failed within
+// failedEngineAvoidance, or all that serve it if none is left.
 func (d *daemon) candidates(version string) []*fakeEngine {
 	all := d.sim.serving[version]
 	var usable []*fakeEngine
@@ -127,7 +131,8 @@
 	return usable
 }
 
-// usableVersions lists the versions that the rules and the register let a request use.
+// usableVersions returns the versions that the organisation of a request may use, that
+// some engine serves, and that the rules do not exclude.
 func (s *sim) usableVersions(r *request) []*bronzeturnv1.Version {
 	i := slices.IndexFunc(s.reg.GetOrganisations(), func(o *bronzeturnv1.Organisation) bool { return o.GetName() == r.organisation })
 	organisation := s.reg.GetOrganisations()[i]
@@ -142,7 +147,7 @@
 	return usable
 }
 
-// excluded reports whether the rules withdraw a version or halt its roll-out.
+// excluded reports whether a version is withdrawn or its roll-out is halted.
 func (s *sim) excluded(version string) bool {
 	withdrawn := slices.ContainsFunc(s.rules.GetWithdrawals(), func(w *bronzeturnv1.Withdrawal) bool { return w.GetVersion() == version })
 	return withdrawn || slices.ContainsFunc(s.rules.GetRollouts(), func(o *bronzeturnv1.Rollout) bool {
@@ -150,7 +155,7 @@
 	})
 }
 
-// usableVersionWithMin chooses the usable version with the least value.
+// usableVersionWithMin selects the usable version for which value is lowest.
 func (s *sim) usableVersionWithMin(r *request, value func(*bronzeturnv1.Version) float64) (selection.Decision, error) {
 	usable := s.usableVersions(r)
 	if len(usable) == 0 {
@@ -162,8 +167,9 @@
 	return selection.Decision{Version: v.GetName()}, nil
 }
 
-// oracleVersion chooses the cheapest version, or cascade, that truly reaches
-// the target in time; else the best one that is in time.
+// oracleVersion selects the cheapest version or cascade that reaches the quality target
+// within the deadline. If there is none, it selects the version of the highest quality
+// that can answer within the deadline.
 func (s *sim) oracleVersion(r *request) (selection.Decision, error) {
 	kind, target := r.kind.GetName(), r.kind.GetQualityTarget()
 	best, bestCost := selection.Decision{}, math.Inf(1)
@@ -195,7 +201,8 @@
 	return selection.Decision{}, failure.New(failure.CodeNoCapacity, failure.RanNo, "no version in time")
 }
 
-// oracleCascade replaces the choice by a cheaper cascade that reaches the target.
+// oracleCascade returns the cheapest cascade that reaches the quality target within the
+// deadline, or best if no cascade costs less than bestCost.
 func (s *sim) oracleCascade(r *request, usable []*bronzeturnv1.Version, best selection.Decision, bestCost float64) selection.Decision {
 	left := r.deadline.Sub(s.now)
 	for _, cheap := range usable {
@@ -215,7 +222,7 @@
 	return best
 }
 
-// fastestEngine is the engine that would truly answer first.
+// fastestEngine returns the engine that would complete the answer first.
 func (s *sim) fastestEngine(r *request, version string) *fakeEngine {
 	return slices.MinFunc(s.serving[version], func(a, b *fakeEngine) int {
 		return compare(a.timeToFinish(r).Seconds(), b.timeToFinish(r).Seconds())
--- a/measure/publish.go
+++ b/measure/publish.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// Publish runs all cases and writes the page, the figures and the plots into a
-// directory, and the bounds into a file unless its name is empty.
+// Publish runs all cases and writes MEASUREMENTS.md, measurements.csv and the plots to
+// a directory. It also writes the bounds to a file, unless its name is empty.
 func Publish(dir, bounds string) error {
 	suite, err := RunAll(AllCases())
 	if err != nil {
--- a/measure/result.go
+++ b/measure/result.go
@@ -7,35 +7,36 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// Result is what one run measured.
+// Result holds the measurements of one run. All but the attempts at the bad and the
+// halted version and the hedges leave out requests that arrive during the warm-up.
 type Result struct {
 	Scenario string
 	Fault    Fault
 	Policy   Policy
-	// Offered requests were Answered, Refused without having run, or Failed
-	// after they may have run.
+	// Offered counts all requests. Each of them was Answered, Refused without having
+	// been executed, or Failed after it may have been executed.
 	Offered, Answered, Refused, Failed int
-	// CostMicros is the price of all that ran, in micro-units.
+	// CostMicros is the price of all executions, in micro-units.
 	CostMicros float64
-	// BelowTarget counts answers of versions or cascades whose true quality is below
-	// the target, Good counts good answers.
+	// BelowTarget counts the answers of versions or cascades whose true expected
+	// quality is below the target, Good counts the good answers.
 	BelowTarget, Good int
-	// BadVersionAttempts counts attempts at the bad version after it turned, ToHalted those
-	// at the halted version after the halt.
+	// BadVersionAttempts counts the attempts at Scenario.badVersion after it turned bad,
+	// HaltedVersionAttempts those at Scenario.haltedVersion after its roll-out was halted.
 	BadVersionAttempts, HaltedVersionAttempts int
 	Hedges                                    int
-	// Kinds holds the latencies by task kind.
+	// Kinds holds the results by task kind.
 	Kinds map[string]*KindResult
 }
 
-// KindResult is what one run measured of one task kind.
+// KindResult holds the measurements of one run for one task kind.
 type KindResult struct {
 	Offered, Answered, Refused, Failed int
 	Urgent                             bool
 	P50, P95, P99                      time.Duration
-	// CostMicros is the price of all that ran, in micro-units.
+	// CostMicros is the price of all executions, in micro-units.
 	CostMicros float64
-	// Versions counts answers by the version that gave them.
+	// Versions counts the answers by version.
 	Versions  map[string]int
 	latencies []time.Duration
 }
@@ -44,13 +45,14 @@
 	return &Result{Scenario: c.Scenario.Name, Fault: c.Fault, Policy: c.Policy, Kinds: make(map[string]*KindResult)}
 }
 
-// CostPerAnswer is the cost per answered request, in micro-units.
+// CostPerAnswer returns the cost per answered request, in micro-units.
 func (r *Result) CostPerAnswer() float64 { return r.CostMicros / float64(max(r.Answered, 1)) }
 
-// BelowShare is the share of answers below the target.
+// BelowShare returns BelowTarget as a share of the answers.
 func (r *Result) BelowShare() float64 { return float64(r.BelowTarget) / float64(max(r.Answered, 1)) }
 
-// arrivedAfterWarmUp tells whether a request arrived after the warm-up.
+// arrivedAfterWarmUp reports whether a request arrived after the warm-up, so that it
+// counts in the result.
 func arrivedAfterWarmUp(r *request) bool { return !r.arrival.Before(epoch.Add(warmUp)) }
 
 func (r *Result) kind(q *request) *KindResult {
@@ -71,7 +73,7 @@
 
 func (r *Result) recordHedge() { r.Hedges++ }
 
-// recordDispatch counts what goes to versions that should get nothing.
+// recordDispatch counts an attempt at a version that should no longer get requests.
 func (r *Result) recordDispatch(s *sim, version string) {
 	if version == s.truth.badVersion && !s.now.Before(s.truth.badSince) {
 		r.BadVersionAttempts++
@@ -117,13 +119,13 @@
 	r.addCost(q)
 }
 
-// addCost adds what the request cost.
+// addCost adds the cost of a request.
 func (r *Result) addCost(q *request) {
 	r.CostMicros += q.cost
 	r.kind(q).CostMicros += q.cost
 }
 
-// computeQuantiles computes the quantiles.
+// computeQuantiles computes the latency quantiles of all kinds after the run.
 func (r *Result) computeQuantiles() {
 	for _, k := range r.Kinds {
 		slices.Sort(k.latencies)
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -9,10 +9,10 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Fault is what goes wrong in a run.
+// Fault is a fault that is injected into a run.
 type Fault string
 
-// The faults. All but the cold start begin at FaultAt.
+// The faults. All but FaultColdStart begin at Scenario.FaultAt.
 const (
 	FaultNone                  Fault = "none"
 	FaultVersionBad            Fault = "version turns bad"
@@ -23,54 +23,59 @@
 	FaultStaleReports          Fault = "load reports 2 s old"
 	FaultSlowEngine            Fault = "a slow engine"
 	FaultBulkOverrun           Fault = "bulk overruns"
-	// FaultColdStart is a fleet that has no ratings yet.
+	// FaultColdStart starts the run without a history of ratings.
 	FaultColdStart Fault = "no ratings yet"
 )
 
-// Faults are all faults, in the order of the tables.
+// Faults lists all faults in the order of the tables.
 var Faults = []Fault{
 	FaultNone, FaultVersionBad, FaultVersionBadLateRatings, FaultHalfPoolLost, FaultRolloutHalted,
 	FaultRatingsStopped, FaultStaleReports, FaultSlowEngine, FaultBulkOverrun, FaultColdStart,
 }
 
 const (
-	// warmUp is left out of all figures but the exposure to bad versions.
+	// warmUp is the initial part of a run whose requests do not count in the figures,
+	// except for hedges and attempts at bad or halted versions.
 	warmUp = 20 * time.Second
 	// fullFaultAt is the FaultAt of the full runs.
 	fullFaultAt = 60 * time.Second
 	// fullHistory is the History of the full runs.
 	fullHistory = 4 * time.Hour
-	// bulkOverrunFactor multiplies the rates of bulk kinds when bulk overruns.
+	// bulkOverrunFactor multiplies the rates of bulk kinds under FaultBulkOverrun.
 	bulkOverrunFactor = 10
 )
 
-// stream is one kind of work.
+// stream is the arrival process of one kind of requests.
 type stream struct {
 	kind         string
 	rate         float64 // requests per second
 	promptTokens int64   // mean prompt tokens
-	// organisations send in equal parts; name one twice for a large one.
+	// organisations send the requests in equal shares. An organisation with a larger
+	// share is listed several times.
 	organisations []string
-	// conversationShare is the share of requests that continue a conversation.
+	// conversationShare is the probability that a request continues a conversation. If
+	// it is not zero, all other requests start one.
 	conversationShare float64
 }
 
-// Scenario is a deployment with its work.
+// Scenario is a deployment with its workload and the targets of the faults.
 type Scenario struct {
 	Name       string
 	Deployment string
 	Duration   time.Duration
-	// FaultAt is when faults begin.
+	// FaultAt is the time from the start of the run at which the fault begins.
 	FaultAt time.Duration
-	// History is how long the fleet served and rated before the run. Without it
-	// a run shows a fleet that knows nothing but priors, as FaultColdStart does.
+	// History is the period before the run whose ratings the fleet has learned from.
+	// Without it the fleet only knows the priors, as under FaultColdStart.
 	History time.Duration
 	streams []stream
-	// badVersion is the version that turns bad, halted the one whose roll-out is.
+	// badVersion is the version that turns bad, haltedVersion the one whose roll-out is
+	// halted.
 	badVersion, haltedVersion string
-	// failingPool loses half of its engines, slow is the engine that turns slow.
+	// failingPool is the pool that loses half of its engines, slowEngine the engine that
+	// becomes slow.
 	failingPool, slowEngine string
-	// biasedOrganisation is an organisation whose ratings are too low.
+	// biasedOrganisation is the organisation whose ratings are too low by ratingBias.
 	biasedOrganisation string
 }
 
@@ -86,8 +91,8 @@
 	crates    = []string{"crate-yard", "andina-central", "franquicia-rawson"}
 )
 
-// Scenarios are the work of both deployments. The kiosk peak and the morning
-// burst bring the pool of their quick kind to about 85% load.
+// Scenarios lists two scenarios for each example deployment. In "kiosk peak" and
+// "morning burst" the pool of the urgent kinds is at about 85% load.
 var Scenarios = []Scenario{
 	{
 		Name: "steady day", Deployment: examples.CampinaVerde, Duration: 240 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
@@ -130,12 +135,13 @@
 	},
 }
 
-// supports reports whether a fault can happen in the scenario.
+// supports reports whether a fault can be injected into the scenario. Only the Andina
+// deployment has bulk requests for FaultBulkOverrun.
 func (s *Scenario) supports(f Fault) bool {
 	return f != FaultBulkOverrun || s.Deployment == examples.Andina
 }
 
-// Short returns the scenario cut down for a test.
+// Short returns a shortened copy of the scenario for tests.
 func (s Scenario) Short() *Scenario {
 	s.FaultAt = warmUp + 5*time.Second
 	s.Duration = s.FaultAt + 20*time.Second
--- a/measure/sim.go
+++ b/measure/sim.go
@@ -16,30 +16,34 @@
 
 const (
 	daemonCount = 6
-	// reportInterval is how often an engine's load becomes known, reportLag how
-	// late, and oldReportLag how late under FaultOldReports.
+	// reportInterval is the interval between the load reports of an engine. They reach
+	// the daemons after reportLag, or staleReportLag under FaultStaleReports.
 	reportInterval = time.Second
 	reportLag      = 200 * time.Millisecond
 	staleReportLag = 2 * time.Second
-	// reviewInterval is how often daemons compare the latencies of engines.
+	// reviewInterval is the interval at which daemons review the latencies of engines.
 	reviewInterval = time.Second
-	// ratedShare of the answers is rated, after ratingDelay on average.
+	// ratedShare is the share of answers that are rated. A rating arrives after
+	// ratingDelay on average, or lateRatingDelay under FaultVersionBadLateRatings.
 	ratedShare      = 0.1
 	ratingDelay     = 3 * time.Second
 	lateRatingDelay = time.Minute
-	// ratingBias lowers the ratings of one organisation.
+	// ratingBias is subtracted from the scores that Scenario.biasedOrganisation gives.
 	ratingBias = 0.3
-	// slowEngineFactor is how much slower the slow engine gets.
+	// slowEngineFactor multiplies the processing times of Scenario.slowEngine under
+	// FaultSlowEngine.
 	slowEngineFactor = 4
-	// completionSpread is the standard deviation of the logarithm of lengths.
+	// completionSpread is the standard deviation of the logarithm of completion lengths,
+	// which have a log-normal distribution.
 	completionSpread = 0.3
-	// maxRecentConversations bounds those of a stream that may be continued.
+	// maxRecentConversations limits the conversations of a stream that may be continued.
 	maxRecentConversations = 20
-	// drainInterval is how often a run is checked for its end after the last arrival.
+	// drainInterval is the virtual time between two checks whether all requests have
+	// ended, after the last arrival.
 	drainInterval = 5 * time.Second
 )
 
-// request is one request on its way.
+// request is a request with its state.
 type request struct {
 	organisation string
 	kind         *bronzeturnv1.TaskKind
@@ -51,11 +55,12 @@
 	arrival      time.Time
 	deadline     time.Time
 	daemon       *daemon
-	// Draws that decide what happens, the same under every policy.
+	// Random draws that decide whether the answer is good, how the cascade check
+	// judges it, and whether it is rated. They are the same under every policy.
 	goodDraw, checkDraw, rateDraw float64
 
 	decision selection.Decision
-	// fullVersions are the versions that had no room for the request.
+	// fullVersions holds the versions that had no room for the request.
 	fullVersions []string
 	escalated    bool
 	flow         flow
@@ -63,13 +68,13 @@
 	ended        bool
 }
 
-// conversation keeps the version that its first request got.
+// conversation holds the version that was selected for its first request.
 type conversation struct {
 	id      int
 	version string
 }
 
-// sim is one run.
+// sim is the state of one simulation run.
 type sim struct {
 	*clock
 	scenario *Scenario
@@ -95,7 +100,7 @@
 	result     *Result
 }
 
-// Case is one run: a policy that meets a scenario with a fault. Equal cases
+// Case determines one run: a policy in a scenario with a fault and a seed. Equal cases
 // give equal results.
 type Case struct {
 	Scenario *Scenario
@@ -104,7 +109,7 @@
 	Seed     uint64
 }
 
-// Run measures one case.
+// Run simulates one case and returns its result.
 func Run(c Case) (*Result, error) {
 	scenario, fault, policy, seed := c.Scenario, c.Fault, c.Policy, c.Seed
 	reg, rules, err := scenario.readConfiguration()
@@ -161,7 +166,8 @@
 	}
 }
 
-// reportLoad tells the daemons of an engine's load, late, again and again.
+// reportLoad sends the load of an engine to all daemons, with a delay, and schedules
+// the next report.
 func (s *sim) reportLoad(e *fakeEngine) {
 	if e.dead {
 		return
@@ -180,7 +186,8 @@
 	s.after(reportInterval, func() { s.reportLoad(e) })
 }
 
-// startStream lets requests of a stream arrive until the scenario ends.
+// startStream schedules the arrivals of a stream until the scenario ends. They form a
+// Poisson process.
 func (s *sim) startStream(st *stream, rng *rand.Rand) {
 	var recent []*conversation
 	end := epoch.Add(s.scenario.Duration)
@@ -197,7 +204,7 @@
 	next()
 }
 
-// rate is the rate of a stream now.
+// rate returns the current rate of a stream.
 func (s *sim) rate(st *stream) float64 {
 	bulk := s.kinds[st.kind].GetPriority() == bronzeturnv1.Priority_PRIORITY_BULK
 	if s.fault == FaultBulkOverrun && bulk && s.faultActive() {
@@ -208,7 +215,8 @@
 
 func (s *sim) faultActive() bool { return !s.now.Before(epoch.Add(s.scenario.FaultAt)) }
 
-// createRequest creates a request and sends it on its way.
+// createRequest creates a request at a random daemon and admits it. It returns the
+// recent conversations, with the one of this request if it is new.
 func (s *sim) createRequest(st *stream, rng *rand.Rand, recent []*conversation) []*conversation {
 	kind := s.kinds[st.kind]
 	s.ids++
@@ -232,7 +240,8 @@
 	return recent
 }
 
-// assignConversation continues a recent conversation or begins one.
+// assignConversation assigns the request to a recent conversation or to a new one. It
+// returns the recent conversations.
 func (s *sim) assignConversation(r *request, st *stream, rng *rand.Rand, recent []*conversation) []*conversation {
 	continues := rng.Float64() < st.conversationShare
 	which := rng.IntN(maxRecentConversations)
@@ -249,7 +258,8 @@
 	return recent
 }
 
-// startFault schedules the fault of the run.
+// startFault schedules the start of the fault. Faults that are not listed here take
+// effect where the affected value is used.
 func (s *sim) startFault() {
 	s.after(s.scenario.FaultAt, func() {
 		switch s.fault {
@@ -269,7 +279,7 @@
 	})
 }
 
-// failHalfOfPool kills every second engine of a pool.
+// failHalfOfPool crashes every second engine of a pool.
 func (s *sim) failHalfOfPool(pool string) {
 	n := 0
 	for _, e := range s.engines {
@@ -294,7 +304,7 @@
 	s.applyRules(rules)
 }
 
-// score is the rating of an answer. One organisation rates too low.
+// score returns the rating that an organisation gives to an answer.
 func (s *sim) score(organisation string, good bool) float64 {
 	score := 0.0
 	if good {
@@ -306,7 +316,7 @@
 	return score
 }
 
-// rateAnswer sends an answer to the raters, who answer later or never.
+// rateAnswer schedules the rating of an answer, if it is one of those that are rated.
 func (s *sim) rateAnswer(r *request, version string, accepted, good bool) {
 	if r.rateDraw >= ratedShare || s.fault == FaultRatingsStopped && s.faultActive() {
 		return
@@ -317,7 +327,7 @@
 	}
 	delay := mean/2 + seconds(s.ratingRand.ExpFloat64()*mean.Seconds()/2)
 	s.after(delay, func() {
-		// Scores are within 0 and 1, so the event is valid.
+		// The score is between 0 and 1, so that the rating is valid.
 		_, _ = s.versions.Rated(quality.Rated{
 			Organisation: r.organisation, Version: version, Kind: r.kind.GetName(),
 			Accepted: accepted, Score: s.score(r.organisation, good), At: s.now,
--- a/measure/suite.go
+++ b/measure/suite.go
@@ -9,14 +9,14 @@
 	"github.com/bronzeturn/bronzeturn/rollout"
 )
 
-// Seed is the seed of the published tables. The goals are means over
-// goalSeeds seeds from this one on.
+// Seed is the seed of the published tables. Goals are evaluated as means over
+// goalSeeds consecutive seeds that start with Seed.
 const (
 	Seed      = 1
 	goalSeeds = 5
 )
 
-// Suite holds the results of many cases.
+// Suite holds the results of a set of cases.
 type Suite struct {
 	results map[key]*Result
 }
@@ -28,7 +28,7 @@
 	seed     uint64
 }
 
-// AllCases are the cases of the published figures.
+// AllCases returns the cases of the published figures.
 func AllCases() []Case {
 	var cases []Case
 	for i := range Scenarios {
@@ -49,7 +49,7 @@
 	return cases
 }
 
-// goalCases are the cases that the goals compare, for one seed.
+// goalCases returns the cases that the goals compare, for one seed.
 func goalCases(seed uint64) []Case {
 	var cases []Case
 	for i := range Scenarios {
@@ -67,7 +67,8 @@
 	return cases
 }
 
-// RunAll measures cases, as many at a time as there are processors.
+// RunAll runs the cases on GOMAXPROCS workers. If some fail, it returns the first error
+// and the results of the others.
 func RunAll(cases []Case) (*Suite, error) {
 	s := &Suite{results: make(map[key]*Result)}
 	todo := make(chan Case)
@@ -96,13 +97,15 @@
 	return s, failed
 }
 
-// published returns the result of the published seed, or nil when the case was not run.
+// published returns the result of a case with the published seed, or nil if it was not
+// run.
 func (s *Suite) published(scenario string, fault Fault, policy Policy) *Result {
 	return s.results[key{scenario, fault, policy, Seed}]
 }
 
-// expectedAnswersToDetection is how many answers the sequential test needs on average to
-// find the bad version, for the kind that the version mostly serves.
+// expectedAnswersToDetection returns the number of answers that the sequential test
+// needs on average to detect that the version turned bad. It considers the kind with
+// the highest rate among those whose target the version reaches before.
 func (s *Scenario) expectedAnswersToDetection() (answers float64) {
 	reg, rules, err := s.readConfiguration()
 	if err != nil {
@@ -126,7 +129,7 @@
 	return answers
 }
 
-// ratio returns a over b, and 0 without b.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -134,7 +137,7 @@
 	return a / b
 }
 
-// sortedKinds lists the task kinds of a result in order.
+// sortedKinds returns the task kinds of a result in alphabetical order.
 func sortedKinds(r *Result) []string {
 	var kinds []string
 	for k := range r.Kinds {
--- a/measure/table.go
+++ b/measure/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// introduction precedes the figures in the page.
+// introduction is the text of MEASUREMENTS.md before the tables.
 const introduction = `# Measurements
 
 Written by ` + "`go run ./cmd/bronzeturn-measure --out docs`" + `, seed 1 (goals: seeds 1 to 5). Do not edit.
@@ -28,7 +28,7 @@
 
 `
 
-// WriteTable writes the page.
+// WriteTable writes the page with the goals and the tables in Markdown.
 func (s *Suite) WriteTable(w io.Writer) error {
 	p := &page{w: w}
 	p.printf("%s", introduction)
@@ -39,7 +39,7 @@
 	return p.err
 }
 
-// page writes until the first error.
+// page writes text and keeps the first error. Nothing is written after an error.
 type page struct {
 	w   io.Writer
 	err error
@@ -87,7 +87,7 @@
 	}
 }
 
-// description describes the streams.
+// description describes the workload and the faults of the scenario in one line.
 func (s *Scenario) description() string {
 	var parts []string
 	for i := range s.streams {
@@ -115,7 +115,7 @@
 	p.printf("\n")
 }
 
-// formatDuration formats a duration with three digits or so.
+// formatDuration formats a duration in seconds, with about three digits.
 func formatDuration(d time.Duration) string {
 	if d >= 10*time.Second {
 		return fmt.Sprintf("%.0f s", d.Seconds())
@@ -123,7 +123,7 @@
 	return fmt.Sprintf("%.2f s", d.Seconds())
 }
 
-// WriteCSV writes every figure of every case.
+// WriteCSV writes all figures of the cases with the published seed.
 func (s *Suite) WriteCSV(w io.Writer) error {
 	p := &page{w: w}
 	p.printf("scenario,fault,policy,kind,offered,answered,refused,failed,cost_micros,below_target,good,to_bad,to_halted,hedges,p50_ms,p95_ms,p99_ms\n")
--- a/measure/truth.go
+++ b/measure/truth.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// qualityNoise is the standard deviation of true qualities around the
-	// priors of the register.
+	// qualityNoise is the standard deviation of the true qualities from the priors in
+	// the register.
 	qualityNoise = 0.008
-	// badVersionQualityDrop is how much quality a version loses that turns bad.
+	// badVersionQualityDrop is subtracted from the quality of a version that turns bad.
 	badVersionQualityDrop = 0.35
-	// checkRecall and checkFalseAlarm are the true rates of the check of a
-	// cascade. The policy's prior belief is the same.
+	// checkRecall and checkFalseAlarm are the true rates at which the check of a cascade
+	// flags bad and good answers. They are equal to the priors of package cascade.
 	checkRecall     = cascade.PriorRecall
 	checkFalseAlarm = cascade.PriorFalseAlarm
 	microsPerUnit   = 1e6
 )
 
-// groundTruth is what only the world and the oracle know.
+// groundTruth holds the true properties of the versions. Of the policies, only the
+// oracle knows them, and PolicyInformed the qualities before a version turns bad.
 type groundTruth struct {
 	versions   map[string]*bronzeturnv1.Version
 	qualities  map[[2]string]float64 // by version and kind
@@ -51,14 +52,15 @@
 	return v.GetPriorQuality()
 }
 
-// qualityOffset is the same for a version and kind in every run.
+// qualityOffset returns the difference between the true quality and the prior. It
+// depends only on the version and the kind and is the same in every run.
 func qualityOffset(key [2]string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key[0] + "/" + key[1]))
 	return rand.New(rand.NewPCG(h.Sum64(), 1)).NormFloat64() * qualityNoise
 }
 
-// quality is the probability that an answer is good.
+// quality returns the probability that an answer of the version is good.
 func (t *groundTruth) quality(version, kind string, now time.Time) float64 {
 	q := t.qualities[[2]string{version, kind}]
 	if version == t.badVersion && !now.Before(t.badSince) {
@@ -67,13 +69,14 @@
 	return q
 }
 
-// cost is the price of an answer in micro-units.
+// cost returns the price of an answer in micro-units.
 func (t *groundTruth) cost(version string, prompt, completion int64) float64 {
 	v := t.versions[version]
 	return (float64(prompt)*float64(v.GetPromptPriceMicros()) + float64(completion)*float64(v.GetCompletionPriceMicros())) / microsPerUnit
 }
 
-// expectedCascade is the true expected cost and quality of a cascade of two versions.
+// expectedCascade returns the true expected cost and quality of a cascade of two
+// versions.
 func (t *groundTruth) expectedCascade(cheap, strong string, r *request, now time.Time) cascade.Estimate {
 	q := t.quality(cheap, r.kind.GetName(), now)
 	flagged := q*checkFalseAlarm + (1-q)*checkRecall
