--- a/demo/output.go
+++ b/demo/output.go
@@ -23,13 +23,13 @@
 
 // faults returns a fault if the number of bills differs from that of the answers,
 // and another if there were broken answers.
-func (b Bills) faults(broken int64) []string {
+func (b Bills) faults(brokenAnswers int64) []string {
 	var faults []string
 	if b.Recorded != b.Answers {
 		faults = append(faults, fmt.Sprintf("%d bills for %d answers", b.Recorded, b.Answers))
 	}
-	if broken > 0 {
-		faults = append(faults, fmt.Sprintf("%d broken answers", broken))
+	if brokenAnswers > 0 {
+		faults = append(faults, fmt.Sprintf("%d broken answers", brokenAnswers))
 	}
 	return faults
 }
@@ -63,10 +63,10 @@
 	b := d.Bills
 	fmt.Fprintf(out, "cost of models: %s billed, %s if always the strongest allowed version (%s)\n",
 		formatCurrency(int64(b.CostMicros)), formatCurrency(b.StrongestMicros), costShare(int64(b.CostMicros), b.StrongestMicros))
-	fmt.Fprintf(out, "withdrawn while traffic flowed: %s\n", d.Withdrawn)
+	fmt.Fprintf(out, "withdrawn while traffic flowed: %s\n", d.WithdrawnVersion)
 	fmt.Fprintf(out, "refused: %s\n", refusalText(d.Refusals))
 	fmt.Fprintf(out, "bills: %d in the ledger for %d answers, %d repeats answered without a bill, %d broken answers\n",
-		b.Recorded, b.Answers, b.Repeats, d.Broken)
+		b.Recorded, b.Answers, b.Repeats, d.BrokenAnswers)
 	for _, fault := range d.Faults {
 		fmt.Fprintf(out, "FAULT: %s\n", fault)
 	}
--- a/demo/report.go
+++ b/demo/report.go
@@ -52,12 +52,12 @@
 
 // DeploymentReport is the result of the demo for one deployment.
 type DeploymentReport struct {
-	Deployment string            `json:"deployment"`
-	Rows       []Row             `json:"rows"`
-	Refusals   []load.CodeReport `json:"refusals"`
-	Broken     int64             `json:"broken_answers"`
-	Withdrawn  string            `json:"withdrawn_version"`
-	Bills      Bills             `json:"bills"`
+	Deployment       string            `json:"deployment"`
+	Rows             []Row             `json:"rows"`
+	Refusals         []load.CodeReport `json:"refusals"`
+	BrokenAnswers    int64             `json:"broken_answers"`
+	WithdrawnVersion string            `json:"withdrawn_version"`
+	Bills            Bills             `json:"bills"`
 	// Faults lists the guarantees that were violated. It is empty in a correct run.
 	Faults []string `json:"faults"`
 }
@@ -95,14 +95,14 @@
 }
 
 // report returns the report of a deployment. The totals are those of the ledger.
-func (r *reporter) report(s scenario, t *outcomes, totals []ledger.Total) DeploymentReport {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *reporter) report(s scenario, results *outcomes, totals []ledger.Total) DeploymentReport {
+	results.mu.Lock()
+	defer results.mu.Unlock()
 	out := DeploymentReport{
-		Deployment: s.example, Withdrawn: s.withdrawnVersion, Broken: t.broken,
-		Rows: []Row{}, Refusals: []load.CodeReport{}, Faults: append([]string{}, t.faults...),
+		Deployment: s.example, WithdrawnVersion: s.withdrawnVersion, BrokenAnswers: results.brokenAnswers,
+		Rows: []Row{}, Refusals: []load.CodeReport{}, Faults: append([]string{}, results.faults...),
 	}
-	for _, a := range t.answers {
+	for _, a := range results.answers {
 		if a.duplicate {
 			out.Bills.Repeats++
 			continue
@@ -117,11 +117,11 @@
 		}
 	}
 	out.Rows = r.sortedRows()
-	for code, count := range t.refusals {
+	for code, count := range results.refusals {
 		out.Refusals = append(out.Refusals, load.CodeReport{Code: code, Count: count})
 	}
 	slices.SortFunc(out.Refusals, func(a, b load.CodeReport) int { return cmp.Compare(a.Code, b.Code) })
-	out.Faults = append(out.Faults, out.Bills.faults(out.Broken)...)
+	out.Faults = append(out.Faults, out.Bills.faults(out.BrokenAnswers)...)
 	return out
 }
 
--- a/demo/run_test.go
+++ b/demo/run_test.go
@@ -29,7 +29,7 @@
 	c.Assert(report.Deployments, qt.HasLen, len(examples.Names))
 	for _, d := range report.Deployments {
 		c.Check(d.Faults, qt.HasLen, 0)
-		c.Check(d.Broken, qt.Equals, int64(0))
+		c.Check(d.BrokenAnswers, qt.Equals, int64(0))
 		c.Check(d.Bills.Recorded, qt.Equals, d.Bills.Answers)
 		c.Check(d.Bills.Repeats, qt.Equals, uint64(demoDaemons-1))
 		answers := uint64(0)
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -29,11 +29,11 @@
 // outcomes collects the results of all requests of a deployment. It is safe for
 // concurrent use.
 type outcomes struct {
-	mu       sync.Mutex
-	answers  []receivedAnswer
-	refusals map[string]int64
-	broken   int64
-	faults   []string
+	mu            sync.Mutex
+	answers       []receivedAnswer
+	refusals      map[string]int64
+	brokenAnswers int64
+	faults        []string
 }
 
 func newOutcomes() *outcomes { return &outcomes{refusals: make(map[string]int64)} }
@@ -55,7 +55,7 @@
 	case errors.As(err, &refused):
 		t.refusals[refused.Detail.Code]++
 	case errors.As(err, &broken):
-		t.broken++
+		t.brokenAnswers++
 	default:
 		t.refusals[load.CodeUnavailable]++
 	}
--- a/measure/bounds.go
+++ b/measure/bounds.go
@@ -44,7 +44,7 @@
 		Case:                  fmt.Sprintf("%s, %s", r.Scenario, r.Fault),
 		CostPerAnswer:         r.CostPerAnswer(),
 		BelowTargetShare:      r.BelowShare(),
-		BadAnswerShare:        1 - ratio(float64(r.Good), float64(r.Answered)),
+		BadAnswerShare:        1 - ratio(float64(r.GoodAnswers), float64(r.Answered)),
 		RefusedOrFailedShare:  ratio(float64(r.Refused+r.Failed), float64(r.Offered)),
 		BadVersionAttempts:    float64(r.BadVersionAttempts),
 		HaltedVersionAttempts: float64(r.HaltedVersionAttempts),
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -140,9 +140,9 @@
 	r.flow.queue, r.flow.item = d.queues[r.decision.Version], item
 	outcome, _, evicted := r.flow.queue.Offer(s.now, r.deadline, item)
 	if evicted != nil {
-		out := d.waiting[evicted]
+		evictedRequest := d.waiting[evicted]
 		delete(d.waiting, evicted)
-		s.handleNoRoom(out)
+		s.handleNoRoom(evictedRequest)
 	}
 	switch outcome {
 	case admission.StartNow:
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -137,16 +137,16 @@
 // crash makes the engine fail all attempts, present and future.
 func (e *fakeEngine) crash() {
 	e.dead = true
-	lost := slices.Clone(e.running)
+	interrupted := slices.Clone(e.running)
 	for class := range e.waiting {
-		lost = append(lost, e.waiting[class]...)
+		interrupted = append(interrupted, e.waiting[class]...)
 		e.waiting[class] = nil
 	}
 	e.running = nil
-	for _, a := range lost {
+	for _, a := range interrupted {
 		a.done = true
 	}
-	for _, a := range lost {
+	for _, a := range interrupted {
 		a.onFail(a, true)
 	}
 }
@@ -155,20 +155,20 @@
 // that they still have to generate. A prompt token of a queued request counts as a
 // twentieth of a generated one.
 func (e *fakeEngine) load() (requests, tokens int64) {
-	left := 0.0
+	tokensLeft := 0.0
 	for _, a := range e.running {
 		total := a.prefill + a.generate
 		part := 1 - e.clock.now.Sub(a.startedAt).Seconds()/max(total.Seconds(), 1e-9)
-		left += max(part, 0) * float64(a.request.completion)
+		tokensLeft += max(part, 0) * float64(a.request.completion)
 	}
 	requests = int64(len(e.running))
 	for class := range e.waiting {
 		requests += int64(len(e.waiting[class]))
 		for _, a := range e.waiting[class] {
-			left += float64(a.request.completion) + float64(a.request.prompt)/20
+			tokensLeft += float64(a.request.completion) + float64(a.request.prompt)/20
 		}
 	}
-	return requests, int64(left)
+	return requests, int64(tokensLeft)
 }
 
 // timeToFinish returns the time until the answer to a new request would be complete,
@@ -186,16 +186,16 @@
 	for class := 0; class <= priorityIndex(r.kind.GetPriority()); class++ {
 		ahead += len(e.waiting[class])
 	}
-	left := make([]time.Duration, len(e.running))
+	remaining := make([]time.Duration, len(e.running))
 	for i, a := range e.running {
-		left[i] = a.startedAt.Add(a.prefill + a.generate).Sub(e.clock.now)
+		remaining[i] = a.startedAt.Add(a.prefill + a.generate).Sub(e.clock.now)
 	}
-	slices.Sort(left)
-	if ahead < len(left) {
-		return left[ahead] + own
+	slices.Sort(remaining)
+	if ahead < len(remaining) {
+		return remaining[ahead] + own
 	}
-	rounds := time.Duration(ahead / len(left))
-	return left[ahead%len(left)] + rounds*left[len(left)/2] + own
+	rounds := time.Duration(ahead / len(remaining))
+	return remaining[ahead%len(remaining)] + rounds*remaining[len(remaining)/2] + own
 }
 
 // priorityIndex returns the index of the queue for a priority, the most urgent first.
--- a/measure/goals.go
+++ b/measure/goals.go
@@ -72,8 +72,8 @@
 	for _, kind := range s.urgentKinds(scenario) {
 		name := scenario + ": p95 of " + kind + " while bulk overruns, against without"
 		goals = append(goals, s.meanGoal(name, 1.1, func(seed uint64) float64 {
-			overrun, calm := key{scenario, FaultBulkOverrun, PolicyRouter, seed}, key{scenario, FaultNone, PolicyRouter, seed}
-			return ratio(s.p95(overrun, kind), s.p95(calm, kind))
+			overrun, baseline := key{scenario, FaultBulkOverrun, PolicyRouter, seed}, key{scenario, FaultNone, PolicyRouter, seed}
+			return ratio(s.p95(overrun, kind), s.p95(baseline, kind))
 		}))
 	}
 	return goals
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -208,11 +208,11 @@
 	for _, cheap := range usable {
 		for _, strong := range usable {
 			a, b := s.fastestEngine(r, cheap.GetName()), s.fastestEngine(r, strong.GetName())
-			out := s.truth.expectedCascade(cheap.GetName(), strong.GetName(), r, s.now)
-			if cheap == strong || out.Quality < r.kind.GetQualityTarget() || out.Cost >= bestCost || a.timeToFinish(r)+b.timeToFinish(r) > left {
+			expected := s.truth.expectedCascade(cheap.GetName(), strong.GetName(), r, s.now)
+			if cheap == strong || expected.Quality < r.kind.GetQualityTarget() || expected.Cost >= bestCost || a.timeToFinish(r)+b.timeToFinish(r) > left {
 				continue
 			}
-			bestCost = out.Cost
+			bestCost = expected.Cost
 			best = selection.Decision{
 				Version: cheap.GetName(), Escalatable: true,
 				Cascade: cascade.Plan{Next: strong.GetName(), NextDuration: b.timeToFinish(r)},
--- a/measure/result.go
+++ b/measure/result.go
@@ -19,8 +19,8 @@
 	// CostMicros is the price of all executions, in micro-units.
 	CostMicros float64
 	// BelowTarget counts the answers of versions or cascades whose true expected
-	// quality is below the target, Good counts the good answers.
-	BelowTarget, Good int
+	// quality is below the target, GoodAnswers counts the good answers.
+	BelowTarget, GoodAnswers int
 	// BadVersionAttempts counts the attempts at Scenario.badVersion after it turned bad,
 	// HaltedVersionAttempts those at Scenario.haltedVersion after its roll-out was halted.
 	BadVersionAttempts, HaltedVersionAttempts int
@@ -93,7 +93,7 @@
 	r.addCost(q)
 	k.Versions[q.flow.version]++
 	if good {
-		r.Good++
+		r.GoodAnswers++
 	}
 	if s.expectedQuality(q) < q.kind.GetQualityTarget() {
 		r.BelowTarget++
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -12,7 +12,8 @@
 // Fault is a fault that is injected into a run.
 type Fault string
 
-// The faults. All but FaultColdStart begin at Scenario.FaultAt.
+// The faults. Most of them begin at Scenario.FaultAt. FaultColdStart, FaultStaleReports
+// and the delay of ratings under FaultVersionBadLateRatings apply to the whole run.
 const (
 	FaultNone                  Fault = "none"
 	FaultVersionBad            Fault = "version turns bad"
@@ -63,7 +64,7 @@
 	Name       string
 	Deployment string
 	Duration   time.Duration
-	// FaultAt is the time from the start of the run at which the fault begins.
+	// FaultAt is the time from the start of the run at which most faults begin.
 	FaultAt time.Duration
 	// History is the period before the run whose ratings the fleet has learned from.
 	// Without it the fleet only knows the priors, as under FaultColdStart.
--- a/measure/sim.go
+++ b/measure/sim.go
@@ -220,8 +220,8 @@
 func (s *sim) createRequest(st *stream, rng *rand.Rand, recent []*conversation) []*conversation {
 	kind := s.kinds[st.kind]
 	s.ids++
-	mean := float64(kind.GetExpectedCompletionTokens())
-	length := mean * math.Exp(rng.NormFloat64()*completionSpread-completionSpread*completionSpread/2)
+	meanTokens := float64(kind.GetExpectedCompletionTokens())
+	length := meanTokens * math.Exp(rng.NormFloat64()*completionSpread-completionSpread*completionSpread/2)
 	r := &request{
 		organisation: st.organisations[rng.IntN(len(st.organisations))],
 		kind:         kind, prompt: st.promptTokens, completion: max(1, int64(length)),
--- a/measure/suite.go
+++ b/measure/suite.go
@@ -74,14 +74,14 @@
 	todo := make(chan Case)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var failed error
+	var firstErr error
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for c := range todo {
 				r, err := Run(c)
 				mu.Lock()
 				if err != nil {
-					failed = cmp.Or(failed, err)
+					firstErr = cmp.Or(firstErr, err)
 				} else {
 					s.results[key{c.Scenario.Name, c.Fault, c.Policy, c.Seed}] = r
 				}
@@ -94,7 +94,7 @@
 	}
 	close(todo)
 	wait.Wait()
-	return s, failed
+	return s, firstErr
 }
 
 // published returns the result of a case with the published seed, or nil if it was not
--- a/measure/table.go
+++ b/measure/table.go
@@ -107,7 +107,7 @@
 
 func (p *page) row(name string, r *Result) {
 	p.printf("| %s | %.1f | %.1f%% | %.1f%% | %d | %d | %d | %d |", name, r.CostPerAnswer(), 100*r.BelowShare(),
-		100*ratio(float64(r.Good), float64(r.Answered)), r.Refused, r.Failed, r.BadVersionAttempts+r.HaltedVersionAttempts, r.Hedges)
+		100*ratio(float64(r.GoodAnswers), float64(r.Answered)), r.Refused, r.Failed, r.BadVersionAttempts+r.HaltedVersionAttempts, r.Hedges)
 	for _, kind := range sortedKinds(r) {
 		k := r.Kinds[kind]
 		p.printf(" %s / %s / %s |", formatDuration(k.P50), formatDuration(k.P95), formatDuration(k.P99))
@@ -141,7 +141,7 @@
 
 func (p *page) csvRows(r *Result) {
 	p.printf("%s,%q,%s,all,%d,%d,%d,%d,%.0f,%d,%d,%d,%d,%d,,,\n", r.Scenario, r.Fault, r.Policy,
-		r.Offered, r.Answered, r.Refused, r.Failed, r.CostMicros, r.BelowTarget, r.Good, r.BadVersionAttempts, r.HaltedVersionAttempts, r.Hedges)
+		r.Offered, r.Answered, r.Refused, r.Failed, r.CostMicros, r.BelowTarget, r.GoodAnswers, r.BadVersionAttempts, r.HaltedVersionAttempts, r.Hedges)
 	for _, kind := range sortedKinds(r) {
 		k := r.Kinds[kind]
 		p.printf("%s,%q,%s,%s,%d,%d,%d,%d,%.0f,,,,,,%d,%d,%d\n", r.Scenario, r.Fault, r.Policy, kind,
