--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -55,16 +55,16 @@
 
 // flow is the state of a request in a daemon.
 type flow struct {
-	queue        *admission.Queue
-	item         *admission.Item
-	started      time.Time // when it got its slot, zero before
-	version      string
-	launchNumber int
-	attempts     int
-	tried        [balance.MaxExclude]string
-	sentAt       time.Time
-	winner       *attempt
-	liveAttempts []*attempt
+	queue          *admission.Queue
+	item           *admission.Item
+	slotAcquiredAt time.Time // zero until the request gets a slot
+	version        string
+	startNumber    int // changes with every start at a version
+	attempts       int // since the last start
+	tried          [balance.MaxExclude]string
+	sentAt         time.Time
+	winner         *attempt // the first one to produce a token
+	liveAttempts   []*attempt
 }
 
 func (s *sim) addDaemons(seed uint64) error {
@@ -125,7 +125,7 @@
 		r.conversation.version = r.decision.Version
 	}
 	if s.policy.isOracle() {
-		r.flow.started = s.now
+		r.flow.slotAcquiredAt = s.now
 		s.startVersion(r, r.decision.Version)
 		return
 	}
@@ -146,11 +146,11 @@
 	}
 	switch outcome {
 	case admission.StartNow:
-		r.flow.started = s.now
+		r.flow.slotAcquiredAt = s.now
 		s.startVersion(r, r.decision.Version)
 	case admission.WaitTurn:
 		d.waiting[item] = r
-		s.after(item.Latest().Sub(s.now), func() { d.waitTimedOut(item) })
+		s.after(item.Latest().Sub(s.now), func() { d.expireWait(item) })
 	case admission.Refuse:
 		s.handleNoRoom(r)
 	}
@@ -162,8 +162,9 @@
 
 // handleNoRoom handles a request that was not sent, since its version has no room.
 // It moves the request to another version that reaches the quality target, if there
-// is one, and refuses it otherwise. Bulk requests, requests in conversations and
-// escalated requests are refused at once.
+// is one, and refuses it otherwise. Bulk requests, requests in conversations,
+// escalated requests and those of policies that do not try other versions are refused
+// at once.
 func (s *sim) handleNoRoom(r *request) {
 	bulk := r.kind.GetPriority() == bronzeturnv1.Priority_PRIORITY_BULK
 	if !s.policy.retriesOtherVersions() || bulk || r.conversation != nil || r.escalated || len(r.fullVersions) == maxOtherVersions {
@@ -177,13 +178,13 @@
 		return
 	}
 	s.release(r)
-	r.flow = flow{launchNumber: r.flow.launchNumber + 1}
+	r.flow = flow{startNumber: r.flow.startNumber + 1}
 	r.decision = next
 	s.enqueue(r)
 }
 
-// waitTimedOut removes a request that waited for too long from its queue.
-func (d *daemon) waitTimedOut(item *admission.Item) {
+// expireWait removes a request that waited for too long from its queue.
+func (d *daemon) expireWait(item *admission.Item) {
 	r := d.waiting[item]
 	if r != nil && r.flow.queue.Remove(item) {
 		delete(d.waiting, item)
@@ -193,14 +194,14 @@
 
 // release frees the slot of the request and starts waiting requests.
 func (s *sim) release(r *request) {
-	if r.flow.queue == nil || r.flow.started.IsZero() {
+	if r.flow.queue == nil || r.flow.slotAcquiredAt.IsZero() {
 		return
 	}
 	tokens := float64(r.prompt + r.completion)
 	if r.flow.winner == nil {
 		tokens = 0
 	}
-	r.flow.queue.Release(r.flow.item, tokens, s.now.Sub(r.flow.started))
+	r.flow.queue.Release(r.flow.item, tokens, s.now.Sub(r.flow.slotAcquiredAt))
 	r.daemon.startWaiting(r.flow.queue)
 }
 
@@ -209,7 +210,7 @@
 	for item := q.Next(d.sim.now); item != nil; item = q.Next(d.sim.now) {
 		next := d.waiting[item]
 		delete(d.waiting, item)
-		next.flow.started = d.sim.now
+		next.flow.slotAcquiredAt = d.sim.now
 		d.sim.startVersion(next, next.decision.Version)
 	}
 }
--- a/measure/dispatch.go
+++ b/measure/dispatch.go
@@ -9,12 +9,12 @@
 	"github.com/bronzeturn/bronzeturn/retry"
 )
 
-// startVersion begins to execute the request at a version: at first, or after an
-// escalation. Attempts that belong to an earlier start are superseded.
+// startVersion begins to execute the request at the selected version, or at the next
+// version of its cascade. Attempts that belong to an earlier start are superseded.
 func (s *sim) startVersion(r *request, version string) {
 	f := &r.flow
 	f.version, f.winner, f.liveAttempts = version, nil, nil
-	f.launchNumber++
+	f.startNumber++
 	f.attempts = 0
 	f.tried = [balance.MaxExclude]string{}
 	r.daemon.budget.Request(s.now)
@@ -39,8 +39,8 @@
 	if s.policy.hedges() && r.kind.GetHedge() && r.kind.GetIdempotent() {
 		r.daemon.hedges.Request(s.now)
 		if delay, measured := r.daemon.hedges.Delay(r.kind.GetName()); measured {
-			launch, attempts := r.flow.launchNumber, r.flow.attempts+1
-			s.after(delay, func() { s.hedge(r, delay, launch, attempts) })
+			startNumber, attempts := r.flow.startNumber, r.flow.attempts+1
+			s.after(delay, func() { s.hedge(r, delay, startNumber, attempts) })
 		}
 	}
 	s.send(r, engine, decision)
@@ -48,9 +48,9 @@
 
 // hedge sends a second attempt if the first one has produced no token yet and the
 // hedging policy grants it.
-func (s *sim) hedge(r *request, delay time.Duration, launch, attempts int) {
+func (s *sim) hedge(r *request, delay time.Duration, startNumber, attempts int) {
 	f := &r.flow
-	if r.ended || f.winner != nil || f.launchNumber != launch || f.attempts != attempts || len(f.liveAttempts) != 1 {
+	if r.ended || f.winner != nil || f.startNumber != startNumber || f.attempts != attempts || len(f.liveAttempts) != 1 {
 		return
 	}
 	engine, second, ok := s.policy.engine(s, r)
@@ -84,7 +84,7 @@
 		hop = localHopLatency
 	}
 	a := &attempt{
-		request: r, engine: e, sentAt: s.now, launchNumber: f.launchNumber, expectedFirst: d.ExpectedFirstToken,
+		request: r, engine: e, sentAt: s.now, startNumber: f.startNumber, expectedFirst: d.ExpectedFirstToken,
 		onFirst: func(a *attempt) { s.after(hop, func() { s.handleFirstToken(a) }) },
 		onDone:  func(a *attempt) { s.after(hop, func() { s.handleAnswer(a) }) },
 		onFail:  func(a *attempt, ran bool) { a.done = true; s.after(hop+failDelay, func() { s.handleFailure(a, ran) }) },
@@ -105,7 +105,7 @@
 // superseded reports whether events of an attempt no longer matter, since its
 // request ended, was started again at another version, or dropped the attempt.
 func (s *sim) superseded(a *attempt) bool {
-	return a.request.ended || a.launchNumber != a.request.flow.launchNumber || !containsAttempt(a.request.flow.liveAttempts, a)
+	return a.request.ended || a.startNumber != a.request.flow.startNumber || !containsAttempt(a.request.flow.liveAttempts, a)
 }
 
 // handleFirstToken handles the first token of an attempt. That attempt wins, and the
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -30,7 +30,7 @@
 	clock    *clock
 	rng      *rand.Rand
 	slowdown float64 // factor on prefill and generation times
-	dead     bool
+	crashed  bool
 	running  []*attempt
 	waiting  [priorityCount][]*attempt
 	cache    []uint64 // least recently used first
@@ -46,7 +46,7 @@
 	generate       time.Duration
 	firstTokenSeen bool // the daemon has seen the first token
 	done           bool // finished, failed or cancelled
-	launchNumber   int  // flow.launchNumber of the request when the attempt was sent
+	startNumber    int  // flow.startNumber of the request when the attempt was sent
 
 	expectedFirst time.Duration
 	onFirst       func(*attempt)
@@ -59,7 +59,7 @@
 	if a.done {
 		return
 	}
-	if e.dead {
+	if e.crashed {
 		a.onFail(a, false)
 		return
 	}
@@ -136,7 +136,7 @@
 
 // crash makes the engine fail all attempts, present and future.
 func (e *fakeEngine) crash() {
-	e.dead = true
+	e.crashed = true
 	interrupted := slices.Clone(e.running)
 	for class := range e.waiting {
 		interrupted = append(interrupted, e.waiting[class]...)
@@ -175,7 +175,7 @@
 // for the oracle. It knows the remaining times of all running attempts, and takes
 // the median of them for each further round of attempts that are queued ahead.
 func (e *fakeEngine) timeToFinish(r *request) time.Duration {
-	if e.dead {
+	if e.crashed {
 		return time.Hour
 	}
 	own := seconds(float64(r.prompt)/prefillTokensPerSecond*e.slowdown) + e.generateTime(r.completion)
--- a/measure/outcome.go
+++ b/measure/outcome.go
@@ -86,7 +86,7 @@
 		s.cancel(a)
 	}
 	r.flow.liveAttempts = nil
-	if r.flow.started.IsZero() {
+	if r.flow.slotAcquiredAt.IsZero() {
 		s.refuse(r, failure.CodeDeadlinePassed)
 		return
 	}
--- a/measure/sim.go
+++ b/measure/sim.go
@@ -169,7 +169,7 @@
 // reportLoad sends the load of an engine to all daemons, with a delay, and schedules
 // the next report.
 func (s *sim) reportLoad(e *fakeEngine) {
-	if e.dead {
+	if e.crashed {
 		return
 	}
 	asOf := s.now
