--- a/demo/bench_test.go
+++ b/demo/bench_test.go
@@ -22,15 +22,15 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-// The one version, organisation and engine of the benchmarks.
+// Properties of the only version, organisation and engine in the benchmarks.
 const (
 	benchVersion = "bench@1"
 	benchKey     = "key-bench"
 	benchSlots   = 1024
 )
 
-// startBench starts one daemon before one engine and returns the addresses of
-// both. The engine's stand-in has the given properties.
+// startBench starts three daemons and one engine, whose stand-in has the given
+// configuration, and returns the addresses of the first daemon and of the engine.
 func startBench(c *qt.C, config standin.EngineConfig) (daemon, engine string) {
 	config.Versions, config.Slots = []string{benchVersion}, benchSlots
 	digest := sha256.Sum256([]byte(benchKey))
@@ -64,15 +64,16 @@
 	return f.Daemons[0].CallerAddress(), p.Register.Engines[0].GetAddress()
 }
 
-// benchClient keeps enough connections for all requests in progress.
+// benchClient returns a client that keeps enough idle connections for all requests
+// in progress.
 func benchClient(c *qt.C) *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: benchSlots}
 	c.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport, Timeout: time.Minute}
 }
 
-// streamed is what one streamed answer took.
-type streamed struct {
+// streamResult holds the latencies and the number of tokens of a streamed answer.
+type streamResult struct {
 	firstToken, total time.Duration
 	tokens            int
 	err               error
@@ -80,22 +81,23 @@
 
 var eventStart = []byte("data:")
 
-// stream asks for a stream and reads it to the end, without decoding events.
-func stream(client *http.Client, address, prompt string) streamed {
+// stream requests a streamed answer and reads it to the end without decoding the
+// events.
+func stream(client *http.Client, address, prompt string) streamResult {
 	start := time.Now()
 	request, err := Chat{Key: benchKey, Model: benchVersion, Prompt: prompt, Stream: true}.NewRequest(context.Background(), address)
 	if err != nil {
-		return streamed{err: err}
+		return streamResult{err: err}
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return streamed{err: err}
+		return streamResult{err: err}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return streamed{err: fmt.Errorf("status %d", response.StatusCode)}
+		return streamResult{err: fmt.Errorf("status %d", response.StatusCode)}
 	}
-	var s streamed
+	var s streamResult
 	lines := bufio.NewReader(response.Body)
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -104,7 +106,7 @@
 			return s
 		}
 		if err != nil {
-			return streamed{err: err}
+			return streamResult{err: err}
 		}
 		if !bytes.HasPrefix(line, eventStart) {
 			continue
@@ -115,23 +117,24 @@
 	}
 }
 
-// side collects the answers of one side of a comparison.
-type side struct {
+// measurements collects the results of one of the two compared paths: directly to
+// the engine, or through the daemon.
+type measurements struct {
 	mu                sync.Mutex
 	firstToken, total *load.Latencies
 	tokens            int
-	failed            error
+	lastErr           error
 }
 
-func newSide() *side {
-	return &side{firstToken: load.NewLatencies(), total: load.NewLatencies()}
+func newMeasurements() *measurements {
+	return &measurements{firstToken: load.NewLatencies(), total: load.NewLatencies()}
 }
 
-func (s *side) add(got streamed) {
+func (s *measurements) add(got streamResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if got.err != nil {
-		s.failed = got.err
+		s.lastErr = got.err
 		return
 	}
 	s.firstToken.Record(got.firstToken)
@@ -139,16 +142,17 @@
 	s.tokens += got.tokens
 }
 
-// BenchmarkAddedLatency sends 500 requests a second to the engine itself and as
-// many through the daemon, in turn, and reports the quantiles of both. The goal
-// of the first token is p50 150 µs and p99 1 ms more through the daemon. The end
-// of an answer also waits until its bill is recorded.
+// BenchmarkAddedLatency alternately sends requests directly to the engine and
+// through the daemon, 500 per second each, and reports the latency quantiles of the
+// direct requests and what the daemon adds to them. The goal is that it adds at most
+// 150 µs to the p50 and 1 ms to the p99 of the time to first token. The end of an
+// answer is delayed further, until its bill is recorded.
 func BenchmarkAddedLatency(b *testing.B) {
 	const interval = time.Second / 500
 	c := qt.New(b)
 	daemon, engine := startBench(c, standin.EngineConfig{AnswerTokens: 16})
 	client := benchClient(c)
-	direct, through := newSide(), newSide()
+	direct, through := newMeasurements(), newMeasurements()
 	ticker := time.NewTicker(interval / 2)
 	defer ticker.Stop()
 	var inFlight sync.WaitGroup
@@ -162,23 +166,24 @@
 		inFlight.Go(func() { through.add(stream(client, daemon, prompt)) })
 	}
 	inFlight.Wait()
-	c.Assert(direct.failed, qt.IsNil)
-	c.Assert(through.failed, qt.IsNil)
-	reportAdded(b, "first", direct.firstToken.Quantiles(), through.firstToken.Quantiles())
-	reportAdded(b, "total", direct.total.Quantiles(), through.total.Quantiles())
+	c.Assert(direct.lastErr, qt.IsNil)
+	c.Assert(through.lastErr, qt.IsNil)
+	reportAddedLatency(b, "first", direct.firstToken.Quantiles(), through.firstToken.Quantiles())
+	reportAddedLatency(b, "total", direct.total.Quantiles(), through.total.Quantiles())
 }
 
-func reportAdded(b *testing.B, name string, direct, through load.Quantiles) {
+func reportAddedLatency(b *testing.B, name string, direct, through load.Quantiles) {
 	b.ReportMetric(direct.P50*1000, name+"-direct-p50-µs")
 	b.ReportMetric((through.P50-direct.P50)*1000, name+"-added-p50-µs")
 	b.ReportMetric(direct.P99*1000, name+"-direct-p99-µs")
 	b.ReportMetric((through.P99-direct.P99)*1000, name+"-added-p99-µs")
 }
 
-// BenchmarkStreamedTokens runs 200 streams of 250 tokens a second, to the engine
-// itself and then through the daemon. The daemon's processor time for a token is
-// the difference between the two, since both have the same engine and callers in
-// this process. The goal is 50,000 tokens a second on one core.
+// BenchmarkStreamedTokens runs 200 streams of 250 tokens per second directly to the
+// engine and then through the daemon. The CPU time of the daemon per token is the
+// difference between the two, since the engine and the callers run in this process
+// and do the same work in both cases. The goal is 50,000 tokens per second on one
+// core.
 func BenchmarkStreamedTokens(b *testing.B) {
 	const streams = 200
 	c := qt.New(b)
@@ -200,22 +205,22 @@
 	b.ReportMetric(tokens/seconds, "tokens/s")
 }
 
-// runStreams runs streams at once and returns the processor seconds of this
-// process and the number of tokens.
+// runStreams runs the given number of concurrent streams and returns the CPU time
+// of this process in seconds and the number of tokens.
 func runStreams(c *qt.C, client *http.Client, address string, streams int) (cpu float64, tokens int) {
-	s := newSide()
-	before := processorSeconds(c)
+	results := newMeasurements()
+	before := cpuSeconds(c)
 	var inFlight sync.WaitGroup
 	for i := range streams {
-		inFlight.Go(func() { s.add(stream(client, address, fmt.Sprintf("stream %d", i))) })
+		inFlight.Go(func() { results.add(stream(client, address, fmt.Sprintf("stream %d", i))) })
 	}
 	inFlight.Wait()
-	c.Assert(s.failed, qt.IsNil)
-	return processorSeconds(c) - before, s.tokens
+	c.Assert(results.lastErr, qt.IsNil)
+	return cpuSeconds(c) - before, results.tokens
 }
 
-// processorSeconds is the processor time of this process so far.
-func processorSeconds(c *qt.C) float64 {
+// cpuSeconds returns the CPU time that this process has used so far.
+func cpuSeconds(c *qt.C) float64 {
 	var usage syscall.Rusage
 	c.Assert(syscall.Getrusage(syscall.RUSAGE_SELF, &usage), qt.IsNil)
 	total := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/demo/output.go
+++ b/demo/output.go
@@ -10,30 +10,31 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// columns are those of the table of a deployment.
+// columns are the headings of the table of a deployment.
 var columns = []string{
 	"KIND", "VERSION", "POOL", "ANSWERS", "TOKENS", "COST", "STRONGEST", "P50 MS", "P95 MS", "P99 MS", "FIRST TOKEN P50",
 }
 
-// microsPerUnit is the number of micro-units in a unit of the currency.
+// microsPerUnit is the number of micro-units in one unit of the currency.
 const microsPerUnit = 1_000_000
 
-// faults returns what the bills show to be wrong.
-func (b Bills) faults(broken int64) []string {
+// faults returns a fault if the number of bills differs from that of the answers,
+// and another if there were broken answers.
+func (b Bills) faults(brokenAnswers int64) []string {
 	var faults []string
 	if b.Recorded != b.Answers {
 		faults = append(faults, fmt.Sprintf("%d bills for %d answers", b.Recorded, b.Answers))
 	}
-	if broken > 0 {
-		faults = append(faults, fmt.Sprintf("%d answers were not whole", broken))
+	if brokenAnswers > 0 {
+		faults = append(faults, fmt.Sprintf("%d broken answers", brokenAnswers))
 	}
 	return faults
 }
 
-// write writes the report as JSON or for people.
+// write writes the report as JSON or as tables.
 func (r Report) write(out io.Writer, asJSON bool) error {
 	if asJSON {
 		encoder := json.NewEncoder(out)
@@ -50,7 +51,7 @@
 	return err
 }
 
-// print writes the table of a deployment for people.
+// print writes the table and the summary of a deployment.
 func (d DeploymentReport) print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n", d.Deployment)
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
@@ -61,11 +62,11 @@
 	_ = w.Flush()
 	b := d.Bills
 	fmt.Fprintf(out, "cost of models: %s billed, %s if always the strongest allowed version (%s)\n",
-		money(int64(b.CostMicros)), money(b.StrongestMicros), saving(int64(b.CostMicros), b.StrongestMicros))
-	fmt.Fprintf(out, "withdrawn while traffic flowed: %s\n", d.Withdrawn)
+		formatCurrency(int64(b.CostMicros)), formatCurrency(b.StrongestMicros), costShare(int64(b.CostMicros), b.StrongestMicros))
+	fmt.Fprintf(out, "withdrawn while traffic flowed: %s\n", d.WithdrawnVersion)
 	fmt.Fprintf(out, "refused: %s\n", refusalText(d.Refusals))
 	fmt.Fprintf(out, "bills: %d in the ledger for %d answers, %d repeats answered without a bill, %d broken answers\n",
-		b.Recorded, b.Answers, b.Repeats, d.Broken)
+		b.Recorded, b.Answers, b.Repeats, d.BrokenAnswers)
 	for _, fault := range d.Faults {
 		fmt.Fprintf(out, "FAULT: %s\n", fault)
 	}
@@ -75,24 +76,24 @@
 func (r Row) cells() []string {
 	first := "-"
 	if r.FirstToken != nil {
-		first = millis(r.FirstToken.P50)
+		first = formatMillis(r.FirstToken.P50)
 	}
 	return []string{
 		r.Kind, r.Version, r.Pool, fmt.Sprint(r.Answers), fmt.Sprint(r.PromptTokens + r.CompletionTokens),
-		money(r.CostMicros), money(r.StrongestMicros),
-		millis(r.Total.P50), millis(r.Total.P95), millis(r.Total.P99), first,
+		formatCurrency(r.CostMicros), formatCurrency(r.StrongestMicros),
+		formatMillis(r.Total.P50), formatMillis(r.Total.P95), formatMillis(r.Total.P99), first,
 	}
 }
 
-func millis(value float64) string { return fmt.Sprintf("%.1f", value) }
+func formatMillis(value float64) string { return fmt.Sprintf("%.1f", value) }
 
-// money writes micro-units as units of the currency.
-func money(micros int64) string {
+// formatCurrency formats micro-units as units of the currency.
+func formatCurrency(micros int64) string {
 	return fmt.Sprintf("%d.%06d", micros/microsPerUnit, micros%microsPerUnit)
 }
 
-// saving compares a cost with a higher one.
-func saving(cost, strongest int64) string {
+// costShare formats a cost as a percentage of the cost of the strongest versions.
+func costShare(cost, strongest int64) string {
 	if strongest == 0 {
 		return "nothing to compare"
 	}
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -2,45 +2,48 @@
 
 import "github.com/bronzeturn/bronzeturn/examples"
 
-// task is a kind of request that an organisation sends again and again.
+// task describes the requests of one kind that an organisation sends repeatedly.
 type task struct {
 	organisation string
 	kind         string
-	// weight is its share of the traffic.
+	// weight is the relative share of this task in the steady traffic.
 	weight int
 	prompt string
 	stream bool
-	// maxTokens bounds the answer. Zero leaves its length to the engine.
+	// maxTokens limits the length of the answer. Zero leaves it to the engine.
 	maxTokens int
-	// keyed gives each request an idempotency key, as non-idempotent kinds need.
-	keyed bool
+	// withIdempotencyKey gives each request its own idempotency key, which
+	// non-idempotent kinds require.
+	withIdempotencyKey bool
 }
 
-// plainCall is one call of a plain service.
+// plainCall is a call of a plain service.
 type plainCall struct {
 	organisation, service, path, body string
-	keyed                             bool
+	withIdempotencyKey                bool
 }
 
-// scenario is what happens in one deployment during the demo.
+// scenario describes the traffic and the events of one deployment in the demo.
 type scenario struct {
 	example string
-	// tasks are the steady traffic.
+	// tasks make up the steady traffic.
 	tasks []task
-	// conversation is held turn by turn while the traffic flows.
+	// conversation is sent in turns, one after the other, during the steady
+	// traffic.
 	conversation task
 	turns        int
-	// repeated is a non-idempotent task, sent with one key to several daemons.
-	repeated task
-	services []plainCall
-	// withdrawn is the version withdrawn while traffic flows.
-	withdrawn string
-	// forbidden asks for a version that its organisation may not use.
-	forbidden        task
+	// duplicated is a non-idempotent task that is sent to every daemon at the same
+	// time with the same idempotency key.
+	duplicated task
+	services   []plainCall
+	// withdrawnVersion is the version that is withdrawn during the steady traffic.
+	withdrawnVersion string
+	// forbiddenTask requests forbiddenVersion, which its organisation may not use.
+	forbiddenTask    task
 	forbiddenVersion string
 }
 
-// scenarios returns what the demo plays, in its order.
+// scenarios returns the scenarios of the demo in the order in which they run.
 func scenarios() []scenario { return []scenario{campinaVerde(), andina()} }
 
 func campinaVerde() scenario {
@@ -52,7 +55,7 @@
 		tasks: []task{
 			{organisation: "dock-kiosks", kind: "quick", weight: 8, prompt: check, stream: true, maxTokens: 24},
 			{organisation: "rider-app", kind: "quick", weight: 6, prompt: check, stream: true, maxTokens: 24},
-			{organisation: "mobilidade-eletrica", kind: "tag", weight: 3, prompt: tag, maxTokens: 12, keyed: true},
+			{organisation: "mobilidade-eletrica", kind: "tag", weight: 3, prompt: tag, maxTokens: 12, withIdempotencyKey: true},
 			{organisation: "oficina-central", kind: "report", weight: 2, prompt: report, stream: true},
 			{organisation: "oficina-serra", kind: "report", weight: 1, prompt: report},
 			{organisation: "battery-lab", kind: "report", weight: 1, prompt: report},
@@ -60,13 +63,13 @@
 		},
 		conversation: task{organisation: "depot-centro", kind: "explain", prompt: "Why did bike 2207 stop again?", stream: true},
 		turns:        4,
-		repeated:     task{organisation: "oficina-porto", kind: "tag", prompt: tag, maxTokens: 12},
+		duplicated:   task{organisation: "oficina-porto", kind: "tag", prompt: tag, maxTokens: 12},
 		services: []plainCall{
-			{organisation: "oficina-central", service: "ticket-desk", path: "/open", body: `{"bike":2207}`, keyed: true},
+			{organisation: "oficina-central", service: "ticket-desk", path: "/open", body: `{"bike":2207}`, withIdempotencyKey: true},
 			{organisation: "dock-kiosks", service: "lock-status", path: "/4", body: `{}`},
 		},
-		withdrawn:        "dock-quick@2",
-		forbidden:        task{organisation: "dock-kiosks", kind: "report", prompt: report},
+		withdrawnVersion: "dock-quick@2",
+		forbiddenTask:    task{organisation: "dock-kiosks", kind: "report", prompt: report},
 		forbiddenVersion: "diag-large@3",
 	}
 }
@@ -83,18 +86,18 @@
 			{organisation: "andina-central", kind: "settlement", weight: 3, prompt: review},
 			{organisation: "franquicia-godoy", kind: "settlement", weight: 2, prompt: review},
 			{organisation: "franquicia-chimbas", kind: "settlement", weight: 1, prompt: review, stream: true},
-			{organisation: "franquicia-rawson", kind: "reorder", weight: 2, prompt: reorder, keyed: true},
+			{organisation: "franquicia-rawson", kind: "reorder", weight: 2, prompt: reorder, withIdempotencyKey: true},
 			{organisation: "crate-yard", kind: "crate-tag", weight: 4, prompt: "Crate 5 of 9: label torn, two bottles missing.", maxTokens: 8},
 		},
 		conversation: task{organisation: "franquicia-merlo", kind: "settlement", prompt: "Why is route 31 short?", stream: true},
 		turns:        4,
-		repeated:     task{organisation: "franquicia-junin", kind: "reorder", prompt: reorder},
+		duplicated:   task{organisation: "franquicia-junin", kind: "reorder", prompt: reorder},
 		services: []plainCall{
-			{organisation: "franquicia-godoy", service: "pallet-orders", path: "/order", body: `{"pallets":2}`, keyed: true},
+			{organisation: "franquicia-godoy", service: "pallet-orders", path: "/order", body: `{"pallets":2}`, withIdempotencyKey: true},
 			{organisation: "driver-handhelds", service: "price-list", path: "/77", body: `{}`},
 		},
-		withdrawn:        "hoja@2",
-		forbidden:        task{organisation: "driver-handhelds", kind: "settlement", prompt: review},
+		withdrawnVersion: "hoja@2",
+		forbiddenTask:    task{organisation: "driver-handhelds", kind: "settlement", prompt: review},
 		forbiddenVersion: "revision-grande@7",
 	}
 }
--- a/demo/tally.go
+++ b/demo/tally.go
@@ -10,42 +10,43 @@
 	"github.com/bronzeturn/bronzeturn/load"
 )
 
-// received is one answer that a caller got.
-type received struct {
+// receivedAnswer is a complete answer that a caller received.
+type receivedAnswer struct {
 	organisation string
 	kind         string
-	// version is the version, or the plain service, that answered.
+	// version is the version, or the name of the plain service, that answered.
 	version    string
 	requestID  string
 	usage      caller.Usage
 	firstToken time.Duration
 	total      time.Duration
 	service    bool
-	// repeat marks the answer to a request that was answered before.
-	repeat bool
+	// duplicate is set if the request was not executed for this answer, which
+	// repeats the one of an earlier execution with the same idempotency key.
+	duplicate bool
 }
 
-// tally collects what came of all requests of a deployment. It is safe for
+// outcomes collects the results of all requests of a deployment. It is safe for
 // concurrent use.
-type tally struct {
-	mu       sync.Mutex
-	answers  []received
-	refusals map[string]int64
-	broken   int64
-	faults   []string
+type outcomes struct {
+	mu            sync.Mutex
+	answers       []receivedAnswer
+	refusals      map[string]int64
+	brokenAnswers int64
+	faults        []string
 }
 
-func newTally() *tally { return &tally{refusals: make(map[string]int64)} }
+func newOutcomes() *outcomes { return &outcomes{refusals: make(map[string]int64)} }
 
-// answered records an answer.
-func (t *tally) answered(r received) {
+func (t *outcomes) recordAnswer(r receivedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answers = append(t.answers, r)
 }
 
-// failed records a request without a whole answer.
-func (t *tally) failed(err error) {
+// recordFailure counts a request that got no complete answer, by its refusal code
+// or as a broken answer. Any other error counts as load.CodeUnavailable.
+func (t *outcomes) recordFailure(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var refused *caller.RefusalError
@@ -54,14 +55,14 @@
 	case errors.As(err, &refused):
 		t.refusals[refused.Detail.Code]++
 	case errors.As(err, &broken):
-		t.broken++
+		t.brokenAnswers++
 	default:
 		t.refusals[load.CodeUnavailable]++
 	}
 }
 
-// fault records that a promise did not hold.
-func (t *tally) fault(format string, args ...any) {
+// recordFault records the violation of a guarantee that the demo checks.
+func (t *outcomes) recordFault(format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = append(t.faults, fmt.Sprintf(format, args...))
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -15,19 +15,22 @@
 )
 
 const (
-	// slotRate is the assumed rate of a slot before measurements, as in the
-	// daemon.
-	slotRate = 200
-	// reportValid is how long a load report counts for the room of bulk work.
-	reportValid = 5 * time.Second
-	// localHop and remoteHop are one-way latencies to engines.
-	localHop  = 100 * time.Microsecond
-	remoteHop = time.Millisecond
-	// connectFailure is how long a connection to a dead engine takes to fail.
-	connectFailure = 2 * time.Millisecond
+	// initialSlotRate is the service rate of a slot before one was measured, in tokens
+	// per second. It is the default of package admission.
+	initialSlotRate = 200
+	// maxReportAge is the age from which a load report is ignored in the limit of bulk
+	// requests.
+	maxReportAge = 5 * time.Second
+	// localHopLatency and remoteHopLatency are the one-way network latencies to engines
+	// in the same and in another data centre.
+	localHopLatency  = 100 * time.Microsecond
+	remoteHopLatency = time.Millisecond
+	// failDelay is the time until a daemon notices that its connection to an engine
+	// failed, beyond the network latency.
+	failDelay = 2 * time.Millisecond
 )
 
-// daemon decides for the requests that callers sent to it.
+// daemon makes the decisions for the requests that callers send to it.
 type daemon struct {
 	sim        *sim
 	dataCentre string
@@ -40,28 +43,28 @@
 	queues     map[string]*admission.Queue
 	waiting    map[*admission.Item]*request
 	reported   map[*fakeEngine]loadReport
-	failedAt   map[*fakeEngine]time.Time // last failure, for the baselines
-	turn       int
+	failedAt   map[*fakeEngine]time.Time // last failure, for the baselines of engine selection
+	nextEngine int
 }
 
-// loadReport is what an engine last reported.
+// loadReport is the latest load report of an engine.
 type loadReport struct {
 	requests int64
 	asOf     time.Time
 }
 
-// flow is the way of a request through a daemon.
+// flow is the state of a request in a daemon.
 type flow struct {
-	queue    *admission.Queue
-	item     *admission.Item
-	started  time.Time // when it got its slot
-	version  string
-	launch   int
-	attempts int
-	tried    [balance.MaxExclude]string
-	sentAt   time.Time
-	winner   *attempt
-	live     []*attempt
+	queue          *admission.Queue
+	item           *admission.Item
+	slotAcquiredAt time.Time // zero until the request gets a slot
+	version        string
+	startNumber    int // changes with every start at a version
+	attempts       int // since the last start
+	tried          [balance.MaxExclude]string
+	sentAt         time.Time
+	winner         *attempt // the first one to produce a token
+	liveAttempts   []*attempt
 }
 
 func (s *sim) addDaemons(seed uint64) error {
@@ -87,30 +90,32 @@
 			for _, e := range engines {
 				slots += int(e.GetSlots())
 			}
-			d.queues[version] = admission.NewQueue(slots, slotRate)
+			d.queues[version] = admission.NewQueue(slots, initialSlotRate)
 		}
 		s.daemons = append(s.daemons, d)
-		d.review()
+		d.reviewPeriodically()
 	}
 	return nil
 }
 
-// review compares the engines from time to time.
-func (d *daemon) review() {
+// reviewPeriodically reviews the latencies of the engines and updates the limits of
+// bulk requests every reviewInterval.
+func (d *daemon) reviewPeriodically() {
 	d.state.Review(d.plan, d.sim.now)
 	if d.sim.now.After(epoch) {
-		d.setRooms()
+		d.updateBulkLimits()
 	}
-	d.sim.after(reviewEvery, d.review)
+	d.sim.after(reviewInterval, d.reviewPeriodically)
 }
 
-func (d *daemon) loadReported(e *fakeEngine, requests, tokens int64, asOf time.Time) {
+func (d *daemon) handleLoadReport(e *fakeEngine, requests, tokens int64, asOf time.Time) {
 	d.reported[e] = loadReport{requests: requests, asOf: asOf}
 	d.state.LoadReported(balance.LoadReported{Engine: e.GetName(), Requests: requests, Tokens: tokens, AsOf: asOf})
 }
 
-// enter chooses a version and lets the request through admission.
-func (s *sim) enter(r *request) {
+// admit selects a version for the request and passes the request to the admission
+// queue of that version. The oracle works without admission.
+func (s *sim) admit(r *request) {
 	var err error
 	if r.decision, err = s.policy.version(s, r); err != nil {
 		s.refuse(r, failure.From(err).Code)
@@ -119,96 +124,100 @@
 	if r.conversation != nil && r.conversation.version == "" {
 		r.conversation.version = r.decision.Version
 	}
-	if s.policy.oracle() {
-		r.flow.started = s.now
-		s.launch(r, r.decision.Version)
+	if s.policy.isOracle() {
+		r.flow.slotAcquiredAt = s.now
+		s.startVersion(r, r.decision.Version)
 		return
 	}
-	s.queue(r)
+	s.enqueue(r)
 }
 
-// queue lets the request wait for a place at its version.
-func (s *sim) queue(r *request) {
+// enqueue offers the request to the admission queue of its version.
+func (s *sim) enqueue(r *request) {
 	d := r.daemon
 	tokens := float64(r.prompt + r.kind.GetExpectedCompletionTokens())
 	item := admission.NewItem(r.organisation, r.kind.GetPriority(), tokens)
 	r.flow.queue, r.flow.item = d.queues[r.decision.Version], item
 	outcome, _, evicted := r.flow.queue.Offer(s.now, r.deadline, item)
 	if evicted != nil {
-		out := d.waiting[evicted]
+		evictedRequest := d.waiting[evicted]
 		delete(d.waiting, evicted)
-		s.noRoom(out)
+		s.handleNoRoom(evictedRequest)
 	}
 	switch outcome {
 	case admission.StartNow:
-		r.flow.started = s.now
-		s.launch(r, r.decision.Version)
+		r.flow.slotAcquiredAt = s.now
+		s.startVersion(r, r.decision.Version)
 	case admission.WaitTurn:
 		d.waiting[item] = r
-		s.after(item.LatestStart().Sub(s.now), func() { d.giveUp(item) })
+		s.after(item.LatestStart().Sub(s.now), func() { d.expireWait(item) })
 	case admission.Refuse:
-		s.noRoom(r)
+		s.handleNoRoom(r)
 	}
 }
 
-// maxRechoices bounds the versions tried for one request beyond the first, as
-// the router does.
-const maxRechoices = 2
+// maxOtherVersions limits the versions that are tried for one request after the
+// first one has no room, as in the router.
+const maxOtherVersions = 2
 
-// noRoom moves a request that was not sent to the next version at the target,
-// or refuses it.
-func (s *sim) noRoom(r *request) {
+// handleNoRoom handles a request that was not sent, since its version has no room.
+// It moves the request to another version that reaches the quality target, if there
+// is one, and refuses it otherwise. Bulk requests, requests in conversations,
+// escalated requests and those of policies that do not try other versions are refused
+// at once.
+func (s *sim) handleNoRoom(r *request) {
 	bulk := r.kind.GetPriority() == bronzeturnv1.Priority_PRIORITY_BULK
-	if !s.policy.choosesAgain() || bulk || r.conversation != nil || r.escalated || len(r.noRoom) == maxRechoices {
+	if !s.policy.retriesOtherVersions() || bulk || r.conversation != nil || r.escalated || len(r.fullVersions) == maxOtherVersions {
 		s.refuse(r, failure.CodeNoCapacity)
 		return
 	}
-	r.noRoom = append(r.noRoom, r.decision.Version)
+	r.fullVersions = append(r.fullVersions, r.decision.Version)
 	next, err := s.policy.version(s, r)
 	if err != nil || next.Reason == selection.ReasonBestAvailable || next.Reason == selection.ReasonLastResort {
 		s.refuse(r, failure.CodeNoCapacity)
 		return
 	}
 	s.release(r)
-	r.flow = flow{launch: r.flow.launch + 1}
+	r.flow = flow{startNumber: r.flow.startNumber + 1}
 	r.decision = next
-	s.queue(r)
+	s.enqueue(r)
 }
 
-// giveUp ends a wait that took too long.
-func (d *daemon) giveUp(item *admission.Item) {
+// expireWait removes a request that waited for too long from its queue.
+func (d *daemon) expireWait(item *admission.Item) {
 	r := d.waiting[item]
 	if r != nil && r.flow.queue.Remove(item) {
 		delete(d.waiting, item)
-		d.sim.noRoom(r)
+		d.sim.handleNoRoom(r)
 	}
 }
 
-// release frees the request's slot and starts those whose turn it is.
+// release frees the slot of the request and starts waiting requests.
 func (s *sim) release(r *request) {
-	if r.flow.queue == nil || r.flow.started.IsZero() {
+	if r.flow.queue == nil || r.flow.slotAcquiredAt.IsZero() {
 		return
 	}
 	tokens := float64(r.prompt + r.completion)
 	if r.flow.winner == nil {
 		tokens = 0
 	}
-	r.flow.queue.Release(r.flow.item, tokens, s.now.Sub(r.flow.started))
+	r.flow.queue.Release(r.flow.item, tokens, s.now.Sub(r.flow.slotAcquiredAt))
 	r.daemon.startWaiting(r.flow.queue)
 }
 
-// startWaiting starts the requests whose turn it is.
+// startWaiting starts the waiting requests that the queue now admits.
 func (d *daemon) startWaiting(q *admission.Queue) {
 	for item := q.Next(d.sim.now); item != nil; item = q.Next(d.sim.now) {
 		next := d.waiting[item]
 		delete(d.waiting, item)
-		next.flow.started = d.sim.now
-		d.sim.launch(next, next.decision.Version)
+		next.flow.slotAcquiredAt = d.sim.now
+		d.sim.startVersion(next, next.decision.Version)
 	}
 }
 
-// setRooms bounds bulk work by what the engines reported.
-func (d *daemon) setRooms() {
+// updateBulkLimits limits the bulk requests of each version according to the recent
+// load reports of its engines, and starts waiting requests that are now admitted.
+func (d *daemon) updateBulkLimits() {
 	for _, v := range d.sim.reg.GetVersions() {
 		q := d.queues[v.GetName()]
 		if q == nil {
@@ -216,7 +225,7 @@
 		}
 		room := admission.GroupLoad{Daemons: daemonCount}
 		for _, e := range d.sim.serving[v.GetName()] {
-			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < reportValid {
+			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < maxReportAge {
 				room.Add(int(e.GetSlots()), int(report.requests))
 			}
 		}
@@ -225,8 +234,8 @@
 	}
 }
 
-// hashOf names a prompt's prefix.
-func hashOf(parts ...string) uint64 {
+// prefixHash returns a hash that identifies the prefix of a prompt.
+func prefixHash(parts ...string) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p))
@@ -235,7 +244,8 @@
 	return h.Sum64()
 }
 
-// urgent tells whether people wait for the answers of a kind.
-func urgent(k *bronzeturnv1.TaskKind) bool {
+// isUrgent reports whether a kind has urgent priority, that is, people wait for its
+// answers.
+func isUrgent(k *bronzeturnv1.TaskKind) bool {
 	return k.GetPriority() == bronzeturnv1.Priority_PRIORITY_URGENT
 }
--- a/measure/goals.go
+++ b/measure/goals.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Goal is a goal with what was measured beside it: the mean over the seeds and
-// the lowest and highest of them.
+// Goal is an upper bound with the measured values: the mean, the lowest and the
+// highest over the seeds.
 type Goal struct {
 	Name            string
 	Bound           float64
@@ -11,21 +11,22 @@
 	Lowest, Highest float64
 }
 
-// Met tells whether the goal was met.
+// Met reports whether the mean is within the bound.
 func (g *Goal) Met() bool { return g.Measured <= g.Bound }
 
-// goal averages a ratio over the seeds.
-func (s *Suite) goal(name string, bound float64, measure func(seed uint64) float64) Goal {
+// meanGoal computes the value for each seed and returns the goal with their mean and
+// range.
+func (s *Suite) meanGoal(name string, bound float64, value func(seed uint64) float64) Goal {
 	g := Goal{Name: name, Bound: bound, Lowest: math.Inf(1), Highest: math.Inf(-1)}
 	for seed := uint64(Seed); seed < Seed+goalSeeds; seed++ {
-		value := measure(seed)
-		g.Measured += value / goalSeeds
-		g.Lowest, g.Highest = min(g.Lowest, value), max(g.Highest, value)
+		v := value(seed)
+		g.Measured += v / goalSeeds
+		g.Lowest, g.Highest = min(g.Lowest, v), max(g.Highest, v)
 	}
 	return g
 }
 
-// Goals compares the results with the goals of the project.
+// Goals returns the goals of the project with the measured values.
 func (s *Suite) Goals() []Goal {
 	var goals []Goal
 	for i := range Scenarios {
@@ -45,18 +46,18 @@
 }
 
 func (s *Suite) costGoal(name string, bound float64, scenario string, policy, other Policy) Goal {
-	return s.goal(name, bound, func(seed uint64) float64 {
+	return s.meanGoal(name, bound, func(seed uint64) float64 {
 		a, b := s.results[key{scenario, FaultNone, policy, seed}], s.results[key{scenario, FaultNone, other, seed}]
 		return ratio(a.CostPerAnswer(), b.CostPerAnswer())
 	})
 }
 
-// latencyGoals compares the p95 of the urgent kinds with the oracle's.
+// latencyGoals compares the p95 latency of the urgent kinds with that of the oracle.
 func (s *Suite) latencyGoals(scenario string) []Goal {
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
 		name := scenario + ": p95 of " + kind + " at about 85% load, against the oracle"
-		goals = append(goals, s.goal(name, 1.25, func(seed uint64) float64 {
+		goals = append(goals, s.meanGoal(name, 1.25, func(seed uint64) float64 {
 			router, oracle := key{scenario, FaultNone, PolicyRouter, seed}, key{scenario, FaultNone, PolicyOracle, seed}
 			return ratio(s.p95(router, kind), s.p95(oracle, kind))
 		}))
@@ -64,28 +65,28 @@
 	return goals
 }
 
-// overrunGoals compares the p95 of the urgent kinds while bulk overruns with
-// that without.
+// overrunGoals compares the p95 latency of the urgent kinds under FaultBulkOverrun
+// with that without a fault.
 func (s *Suite) overrunGoals(scenario string) []Goal {
 	var goals []Goal
 	for _, kind := range s.urgentKinds(scenario) {
 		name := scenario + ": p95 of " + kind + " while bulk overruns, against without"
-		goals = append(goals, s.goal(name, 1.1, func(seed uint64) float64 {
-			overrun, calm := key{scenario, FaultBulkOverrun, PolicyRouter, seed}, key{scenario, FaultNone, PolicyRouter, seed}
-			return ratio(s.p95(overrun, kind), s.p95(calm, kind))
+		goals = append(goals, s.meanGoal(name, 1.1, func(seed uint64) float64 {
+			overrun, baseline := key{scenario, FaultBulkOverrun, PolicyRouter, seed}, key{scenario, FaultNone, PolicyRouter, seed}
+			return ratio(s.p95(overrun, kind), s.p95(baseline, kind))
 		}))
 	}
 	return goals
 }
 
-// p95 returns the 95th percentile of a kind's latency in seconds.
+// p95 returns the 95th percentile of the latency of a kind, in seconds.
 func (s *Suite) p95(k key, kind string) float64 { return s.results[k].Kinds[kind].P95.Seconds() }
 
-// urgentKinds lists the kinds of a scenario for whose answers people wait.
+// urgentKinds returns the kinds of a scenario that have urgent priority.
 func (s *Suite) urgentKinds(scenario string) []string {
-	r := s.get(scenario, FaultNone, PolicyRouter)
+	r := s.published(scenario, FaultNone, PolicyRouter)
 	var kinds []string
-	for _, kind := range kindsOf(r) {
+	for _, kind := range sortedKinds(r) {
 		if r.Kinds[kind].Urgent {
 			kinds = append(kinds, kind)
 		}
@@ -93,13 +94,13 @@
 	return kinds
 }
 
-// exposureGoal compares the attempts at a version that turned bad with what
-// its sequential test needs on average. Ratings that are on their way count
-// against the policy.
+// exposureGoal compares the number of attempts at a version after it turned bad with
+// the number of answers that the sequential test needs on average to detect it.
+// Attempts that are made while ratings are delayed are included.
 func (s *Suite) exposureGoal(scenario *Scenario) Goal {
-	needed := scenario.neededAnswers()
-	name := scenario.Name + ": attempts at " + scenario.bad + " after it turned bad, against what the test needs"
-	return s.goal(name, 2, func(seed uint64) float64 {
-		return ratio(float64(s.results[key{scenario.Name, FaultVersionBad, PolicyRouter, seed}].ToBad), needed)
+	needed := scenario.expectedAnswersToDetection()
+	name := scenario.Name + ": attempts at " + scenario.badVersion + " after it turned bad, against what the test needs"
+	return s.meanGoal(name, 2, func(seed uint64) float64 {
+		return ratio(float64(s.results[key{scenario.Name, FaultVersionBad, PolicyRouter, seed}].BadVersionAttempts), needed)
 	})
 }
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -12,55 +12,58 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Policy says how versions and engines are chosen in a run.
+// Policy determines how versions and engines are selected in a run.
 type Policy string
 
-// The policies. All but the oracle use the same admission and retries.
+// The policies. All of them but the oracle use the admission of the router, and all
+// use its retries.
 const (
-	// PolicyRouter is the router's own decisions.
+	// PolicyRouter is the decision code of the router.
 	PolicyRouter Policy = "router"
-	// PolicyInformed is the router's own decisions with true qualities for priors
-	// that outweigh all ratings. What it costs beyond the oracle is routing, what
-	// the router costs beyond it is learning.
+	// PolicyInformed is the decision code of the router, with the true qualities as
+	// priors that outweigh all ratings. Its cost above the oracle's is due to routing,
+	// and the cost of PolicyRouter above that of PolicyInformed is due to learning.
 	PolicyInformed Policy = "router, qualities known"
-	// PolicyStrongest takes the allowed version of the highest prior quality.
+	// PolicyStrongest selects the allowed version with the highest prior quality.
 	PolicyStrongest Policy = "strongest only"
-	// PolicyCheapest takes the cheapest allowed version.
+	// PolicyCheapest selects the cheapest allowed version.
 	PolicyCheapest Policy = "cheapest only"
-	// PolicyRoundRobin takes the router's version, and engines in turn.
+	// PolicyRoundRobin selects versions as the router does, and engines in turn.
 	PolicyRoundRobin Policy = "round robin"
-	// PolicyLeastReported takes the router's version, and the engine that
-	// reported the fewest requests.
+	// PolicyLeastReported selects versions as the router does, and the engine that
+	// last reported the fewest requests.
 	PolicyLeastReported Policy = "least reported load"
-	// PolicyOracle knows true qualities, costs and queues.
+	// PolicyOracle selects with knowledge of the true qualities, costs and queues.
 	PolicyOracle Policy = "oracle"
 )
 
-// Policies are all policies, in the order of the tables.
+// Policies lists all policies in the order of the tables.
 var Policies = []Policy{PolicyRouter, PolicyInformed, PolicyOracle, PolicyStrongest, PolicyCheapest, PolicyRoundRobin, PolicyLeastReported}
 
-// avoidFailed is how long the simple baselines stay away from an engine that
-// failed.
-const avoidFailed = 5 * time.Second
+// failedEngineAvoidance is the time for which PolicyRoundRobin and PolicyLeastReported
+// avoid an engine after a failure.
+const failedEngineAvoidance = 5 * time.Second
 
-func (p Policy) oracle() bool { return p == PolicyOracle }
+func (p Policy) isOracle() bool { return p == PolicyOracle }
 
-// learns tells whether versions are chosen by what ratings taught.
-func (p Policy) learns() bool {
+// learnsFromRatings reports whether the policy selects versions by quality estimates
+// that ratings change.
+func (p Policy) learnsFromRatings() bool {
 	return p == PolicyRouter || p == PolicyRoundRobin || p == PolicyLeastReported
 }
 
-// hedges tells whether slow requests are hedged. Baselines of the choice of
-// engines do without.
+// hedges reports whether slow requests are hedged. The oracle and the baselines for
+// the selection of engines do not hedge.
 func (p Policy) hedges() bool {
 	return p == PolicyRouter || p == PolicyInformed || p == PolicyStrongest || p == PolicyCheapest
 }
 
-// choosesAgain tells whether a request is moved to another version when the
-// chosen one has no room, as the router does.
-func (p Policy) choosesAgain() bool { return p == PolicyRouter || p == PolicyInformed }
+// retriesOtherVersions reports whether a request is moved to another version if the
+// selected one has no room, as in the router.
+func (p Policy) retriesOtherVersions() bool { return p == PolicyRouter || p == PolicyInformed }
 
-// version chooses the version of a request.
+// version selects the version for a request. The baselines and the oracle keep a
+// conversation at its version.
 func (p Policy) version(s *sim, r *request) (selection.Decision, error) {
 	if r.conversation != nil && r.conversation.version != "" && p != PolicyRouter && p != PolicyInformed {
 		return selection.Decision{Version: r.conversation.version}, nil
@@ -69,15 +72,15 @@
 	case PolicyOracle:
 		return s.oracleVersion(r)
 	case PolicyStrongest:
-		return s.extreme(r, func(v *bronzeturnv1.Version) float64 { return -priorOf(v, r.kind.GetName()) })
+		return s.usableVersionWithMin(r, func(v *bronzeturnv1.Version) float64 { return -priorQuality(v, r.kind.GetName()) })
 	case PolicyCheapest:
-		return s.extreme(r, func(v *bronzeturnv1.Version) float64 {
+		return s.usableVersionWithMin(r, func(v *bronzeturnv1.Version) float64 {
 			return s.truth.cost(v.GetName(), r.prompt, r.kind.GetExpectedCompletionTokens())
 		})
 	}
 	request := selection.Request{
 		Organisation: r.organisation, Kind: r.kind.GetName(), Key: r.key, InConversation: r.conversation != nil,
-		PromptTokens: r.prompt, Deadline: r.deadline, FailedVersions: r.noRoom,
+		PromptTokens: r.prompt, Deadline: r.deadline, FailedVersions: r.fullVersions,
 	}
 	if r.conversation != nil {
 		request.Constraint = r.conversation.version
@@ -85,16 +88,16 @@
 	return s.versions.Choose(s.plan, &request, s.now, r.daemon.rng)
 }
 
-// engine chooses the engine of a request.
+// engine selects the engine for a request.
 func (p Policy) engine(s *sim, r *request) (*fakeEngine, balance.Decision, bool) {
 	switch p {
 	case PolicyOracle:
-		e := s.fastest(r, r.flow.version)
+		e := s.fastestEngine(r, r.flow.version)
 		return e, balance.Decision{}, e != nil
 	case PolicyRoundRobin:
 		candidates := r.daemon.candidates(r.flow.version)
-		r.daemon.turn++
-		return candidates[r.daemon.turn%len(candidates)], balance.Decision{}, true
+		r.daemon.nextEngine++
+		return candidates[r.daemon.nextEngine%len(candidates)], balance.Decision{}, true
 	case PolicyLeastReported:
 		candidates := r.daemon.candidates(r.flow.version)
 		r.daemon.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
@@ -112,12 +115,13 @@
 	return s.engines[d.Index], d, true
 }
 
-// candidates are the engines that serve a version and did not fail lately.
+// candidates returns the engines that serve a version and have not failed within
+// failedEngineAvoidance, or all that serve it if none is left.
 func (d *daemon) candidates(version string) []*fakeEngine {
 	all := d.sim.serving[version]
 	var usable []*fakeEngine
 	for _, e := range all {
-		if failed, ok := d.failedAt[e]; !ok || d.sim.now.Sub(failed) > avoidFailed {
+		if failed, ok := d.failedAt[e]; !ok || d.sim.now.Sub(failed) > failedEngineAvoidance {
 			usable = append(usable, e)
 		}
 	}
@@ -127,32 +131,33 @@
 	return usable
 }
 
-// usable lists the versions that the rules and the register let a request use.
-func (s *sim) usable(r *request) []*bronzeturnv1.Version {
+// usableVersions returns the versions that the organisation of a request may use, that
+// some engine serves, and that the rules do not exclude.
+func (s *sim) usableVersions(r *request) []*bronzeturnv1.Version {
 	i := slices.IndexFunc(s.reg.GetOrganisations(), func(o *bronzeturnv1.Organisation) bool { return o.GetName() == r.organisation })
 	organisation := s.reg.GetOrganisations()[i]
 	var usable []*bronzeturnv1.Version
 	for _, v := range s.reg.GetVersions() {
 		allowed := slices.Contains(organisation.GetAllowedVersions(), v.GetName()) ||
 			slices.Contains(organisation.GetAllowedModels(), v.GetModel())
-		if allowed && len(s.serving[v.GetName()]) > 0 && !s.outOfUse(v.GetName()) {
+		if allowed && len(s.serving[v.GetName()]) > 0 && !s.excluded(v.GetName()) {
 			usable = append(usable, v)
 		}
 	}
 	return usable
 }
 
-// outOfUse reports whether the rules withdraw a version or halt its roll-out.
-func (s *sim) outOfUse(version string) bool {
+// excluded reports whether a version is withdrawn or its roll-out is halted.
+func (s *sim) excluded(version string) bool {
 	withdrawn := slices.ContainsFunc(s.rules.GetWithdrawals(), func(w *bronzeturnv1.Withdrawal) bool { return w.GetVersion() == version })
 	return withdrawn || slices.ContainsFunc(s.rules.GetRollouts(), func(o *bronzeturnv1.Rollout) bool {
 		return o.GetVersion() == version && o.GetState() == bronzeturnv1.RolloutState_ROLLOUT_STATE_HALTED
 	})
 }
 
-// extreme chooses the usable version with the least value.
-func (s *sim) extreme(r *request, value func(*bronzeturnv1.Version) float64) (selection.Decision, error) {
-	usable := s.usable(r)
+// usableVersionWithMin selects the usable version for which value is lowest.
+func (s *sim) usableVersionWithMin(r *request, value func(*bronzeturnv1.Version) float64) (selection.Decision, error) {
+	usable := s.usableVersions(r)
 	if len(usable) == 0 {
 		return selection.Decision{}, failure.New(failure.CodeVersionNotAllowed, failure.RanNo, "no usable version")
 	}
@@ -162,17 +167,18 @@
 	return selection.Decision{Version: v.GetName()}, nil
 }
 
-// oracleVersion chooses the cheapest version, or cascade, that truly reaches
-// the target in time; else the best one that is in time.
+// oracleVersion selects the cheapest version or cascade that reaches the quality target
+// within the deadline. If there is none, it selects the version of the highest quality
+// that can answer within the deadline.
 func (s *sim) oracleVersion(r *request) (selection.Decision, error) {
 	kind, target := r.kind.GetName(), r.kind.GetQualityTarget()
 	best, bestCost := selection.Decision{}, math.Inf(1)
 	var fallback selection.Decision
 	fallbackQuality := -1.0
-	usable := s.usable(r)
+	usable := s.usableVersions(r)
 	for _, v := range usable {
 		q := s.truth.quality(v.GetName(), kind, s.now)
-		if s.fastest(r, v.GetName()).finishAfter(r) > r.deadline.Sub(s.now) {
+		if s.fastestEngine(r, v.GetName()).timeToFinish(r) > r.deadline.Sub(s.now) {
 			continue
 		}
 		cost := s.truth.cost(v.GetName(), r.prompt, r.completion)
@@ -195,30 +201,31 @@
 	return selection.Decision{}, failure.New(failure.CodeNoCapacity, failure.RanNo, "no version in time")
 }
 
-// oracleCascade replaces the choice by a cheaper cascade that reaches the target.
+// oracleCascade returns the cheapest cascade that reaches the quality target within the
+// deadline, or best if no cascade costs less than bestCost.
 func (s *sim) oracleCascade(r *request, usable []*bronzeturnv1.Version, best selection.Decision, bestCost float64) selection.Decision {
 	left := r.deadline.Sub(s.now)
 	for _, cheap := range usable {
 		for _, strong := range usable {
-			a, b := s.fastest(r, cheap.GetName()), s.fastest(r, strong.GetName())
-			out := s.truth.outlook(cheap.GetName(), strong.GetName(), r, s.now)
-			if cheap == strong || out.Quality < r.kind.GetQualityTarget() || out.Cost >= bestCost || a.finishAfter(r)+b.finishAfter(r) > left {
+			a, b := s.fastestEngine(r, cheap.GetName()), s.fastestEngine(r, strong.GetName())
+			expected := s.truth.expectedCascade(cheap.GetName(), strong.GetName(), r, s.now)
+			if cheap == strong || expected.Quality < r.kind.GetQualityTarget() || expected.Cost >= bestCost || a.timeToFinish(r)+b.timeToFinish(r) > left {
 				continue
 			}
-			bestCost = out.Cost
+			bestCost = expected.Cost
 			best = selection.Decision{
 				Version: cheap.GetName(), Escalatable: true,
-				Cascade: cascade.Plan{Next: strong.GetName(), NextDuration: b.finishAfter(r)},
+				Cascade: cascade.Plan{Next: strong.GetName(), NextDuration: b.timeToFinish(r)},
 			}
 		}
 	}
 	return best
 }
 
-// fastest is the engine that would truly answer first.
-func (s *sim) fastest(r *request, version string) *fakeEngine {
+// fastestEngine returns the engine that would complete the answer first.
+func (s *sim) fastestEngine(r *request, version string) *fakeEngine {
 	return slices.MinFunc(s.serving[version], func(a, b *fakeEngine) int {
-		return compare(a.finishAfter(r).Seconds(), b.finishAfter(r).Seconds())
+		return compare(a.timeToFinish(r).Seconds(), b.timeToFinish(r).Seconds())
 	})
 }
 
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -9,69 +9,75 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Fault is what goes wrong in a run.
+// Fault is a fault that is injected into a run.
 type Fault string
 
-// The faults. All but the cold start begin at FaultAt.
+// The faults. Most of them begin at Scenario.FaultAt. FaultColdStart, FaultStaleReports
+// and the delay of ratings under FaultVersionBadLateRatings apply to the whole run.
 const (
-	FaultNone          Fault = "none"
-	FaultVersionBad    Fault = "version turns bad"
-	FaultBadRatedLate  Fault = "version turns bad, ratings a minute late"
-	FaultHalfPool      Fault = "half a pool lost"
-	FaultRolloutHalted Fault = "roll-out halted"
-	FaultRatingsSilent Fault = "ratings silent"
-	FaultOldReports    Fault = "load reports 2 s old"
-	FaultSlowEngine    Fault = "a slow engine"
-	FaultBulkOverrun   Fault = "bulk overruns"
-	// FaultColdStart is a fleet that has no ratings yet.
+	FaultNone                  Fault = "none"
+	FaultVersionBad            Fault = "version turns bad"
+	FaultVersionBadLateRatings Fault = "version turns bad, ratings a minute late"
+	FaultHalfPoolLost          Fault = "half a pool lost"
+	FaultRolloutHalted         Fault = "roll-out halted"
+	FaultRatingsStopped        Fault = "ratings silent"
+	FaultStaleReports          Fault = "load reports 2 s old"
+	FaultSlowEngine            Fault = "a slow engine"
+	FaultBulkOverrun           Fault = "bulk overruns"
+	// FaultColdStart starts the run without a history of ratings.
 	FaultColdStart Fault = "no ratings yet"
 )
 
-// Faults are all faults, in the order of the tables.
+// Faults lists all faults in the order of the tables.
 var Faults = []Fault{
-	FaultNone, FaultVersionBad, FaultBadRatedLate, FaultHalfPool, FaultRolloutHalted,
-	FaultRatingsSilent, FaultOldReports, FaultSlowEngine, FaultBulkOverrun, FaultColdStart,
+	FaultNone, FaultVersionBad, FaultVersionBadLateRatings, FaultHalfPoolLost, FaultRolloutHalted,
+	FaultRatingsStopped, FaultStaleReports, FaultSlowEngine, FaultBulkOverrun, FaultColdStart,
 }
 
 const (
-	// warmUp is left out of all figures but the exposure to bad versions.
+	// warmUp is the initial part of a run whose requests do not count in the figures,
+	// except for hedges and attempts at bad or halted versions.
 	warmUp = 20 * time.Second
-	// faultAt is the FaultAt of the full runs.
-	faultAt = 60 * time.Second
-	// history is the History of the full runs.
-	history = 4 * time.Hour
-	// overrun multiplies the rates of bulk kinds when bulk overruns.
-	overrun = 10
+	// fullFaultAt is the FaultAt of the full runs.
+	fullFaultAt = 60 * time.Second
+	// fullHistory is the History of the full runs.
+	fullHistory = 4 * time.Hour
+	// bulkOverrunFactor multiplies the rates of bulk kinds under FaultBulkOverrun.
+	bulkOverrunFactor = 10
 )
 
-// stream is one kind of work.
+// stream is the arrival process of one kind of requests.
 type stream struct {
-	kind   string
-	rate   float64 // requests per second
-	prompt int64   // mean prompt tokens
-	// organisations send in equal parts; name one twice for a large one.
+	kind         string
+	rate         float64 // requests per second
+	promptTokens int64   // mean prompt tokens
+	// organisations send the requests in equal shares. An organisation with a larger
+	// share is listed several times.
 	organisations []string
-	// conversations is the share of requests that continue a conversation.
-	conversations float64
+	// conversationShare is the probability that a request continues a conversation. If
+	// it is not zero, all other requests start one.
+	conversationShare float64
 }
 
-// Scenario is a deployment with its work.
+// Scenario is a deployment with its workload and the targets of the faults.
 type Scenario struct {
 	Name       string
 	Deployment string
 	Duration   time.Duration
-	// FaultAt is when faults begin.
+	// FaultAt is the time from the start of the run at which most faults begin.
 	FaultAt time.Duration
-	// History is how long the fleet served and rated before the run. Without it
-	// a run shows a fleet that knows nothing but priors, as FaultColdStart does.
+	// History is the period before the run whose ratings the fleet has learned from.
+	// Without it the fleet only knows the priors, as under FaultColdStart.
 	History time.Duration
 	streams []stream
-	// bad is the version that turns bad, halted the one whose roll-out is.
-	bad, halted string
-	// pool loses half of its engines, slow is the engine that turns slow.
-	pool, slow string
-	// biased is an organisation whose ratings are too low.
-	biased string
+	// badVersion is the version that turns bad, haltedVersion the one whose roll-out is
+	// halted.
+	badVersion, haltedVersion string
+	// failingPool is the pool that loses half of its engines, slowEngine the engine that
+	// becomes slow.
+	failingPool, slowEngine string
+	// biasedOrganisation is the organisation whose ratings are too low by ratingBias.
+	biasedOrganisation string
 }
 
 var (
@@ -86,56 +92,57 @@
 	crates    = []string{"crate-yard", "andina-central", "franquicia-rawson"}
 )
 
-// Scenarios are the work of both deployments. The kiosk peak and the morning
-// burst bring the pool of their quick kind to about 85% load.
+// Scenarios lists two scenarios for each example deployment. In "kiosk peak" and
+// "morning burst" the pool of the urgent kinds is at about 85% load.
 var Scenarios = []Scenario{
 	{
-		Name: "steady day", Deployment: examples.CampinaVerde, Duration: 240 * time.Second, FaultAt: faultAt, History: history,
+		Name: "steady day", Deployment: examples.CampinaVerde, Duration: 240 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "quick", rate: 80, prompt: 200, organisations: kiosks},
-			{kind: "tag", rate: 8, prompt: 400, organisations: workshops},
-			{kind: "report", rate: 2, prompt: 3000, organisations: workshops},
-			{kind: "explain", rate: 2, prompt: 1500, organisations: depots, conversations: 0.6},
+			{kind: "quick", rate: 80, promptTokens: 200, organisations: kiosks},
+			{kind: "tag", rate: 8, promptTokens: 400, organisations: workshops},
+			{kind: "report", rate: 2, promptTokens: 3000, organisations: workshops},
+			{kind: "explain", rate: 2, promptTokens: 1500, organisations: depots, conversationShare: 0.6},
 		},
-		bad: "dock-quick@2", halted: "diag-small@5", pool: "diag-llm", slow: "dock-app-1", biased: "rider-app",
+		badVersion: "dock-quick@2", haltedVersion: "diag-small@5", failingPool: "diag-llm", slowEngine: "dock-app-1", biasedOrganisation: "rider-app",
 	},
 	{
-		Name: "kiosk peak", Deployment: examples.CampinaVerde, Duration: 180 * time.Second, FaultAt: faultAt, History: history,
+		Name: "kiosk peak", Deployment: examples.CampinaVerde, Duration: 180 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "quick", rate: 225, prompt: 200, organisations: kiosks},
-			{kind: "tag", rate: 6, prompt: 400, organisations: workshops},
-			{kind: "report", rate: 1, prompt: 3000, organisations: workshops},
-			{kind: "explain", rate: 1, prompt: 1500, organisations: depots, conversations: 0.6},
+			{kind: "quick", rate: 225, promptTokens: 200, organisations: kiosks},
+			{kind: "tag", rate: 6, promptTokens: 400, organisations: workshops},
+			{kind: "report", rate: 1, promptTokens: 3000, organisations: workshops},
+			{kind: "explain", rate: 1, promptTokens: 1500, organisations: depots, conversationShare: 0.6},
 		},
-		bad: "dock-quick@2", halted: "diag-small@5", pool: "dock-app", slow: "dock-app-1", biased: "rider-app",
+		badVersion: "dock-quick@2", haltedVersion: "diag-small@5", failingPool: "dock-app", slowEngine: "dock-app-1", biasedOrganisation: "rider-app",
 	},
 	{
-		Name: "nightly bulk", Deployment: examples.Andina, Duration: 300 * time.Second, FaultAt: faultAt, History: history,
+		Name: "nightly bulk", Deployment: examples.Andina, Duration: 300 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "settlement", rate: 3, prompt: 4000, organisations: franchisees},
-			{kind: "reorder", rate: 8, prompt: 600, organisations: franchisees},
-			{kind: "crate-tag", rate: 25, prompt: 150, organisations: crates},
+			{kind: "settlement", rate: 3, promptTokens: 4000, organisations: franchisees},
+			{kind: "reorder", rate: 8, promptTokens: 600, organisations: franchisees},
+			{kind: "crate-tag", rate: 25, promptTokens: 150, organisations: crates},
 		},
-		bad: "revision-grande@7", halted: "revision-grande@8", pool: "modelo-pool", slow: "modelo-pool-2", biased: "franquicia-merlo",
+		badVersion: "revision-grande@7", haltedVersion: "revision-grande@8", failingPool: "modelo-pool", slowEngine: "modelo-pool-2", biasedOrganisation: "franquicia-merlo",
 	},
 	{
-		Name: "morning burst", Deployment: examples.Andina, Duration: 180 * time.Second, FaultAt: faultAt, History: history,
+		Name: "morning burst", Deployment: examples.Andina, Duration: 180 * time.Second, FaultAt: fullFaultAt, History: fullHistory,
 		streams: []stream{
-			{kind: "sheet", rate: 56, prompt: 500, organisations: handhelds},
-			{kind: "price", rate: 30, prompt: 300, organisations: handhelds},
-			{kind: "settlement", rate: 1, prompt: 4000, organisations: franchisees},
-			{kind: "crate-tag", rate: 15, prompt: 150, organisations: crates},
+			{kind: "sheet", rate: 56, promptTokens: 500, organisations: handhelds},
+			{kind: "price", rate: 30, promptTokens: 300, organisations: handhelds},
+			{kind: "settlement", rate: 1, promptTokens: 4000, organisations: franchisees},
+			{kind: "crate-tag", rate: 15, promptTokens: 150, organisations: crates},
 		},
-		bad: "hoja@2", halted: "revision-grande@8", pool: "ruta-api", slow: "ruta-api-1", biased: "franquicia-merlo",
+		badVersion: "hoja@2", haltedVersion: "revision-grande@8", failingPool: "ruta-api", slowEngine: "ruta-api-1", biasedOrganisation: "franquicia-merlo",
 	},
 }
 
-// meets reports whether a fault can happen in the scenario.
-func (s *Scenario) meets(f Fault) bool {
+// supports reports whether a fault can be injected into the scenario. Only the Andina
+// deployment has bulk requests for FaultBulkOverrun.
+func (s *Scenario) supports(f Fault) bool {
 	return f != FaultBulkOverrun || s.Deployment == examples.Andina
 }
 
-// Short returns the scenario cut down for a test.
+// Short returns a shortened copy of the scenario for tests.
 func (s Scenario) Short() *Scenario {
 	s.FaultAt = warmUp + 5*time.Second
 	s.Duration = s.FaultAt + 20*time.Second
@@ -143,8 +150,8 @@
 	return &s
 }
 
-// load reads the register and the rules of the scenario's deployment.
-func (s *Scenario) load() (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
+// readConfiguration reads the register and the rules of the scenario's deployment.
+func (s *Scenario) readConfiguration() (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	file := s.Deployment + "/register.yaml"
 	data, err := examples.Files.ReadFile(file)
 	if err != nil {
--- a/measure/suite.go
+++ b/measure/suite.go
@@ -9,14 +9,14 @@
 	"github.com/bronzeturn/bronzeturn/rollout"
 )
 
-// Seed is the seed of the published tables. The goals are means over
-// goalSeeds seeds from this one on.
+// Seed is the seed of the published tables. Goals are evaluated as means over
+// goalSeeds consecutive seeds that start with Seed.
 const (
 	Seed      = 1
 	goalSeeds = 5
 )
 
-// Suite holds the results of many cases.
+// Suite holds the results of a set of cases.
 type Suite struct {
 	results map[key]*Result
 }
@@ -28,12 +28,12 @@
 	seed     uint64
 }
 
-// AllCases are the cases of the published figures.
+// AllCases returns the cases of the published figures.
 func AllCases() []Case {
 	var cases []Case
 	for i := range Scenarios {
 		for _, fault := range Faults {
-			if !Scenarios[i].meets(fault) {
+			if !Scenarios[i].supports(fault) {
 				continue
 			}
 			for _, policy := range Policies {
@@ -49,7 +49,7 @@
 	return cases
 }
 
-// goalCases are the cases that the goals compare, for one seed.
+// goalCases returns the cases that the goals compare, for one seed.
 func goalCases(seed uint64) []Case {
 	var cases []Case
 	for i := range Scenarios {
@@ -60,27 +60,28 @@
 		}
 		add(FaultNone, PolicyRouter, PolicyInformed, PolicyOracle, PolicyStrongest)
 		add(FaultVersionBad, PolicyRouter)
-		if Scenarios[i].meets(FaultBulkOverrun) {
+		if Scenarios[i].supports(FaultBulkOverrun) {
 			add(FaultBulkOverrun, PolicyRouter)
 		}
 	}
 	return cases
 }
 
-// RunAll measures cases, as many at a time as there are processors.
+// RunAll runs the cases on GOMAXPROCS workers. If some fail, it returns the first error
+// and the results of the others.
 func RunAll(cases []Case) (*Suite, error) {
 	s := &Suite{results: make(map[key]*Result)}
 	todo := make(chan Case)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	var failed error
+	var firstErr error
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for c := range todo {
 				r, err := Run(c)
 				mu.Lock()
 				if err != nil {
-					failed = cmp.Or(failed, err)
+					firstErr = cmp.Or(firstErr, err)
 				} else {
 					s.results[key{c.Scenario.Name, c.Fault, c.Policy, c.Seed}] = r
 				}
@@ -93,40 +94,42 @@
 	}
 	close(todo)
 	wait.Wait()
-	return s, failed
+	return s, firstErr
 }
 
-// get returns the result of the published seed, or nil when the case was not run.
-func (s *Suite) get(scenario string, fault Fault, policy Policy) *Result {
+// published returns the result of a case with the published seed, or nil if it was not
+// run.
+func (s *Suite) published(scenario string, fault Fault, policy Policy) *Result {
 	return s.results[key{scenario, fault, policy, Seed}]
 }
 
-// neededAnswers is how many answers the sequential test needs on average to
-// find the bad version, for the kind that the version mostly serves.
-func (s *Scenario) neededAnswers() (answers float64) {
-	reg, rules, err := s.load()
+// expectedAnswersToDetection returns the number of answers that the sequential test
+// needs on average to detect that the version turned bad. It considers the kind with
+// the highest rate among those whose target the version reaches before.
+func (s *Scenario) expectedAnswersToDetection() (answers float64) {
+	reg, rules, err := s.readConfiguration()
 	if err != nil {
 		return 0
 	}
-	t := newTruth(reg, rules)
+	t := newGroundTruth(reg, rules)
 	best := 0.0
 	for i := range s.streams {
 		st := &s.streams[i]
 		for _, k := range rules.GetKinds() {
-			q := t.qualities[[2]string{s.bad, st.kind}]
+			q := t.qualities[[2]string{s.badVersion, st.kind}]
 			if k.GetName() != st.kind || q < k.GetQualityTarget() || st.rate <= best {
 				continue
 			}
 			best = st.rate
-			reference := min(k.GetQualityTarget(), priorOf(t.versions[s.bad], st.kind))
+			reference := min(k.GetQualityTarget(), priorQuality(t.versions[s.badVersion], st.kind))
 			organisations := len(slices.Compact(slices.Sorted(slices.Values(st.organisations))))
-			answers = rollout.Options{}.ExpectedRatings(reference, q-badDrop, organisations) / ratedShare
+			answers = rollout.Options{}.ExpectedRatings(reference, q-badVersionQualityDrop, organisations) / ratedShare
 		}
 	}
 	return answers
 }
 
-// ratio returns a over b, and 0 without b.
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -134,8 +137,8 @@
 	return a / b
 }
 
-// kindsOf lists the task kinds of a result in order.
-func kindsOf(r *Result) []string {
+// sortedKinds returns the task kinds of a result in alphabetical order.
+func sortedKinds(r *Result) []string {
 	var kinds []string
 	for k := range r.Kinds {
 		kinds = append(kinds, k)
