--- a/cli/explain.go
+++ b/cli/explain.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Story(lines, c.Request)
+	story := explain.RequestTimeline(lines, c.Request)
 	if len(story) == 0 {
 		return fmt.Errorf("%s: %w", c.Request, errNoSuchRequest)
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -157,10 +157,10 @@
 	return kept
 }
 
-// Story returns the lines of one request, and around them what its daemon and
+// RequestTimeline returns the lines of one request, and around them what its daemon and
 // any daemon came to believe of its engines and service. It is empty when no
 // line names the request.
-func Story(lines []Line, request string) []Line {
+func RequestTimeline(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
 		if l.field("request") == request {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -39,11 +39,11 @@
 
 func TestStoryHoldsTheRequestAndWhatConcernedIt(t *testing.T) {
 	c := qt.New(t)
-	got := Story(both(c), "r1")
+	got := RequestTimeline(both(c), "r1")
 	c.Check(messages(got), qt.DeepEquals, []string{
 		"h1 configuration in force", "h2 belief about an engine changed", "h1 attempt failed", "h1 request ended",
 	})
-	c.Check(Story(both(c), "r9"), qt.HasLen, 0)
+	c.Check(RequestTimeline(both(c), "r9"), qt.HasLen, 0)
 }
 
 func TestStoryHoldsWhatManyEnginesHaveInCommon(t *testing.T) {
@@ -54,7 +54,7 @@
 {"host":"h1","request":"r1","engines":["e1"],"time":"2026-02-01T22:57:44.000Z","message":"request ended"}
 `))
 	c.Assert(err, qt.IsNil)
-	c.Check(messages(Story(lines, "r1")), qt.DeepEquals, []string{
+	c.Check(messages(RequestTimeline(lines, "r1")), qt.DeepEquals, []string{
 		"h1 engine is cold", "h1 data centre evacuated, its engines get nothing new", "h1 request ended",
 	})
 	c.Check(Timeline(lines), qt.HasLen, 3)
@@ -82,6 +82,6 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, _, _ := Read(strings.NewReader(text)) // Must not panic.
 		_ = Timeline(lines)
-		_ = Story(lines, "r1")
+		_ = RequestTimeline(lines, "r1")
 	})
 }
