--- a/cli/explain.go
+++ b/cli/explain.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return nil, err
 		}
-		lines, _, err := explain.Read(file)
+		lines, _, err := explain.ReadLog(file)
 		_ = file.Close() // Nothing was written.
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -63,9 +63,9 @@
 	return texts
 }
 
-// Read returns the lines of a log in the order of the file. What is not a JSON
+// ReadLog returns the lines of a log in the order of the file. What is not a JSON
 // object with a time is left out and counted.
-func Read(r io.Reader) (lines []Line, skipped int, err error) {
+func ReadLog(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -23,7 +23,7 @@
 func both(c *qt.C) []Line {
 	var all []Line
 	for _, text := range []string{log1, log2} {
-		lines, _, err := Read(strings.NewReader(text))
+		lines, _, err := ReadLog(strings.NewReader(text))
 		c.Assert(err, qt.IsNil)
 		all = append(all, lines...)
 	}
@@ -48,7 +48,7 @@
 
 func TestStoryHoldsWhatManyEnginesHaveInCommon(t *testing.T) {
 	c := qt.New(t)
-	lines, _, err := Read(strings.NewReader(`{"host":"h1","engines":["e7","e1"],"time":"2026-02-01T22:57:43.000Z","message":"engine is cold"}
+	lines, _, err := ReadLog(strings.NewReader(`{"host":"h1","engines":["e7","e1"],"time":"2026-02-01T22:57:43.000Z","message":"engine is cold"}
 {"host":"h1","engines":["e8"],"time":"2026-02-01T22:57:43.100Z","message":"engine is cold"}
 {"host":"h1","data_centre":"hall-1","engines":20,"time":"2026-02-01T22:57:43.200Z","message":"data centre evacuated, its engines get nothing new"}
 {"host":"h1","request":"r1","engines":["e1"],"time":"2026-02-01T22:57:44.000Z","message":"request ended"}
@@ -71,7 +71,7 @@
 
 func TestOtherTextIsCounted(t *testing.T) {
 	c := qt.New(t)
-	lines, skipped, err := Read(strings.NewReader(log1 + `{"time":"never"}` + "\n{\n"))
+	lines, skipped, err := ReadLog(strings.NewReader(log1 + `{"time":"never"}` + "\n{\n"))
 	c.Assert(err, qt.IsNil)
 	c.Check(lines, qt.HasLen, 4)
 	c.Check(skipped, qt.Equals, 3)
@@ -80,7 +80,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add(log1)
 	f.Fuzz(func(t *testing.T, text string) {
-		lines, _, _ := Read(strings.NewReader(text)) // Must not panic.
+		lines, _, _ := ReadLog(strings.NewReader(text)) // Must not panic.
 		_ = Timeline(lines)
 		_ = RequestTimeline(lines, "r1")
 	})
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -21,7 +21,7 @@
 
 func TestLossesTellWhereWorthWent(t *testing.T) {
 	c := qt.New(t)
-	lines, _, err := Read(strings.NewReader(endedLines))
+	lines, _, err := ReadLog(strings.NewReader(endedLines))
 	c.Assert(err, qt.IsNil)
 	byRoute, bySize, byTime := Losses(lines, 2*time.Second)
 	c.Assert(byRoute, qt.HasLen, 2)
