--- a/cli/explain.go
+++ b/cli/explain.go
@@ -67,5 +67,5 @@
 	if a.out.json {
 		return a.out.object(lines)
 	}
-	return explain.Write(a.out.w, lines)
+	return explain.WriteLines(a.out.w, lines)
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -227,8 +227,8 @@
 	return l.Host == a.host
 }
 
-// Write prints lines for people.
-func Write(w io.Writer, lines []Line) error {
+// WriteLines prints lines for people.
+func WriteLines(w io.Writer, lines []Line) error {
 	for _, l := range lines {
 		var fields strings.Builder
 		for _, f := range l.Fields {
