--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -49,9 +49,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// RateLimited tells whether err is a call that the server refused unseen
+// RateLimitDelay tells whether err is a call that the server refused unseen
 // because of its rate limit, and when to come back.
-func RateLimited(err error) (time.Duration, bool) {
+func RateLimitDelay(err error) (time.Duration, bool) {
 	var e *Error
 	if errors.As(err, &e) && e.Status == http.StatusTooManyRequests {
 		return e.RetryAfter, true
--- a/jsoncall/jsoncall_test.go
+++ b/jsoncall/jsoncall_test.go
@@ -54,7 +54,7 @@
 			var failed *jsoncall.Error
 			c.Assert(errors.As(err, &failed), qt.IsTrue)
 			c.Assert(failed.Status, qt.Equals, test.status)
-			wait, limited := jsoncall.RateLimited(err)
+			wait, limited := jsoncall.RateLimitDelay(err)
 			c.Assert(limited, qt.Equals, test.limited)
 			if limited {
 				c.Assert(wait, qt.Equals, 7*time.Second)
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -78,7 +78,7 @@
 }
 
 func translate(op string, err error) error {
-	if wait, ok := jsoncall.RateLimited(err); ok {
+	if wait, ok := jsoncall.RateLimitDelay(err); ok {
 		return &RateLimitError{RetryAfter: wait}
 	}
 	if jsoncall.NotFound(err) {
