--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -59,8 +59,8 @@
 	return 0, false
 }
 
-// NotFound tells whether err is a call for something that does not exist.
-func NotFound(err error) bool {
+// IsNotFound tells whether err is a call for something that does not exist.
+func IsNotFound(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Status == http.StatusNotFound
 }
--- a/jsoncall/jsoncall_test.go
+++ b/jsoncall/jsoncall_test.go
@@ -59,7 +59,7 @@
 			if limited {
 				c.Assert(wait, qt.Equals, 7*time.Second)
 			}
-			c.Assert(jsoncall.NotFound(err), qt.Equals, test.absent)
+			c.Assert(jsoncall.IsNotFound(err), qt.Equals, test.absent)
 		})
 	}
 }
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -81,7 +81,7 @@
 	if wait, ok := jsoncall.RateLimitDelay(err); ok {
 		return &RateLimitError{RetryAfter: wait}
 	}
-	if jsoncall.NotFound(err) {
+	if jsoncall.IsNotFound(err) {
 		return ErrNotFound
 	}
 	return fmt.Errorf("%s weights: %w", op, err)
