--- a/hostlist/hostlist.go
+++ b/hostlist/hostlist.go
@@ -89,7 +89,7 @@
 // to those that ask several times a second.
 func (c *Client) ListChanged(ctx context.Context, known uint64) (List, bool, error) {
 	var raw json.RawMessage
-	changed, err := c.calls.GetChanged(ctx, Path, Tag(known), &raw)
+	changed, err := c.calls.GetIfChanged(ctx, Path, Tag(known), &raw)
 	if err != nil {
 		return List{}, false, fmt.Errorf("read host list: %w", err)
 	}
--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -85,10 +85,10 @@
 	return c.do(ctx, http.MethodGet, path, http.Header{}, nil, into)
 }
 
-// GetChanged reads path unless its entity tag is still the known one, and
+// GetIfChanged reads path unless its entity tag is still the known one, and
 // decodes the answer into into. It reports whether there was an answer. The
 // error is an *Error.
-func (c *Client) GetChanged(ctx context.Context, path, known string, into any) (changed bool, err error) {
+func (c *Client) GetIfChanged(ctx context.Context, path, known string, into any) (changed bool, err error) {
 	header := http.Header{}
 	if known != "" {
 		header.Set("If-None-Match", known)
