--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -66,7 +66,7 @@
 
 func TestAddressesAreAskedOnceForAllRequests(t *testing.T) {
 	c := qt.New(t)
-	e := newEntry(t, callertest.Whole)
+	e := newEntry(t, callertest.AnswerWhole)
 	client := newClient(t, e)
 	var sending sync.WaitGroup
 	for range 8 {
@@ -90,7 +90,7 @@
 		{"stream without finish reason", callertest.Stream(callertest.EventText, callertest.EventDone), true},
 		{"stream marked as broken", callertest.Stream(callertest.EventText, callertest.EventBroken), true},
 		{"stream with an event that is not JSON", callertest.Stream(`{"choices":`, callertest.EventDone), true},
-		{"whole answer in place of a stream", callertest.Whole, true},
+		{"whole answer in place of a stream", callertest.AnswerWhole, true},
 		{"body cut short", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"choices":[{"mess`)) }, false},
 		{"body without finish reason", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"choices":[]}`)) }, false},
 		{"body with an error", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(callertest.EventBroken)) }, false},
@@ -128,7 +128,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			second := newEntry(t, callertest.Whole)
+			second := newEntry(t, callertest.AnswerWhole)
 			address := deadAddress(t)
 			if test.first != nil {
 				address = newEntry(t, test.first).Address()
@@ -145,7 +145,7 @@
 	for _, code := range []string{"daemon_leaving", "configuration_stale"} {
 		t.Run(code, func(t *testing.T) {
 			c := qt.New(t)
-			other := newEntry(t, callertest.Whole)
+			other := newEntry(t, callertest.AnswerWhole)
 			first := newEntry(t, callertest.Refuse(http.StatusServiceUnavailable, callerapi.ErrorDetail{
 				Code: code, Ran: "no", Entries: []string{other.Address()},
 			}))
@@ -165,7 +165,7 @@
 	}
 	for _, detail := range tests {
 		t.Run(detail.Code+" "+detail.Ran, func(t *testing.T) {
-			other := newEntry(t, callertest.Whole)
+			other := newEntry(t, callertest.AnswerWhole)
 			detail.Entries = []string{other.Address()}
 			first := newEntry(t, callertest.Refuse(http.StatusServiceUnavailable, detail))
 			_, err := newClient(t, first).Complete(t.Context(), caller.Params{IdempotencyKey: "i1"}, caller.Prompt("hello"), nil)
--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -94,8 +94,8 @@
 	_ = json.NewEncoder(w).Encode(e.entries)
 }
 
-// Whole answers in one piece.
-func Whole(w http.ResponseWriter, _ *http.Request) {
+// AnswerWhole answers in one piece.
+func AnswerWhole(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(callerapi.HeaderVersion, "diag-large@3")
 	w.Header().Set(callerapi.HeaderRequestID, "r1")
 	_, _ = io.WriteString(w, `{"model":"diag-large@3","choices":[{"message":{"role":"assistant","content":"all good"},"finish_reason":"stop"}],"usage":{"prompt_tokens":4,"completion_tokens":2}}`)
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -43,8 +43,8 @@
 		code int
 	}{
 		{"broken streams", callertest.Stream(callertest.EventText, callertest.EventBroken), nil, ExitFailure},
-		{"whole answers to a stream", callertest.Whole, []string{"--stream"}, ExitFailure},
-		{"answers of another request", callertest.Whole, []string{"--stand-ins"}, ExitFailure},
+		{"whole answers to a stream", callertest.AnswerWhole, []string{"--stream"}, ExitFailure},
+		{"answers of another request", callertest.AnswerWhole, []string{"--stand-ins"}, ExitFailure},
 		{"only refusals", callertest.Refuse(http.StatusTooManyRequests, callerapi.ErrorDetail{Code: "limit_exceeded"}), nil, ExitUnavailable},
 	}
 	for _, test := range tests {
--- a/cli/send_test.go
+++ b/cli/send_test.go
@@ -30,7 +30,7 @@
 		args   []string
 		stream bool
 	}{
-		{"whole", callertest.Whole, nil, false},
+		{"whole", callertest.AnswerWhole, nil, false},
 		{"streamed", callertest.Stream(callertest.EventText, callertest.EventFinish, callertest.EventUsage, callertest.EventDone), []string{"--stream"}, true},
 	}
 	for _, test := range tests {
