--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -119,8 +119,8 @@
 		want   string
 	}{
 		{"no connection", nil, "", 1, "answered"},
-		{"answer lost", callertest.Drop, "", 0, "unavailable"},
-		{"answer lost with an idempotency key", callertest.Drop, "i1", 1, "answered"},
+		{"answer lost", callertest.DropConnection, "", 0, "unavailable"},
+		{"answer lost with an idempotency key", callertest.DropConnection, "i1", 1, "answered"},
 		{"outcome unknown", callertest.Refuse(http.StatusBadGateway, unknown), "i1", 0, "refused"},
 		{"leaving without others", callertest.Refuse(http.StatusServiceUnavailable, leaving), "", 0, "refused"},
 		{"stream broken", callertest.Stream(callertest.EventText, callertest.EventBroken), "i1", 0, "broken"},
--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Drop closes the connection without an answer.
-func Drop(w http.ResponseWriter, _ *http.Request) {
+// DropConnection closes the connection without an answer.
+func DropConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err == nil {
 		_ = conn.Close()
--- a/cli/send_test.go
+++ b/cli/send_test.go
@@ -107,7 +107,7 @@
 }
 
 func TestKeyIsNeverPrinted(t *testing.T) {
-	e := newEntry(t, callertest.Drop)
+	e := newEntry(t, callertest.DropConnection)
 	for _, args := range [][]string{{"send", "x", "--entry", e.Address()}, {"send", "x", "--entry", deadAddress(t)}, {"send", "x", "--entry", "wrong"}, {"send", "--help"}} {
 		t.Setenv("BRONZETURN_KEY", "sk-secret")
 		got := run(t, append(args, "--json")...)
