--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -76,7 +76,7 @@
 		})
 	}
 	sending.Wait()
-	c.Check(e.Asked(), qt.Equals, 1)
+	c.Check(e.EntriesQueries(), qt.Equals, 1)
 	c.Check(e.Requests(), qt.HasLen, 8)
 }
 
--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -60,8 +60,8 @@
 	e.entries = callerapi.Entries{Addresses: addresses, KeepSeconds: keepSeconds}
 }
 
-// Asked returns how often callers asked which addresses to use.
-func (e *Entry) Asked() int {
+// EntriesQueries returns how often callers asked which addresses to use.
+func (e *Entry) EntriesQueries() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.asked
--- a/cli/load_test.go
+++ b/cli/load_test.go
@@ -32,7 +32,7 @@
 	c.Assert(report.Refusals, qt.HasLen, 1)
 	c.Check(report.Refusals[0].Code, qt.Equals, "limit_exceeded")
 	c.Check(report.Refusals[0].Count+report.Answered, qt.Equals, report.Sent)
-	c.Check(e.Asked(), qt.Equals, 1, qt.Commentf("the answer of entries is kept"))
+	c.Check(e.EntriesQueries(), qt.Equals, 1, qt.Commentf("the answer of entries is kept"))
 }
 
 func TestLoadFailsOnAnswersThatAreNotWhole(t *testing.T) {
