--- a/entry/entry.go
+++ b/entry/entry.go
@@ -166,7 +166,7 @@
 	backoff.SetPhase(time.Duration(rand.New(rand.NewPCG(d.seed, randTickPhase)).Int64N(int64(time.Second))))
 	d.Store = newCountedStore(o.Store, d.registry)
 	d.current.Store(&o.Settings)
-	d.log = logging.Plain(o.LogWriter, o.Settings.Name)
+	d.log = logging.NewJSON(o.LogWriter, o.Settings.Name)
 	debug.SetGCPercent(heapGrowthFor(o.Settings.Cores, 0))
 	if o.Settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(o.Settings.MemoryBytes)))
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -55,7 +55,7 @@
 	return log.With().Str(fieldPart, part).Logger()
 }
 
-// Plain returns a logger of JSON lines of all levels from info on, for a host.
-func Plain(w io.Writer, host string) zerolog.Logger {
+// NewJSON returns a logger of JSON lines of all levels from info on, for a host.
+func NewJSON(w io.Writer, host string) zerolog.Logger {
 	return New(&bronzeturnv1.Settings{Name: host}, w)
 }
