--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -19,9 +19,9 @@
 	closeWait = 300 * time.Millisecond
 )
 
-// Bounded is a writer for log lines that never blocks: lines wait in bounded
+// AsyncWriter is a writer for log lines that never blocks: lines wait in bounded
 // memory, and what does not fit is dropped and counted in the log itself.
-type Bounded struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	closing chan struct{}
@@ -30,14 +30,14 @@
 }
 
 // NewBounded returns a writer that passes lines on to w.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
+func NewBounded(w io.Writer) *AsyncWriter {
+	b := &AsyncWriter{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
 // Write implements io.Writer for one line. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	kept := make([]byte, len(line))
 	copy(kept, line)
 	select {
@@ -49,10 +49,10 @@
 }
 
 // Dropped returns how many lines were dropped and not yet told of in the log.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *AsyncWriter) Dropped() uint64 { return b.dropped.Load() }
 
 // Close writes what waits, unless the reader takes too long.
-func (b *Bounded) Close() {
+func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
 	timer := time.NewTimer(closeWait)
 	defer timer.Stop()
@@ -63,7 +63,7 @@
 }
 
 // run writes lines until Close.
-func (b *Bounded) run(w io.Writer) {
+func (b *AsyncWriter) run(w io.Writer) {
 	defer close(b.done)
 	for {
 		select {
@@ -78,7 +78,7 @@
 }
 
 // pause lets more lines gather.
-func (b *Bounded) pause() {
+func (b *AsyncWriter) pause() {
 	timer := time.NewTimer(gatherTime)
 	defer timer.Stop()
 	select {
@@ -88,7 +88,7 @@
 }
 
 // flush writes the lines that wait.
-func (b *Bounded) flush(w io.Writer, first []byte) {
+func (b *AsyncWriter) flush(w io.Writer, first []byte) {
 	batch := append([]byte(nil), first...)
 	for {
 		select {
