--- a/cmd/bronzeturn-entry/main.go
+++ b/cmd/bronzeturn-entry/main.go
@@ -73,7 +73,7 @@
 	if o.MetricsPort > 0 {
 		settings.Entry.MetricsListen = fmt.Sprintf("%s:%d", settings.Entry.IP, o.MetricsPort)
 	}
-	log := logging.NewBounded(os.Stdout)
+	log := logging.NewAsyncWriter(os.Stdout)
 	defer log.Close()
 	d, err := entry.New(entry.Options{
 		Settings: settings.Entry, Documents: platform.Documents{}, Codec: platform.Codec{}, Models: models,
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -29,8 +29,8 @@
 	once    sync.Once
 }
 
-// NewBounded returns a writer that passes lines on to w.
-func NewBounded(w io.Writer) *AsyncWriter {
+// NewAsyncWriter returns a writer that passes lines on to w.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	b := &AsyncWriter{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -37,7 +37,7 @@
 func TestLinesComeInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{}
-		b := NewBounded(r)
+		b := NewAsyncWriter(r)
 		for i := range 3 {
 			_, _ = fmt.Fprintf(b, "line %d\n", i)
 		}
@@ -54,7 +54,7 @@
 func TestReaderThatStoppedBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{stop: make(chan struct{})}
-		b := NewBounded(r)
+		b := NewAsyncWriter(r)
 		_, _ = fmt.Fprintln(b, "first")
 		time.Sleep(2 * gatherTime)
 		start := time.Now()
