--- a/cli/losses.go
+++ b/cli/losses.go
@@ -50,7 +50,7 @@
 		for _, cause := range explain.Causes() {
 			row = append(row, strconv.Itoa(l.ByCause[cause]))
 		}
-		row = append(row, strconv.Itoa(l.Again), strconv.Itoa(l.Resumed))
+		row = append(row, strconv.Itoa(l.Resends), strconv.Itoa(l.Resumed))
 		for _, amount := range []float64{l.Worth, l.Doubt, l.Price} {
 			row = append(row, strconv.FormatFloat(amount, 'f', 1, 64))
 		}
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -48,9 +48,9 @@
 	Worth float64 `json:"worth"`
 	Doubt float64 `json:"doubt"`
 	Price float64 `json:"price"`
-	// Again counts second and further sends, Resumed streams that went on at another
+	// Resends counts second and further sends, Resumed streams that went on at another
 	// engine.
-	Again   int `json:"again"`
+	Resends   int `json:"again"`
 	Resumed int `json:"resumed"`
 }
 
@@ -177,7 +177,7 @@
 		sum.Worth += e.worth
 		sum.Doubt += e.doubt
 		sum.Price += e.price
-		sum.Again += e.again
+		sum.Resends += e.again
 		sum.Resumed += e.resumed
 	}
 	return sum
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -32,7 +32,7 @@
 	c.Check(r.ByCause, qt.DeepEquals, map[Cause]int{CauseNone: 1, CauseLateFirst: 1, CauseLatePause: 1, CauseDoubted: 1})
 	c.Check(r.Worth, qt.Equals, 10.0)
 	c.Check(r.Doubt > 3.39 && r.Doubt < 3.41, qt.IsTrue, qt.Commentf("%v", r.Doubt))
-	c.Check(r.Again, qt.Equals, 2)
+	c.Check(r.Resends, qt.Equals, 2)
 	c.Check(r.Resumed, qt.Equals, 1)
 	c.Assert(byTime, qt.HasLen, 2)
 	c.Check(byTime[0].Requests, qt.Equals, 2)
