--- a/explain/losses.go
+++ b/explain/losses.go
@@ -22,14 +22,14 @@
 	// stream with a pause above its route's bound.
 	CauseLateFirst Cause = "late_first"
 	CauseLatePause Cause = "late_pause"
-	// CauseDoubted is an answer that is as likely wrong as right by its model's own
+	// CauseLowConfidence is an answer that is as likely wrong as right by its model's own
 	// confidence, or likelier.
-	CauseDoubted Cause = "doubted"
+	CauseLowConfidence Cause = "doubted"
 )
 
 // Causes are all causes in the order of tables.
 func Causes() []Cause {
-	return []Cause{CauseNone, CauseRefused, CauseFailed, CauseLateFirst, CauseLatePause, CauseDoubted}
+	return []Cause{CauseNone, CauseRefused, CauseFailed, CauseLateFirst, CauseLatePause, CauseLowConfidence}
 }
 
 // evenChance is the chance of being right at and below which an answer counts as doubted.
@@ -107,7 +107,7 @@
 	case pause > 0 && l.number("pause_ms") > pause:
 		return CauseLatePause
 	case sized && l.number("chance") <= evenChance:
-		return CauseDoubted
+		return CauseLowConfidence
 	}
 	return CauseNone
 }
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -29,7 +29,7 @@
 	c.Check(byRoute[0].ByCause, qt.DeepEquals, map[Cause]int{CauseRefused: 1, CauseFailed: 1})
 	r := byRoute[1]
 	c.Check(r.Requests, qt.Equals, 4)
-	c.Check(r.ByCause, qt.DeepEquals, map[Cause]int{CauseNone: 1, CauseLateFirst: 1, CauseLatePause: 1, CauseDoubted: 1})
+	c.Check(r.ByCause, qt.DeepEquals, map[Cause]int{CauseNone: 1, CauseLateFirst: 1, CauseLatePause: 1, CauseLowConfidence: 1})
 	c.Check(r.Worth, qt.Equals, 10.0)
 	c.Check(r.Doubt > 3.39 && r.Doubt < 3.41, qt.IsTrue, qt.Commentf("%v", r.Doubt))
 	c.Check(r.Resends, qt.Equals, 2)
