--- a/cli/losses.go
+++ b/cli/losses.go
@@ -51,7 +51,7 @@
 			row = append(row, strconv.Itoa(l.ByCause[cause]))
 		}
 		row = append(row, strconv.Itoa(l.Resends), strconv.Itoa(l.Resumed))
-		for _, amount := range []float64{l.Worth, l.Doubt, l.Price} {
+		for _, amount := range []float64{l.Worth, l.ExpectedLoss, l.Price} {
 			row = append(row, strconv.FormatFloat(amount, 'f', 1, 64))
 		}
 		rows = append(rows, row)
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -46,7 +46,7 @@
 	// answers are expected to miss for being wrong, Price what the model sizes cost. All
 	// are in the unit of the models' prices and zero where the size was not open.
 	Worth float64 `json:"worth"`
-	Doubt float64 `json:"doubt"`
+	ExpectedLoss float64 `json:"doubt"`
 	Price float64 `json:"price"`
 	// Resends counts second and further sends, Resumed streams that went on at another
 	// engine.
@@ -175,7 +175,7 @@
 	for _, e := range all {
 		sum.ByCause[e.cause]++
 		sum.Worth += e.worth
-		sum.Doubt += e.doubt
+		sum.ExpectedLoss += e.doubt
 		sum.Price += e.price
 		sum.Resends += e.again
 		sum.Resumed += e.resumed
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -31,7 +31,7 @@
 	c.Check(r.Requests, qt.Equals, 4)
 	c.Check(r.ByCause, qt.DeepEquals, map[Cause]int{CauseNone: 1, CauseLateFirst: 1, CauseLatePause: 1, CauseLowConfidence: 1})
 	c.Check(r.Worth, qt.Equals, 10.0)
-	c.Check(r.Doubt > 3.39 && r.Doubt < 3.41, qt.IsTrue, qt.Commentf("%v", r.Doubt))
+	c.Check(r.ExpectedLoss > 3.39 && r.ExpectedLoss < 3.41, qt.IsTrue, qt.Commentf("%v", r.ExpectedLoss))
 	c.Check(r.Resends, qt.Equals, 2)
 	c.Check(r.Resumed, qt.Equals, 1)
 	c.Assert(byTime, qt.HasLen, 2)
