--- a/admin/admin.go
+++ b/admin/admin.go
@@ -54,20 +54,20 @@
 }
 
 func healthy(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, "ok")
+	writeText(w, http.StatusOK, "ok")
 }
 
 func readyHandler(r Readiness) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := r.Ready(); err != nil {
-			answer(w, http.StatusServiceUnavailable, err.Error())
+			writeText(w, http.StatusServiceUnavailable, err.Error())
 			return
 		}
-		answer(w, http.StatusOK, "ready")
+		writeText(w, http.StatusOK, "ready")
 	}
 }
 
-func answer(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("X-Content-Type-Options", "nosniff")
 	w.WriteHeader(status)
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -118,9 +118,9 @@
 	if body.Error != nil {
 		return nil, &BrokenAnswerError{Reason: "error in the body", Detail: body.Error}
 	}
-	a.take(body, func(c choice) string { return c.Message.Content })
+	a.add(body, func(c choice) string { return c.Message.Content })
 	a.Total = time.Since(start)
-	return a, a.check()
+	return a, a.checkFinished()
 }
 
 // readStream reads server-sent events up to the end mark and hands every piece
@@ -137,17 +137,17 @@
 		data = bytes.TrimSpace(data)
 		if string(data) == eventDone {
 			a.Total = time.Since(start)
-			return a, a.check()
+			return a, a.checkFinished()
 		}
-		if err := a.event(data, start, onText); err != nil {
+		if err := a.addEvent(data, start, onText); err != nil {
 			return nil, err
 		}
 	}
 	return nil, &BrokenAnswerError{Reason: "stream ended without its end mark", Cause: scanner.Err()}
 }
 
-// event takes the data of one event.
-func (a *Answer) event(data []byte, start time.Time, onText func(string)) error {
+// addEvent takes the data of one addEvent.
+func (a *Answer) addEvent(data []byte, start time.Time, onText func(string)) error {
 	var event completionAnswer
 	if err := json.Unmarshal(data, &event); err != nil {
 		return &BrokenAnswerError{Reason: "event is not JSON", Cause: err}
@@ -155,7 +155,7 @@
 	if event.Error != nil {
 		return &BrokenAnswerError{Reason: "marked as broken by the daemon", Detail: event.Error}
 	}
-	text := a.take(event, func(c choice) string { return c.Delta.Content })
+	text := a.add(event, func(c choice) string { return c.Delta.Content })
 	if text == "" {
 		return nil
 	}
@@ -168,8 +168,8 @@
 	return nil
 }
 
-// take adds one body or event and returns its text.
-func (a *Answer) take(body completionAnswer, textOf func(choice) string) string {
+// add adds one body or event and returns its text.
+func (a *Answer) add(body completionAnswer, textOf func(choice) string) string {
 	if body.Usage != nil {
 		a.Usage = *body.Usage
 	}
@@ -184,8 +184,8 @@
 	return text
 }
 
-// check reports an answer that ended like a whole one and is not.
-func (a *Answer) check() error {
+// checkFinished reports an answer that ended like a whole one and is not.
+func (a *Answer) checkFinished() error {
 	if a.FinishReason == "" {
 		return &BrokenAnswerError{Reason: "no finish reason"}
 	}
@@ -197,8 +197,8 @@
 	return strings.HasPrefix(r.Header.Get("Content-Type"), contentStream)
 }
 
-// read reads the answer as its content type says.
-func read(r *http.Response, start time.Time, onText func(string)) (*Answer, error) {
+// readAnswer reads the answer as its content type says.
+func readAnswer(r *http.Response, start time.Time, onText func(string)) (*Answer, error) {
 	if isStream(r) {
 		return readStream(r, start, onText)
 	}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -34,8 +34,8 @@
 	dialTimeout = 2 * time.Second
 	// entriesTimeout bounds the question which addresses to use.
 	entriesTimeout = 5 * time.Second
-	// maxEntriesKept bounds how long an answer is believed.
-	maxEntriesKept = 10 * time.Minute
+	// maxEntriesAge bounds how long an answer is believed.
+	maxEntriesAge = 10 * time.Minute
 	// maxAttempts bounds the entries tried for one request.
 	maxAttempts = 3
 	// maxAnswerBytes bounds a whole answer and an error body.
@@ -64,7 +64,7 @@
 	http   *http.Client
 	scheme string
 	key    logging.Secret
-	first  string
+	entry  string
 
 	// mu guards the answer kept, and makes concurrent requests ask once.
 	mu      sync.Mutex
@@ -94,7 +94,7 @@
 		transport.ForceAttemptHTTP2 = true
 	}
 	client := &http.Client{Transport: transport, CheckRedirect: noRedirect}
-	return &Client{http: client, scheme: scheme, key: logging.NewSecret(o.Key), first: address}, nil
+	return &Client{http: client, scheme: scheme, key: logging.NewSecret(o.Key), entry: address}, nil
 }
 
 // hasPort tells whether the address is a host and the number of a port.
@@ -133,12 +133,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
-	known := append(slices.Clone(c.entries.Addresses), c.first)
+	known := append(slices.Clone(c.entries.Addresses), c.entry)
 	var failed error
 	for _, address := range known {
-		entries, err := c.ask(ctx, address)
+		entries, err := c.fetchEntries(ctx, address)
 		if err == nil {
-			c.keep(entries)
+			c.cacheEntries(entries)
 			return entries, nil
 		}
 		failed = err
@@ -146,28 +146,28 @@
 	return callerapi.Entries{}, failed
 }
 
-// keep stores an answer for its time, within bounds. The caller holds the lock.
-func (c *Client) keep(entries callerapi.Entries) {
+// cacheEntries stores an answer for its time, within bounds. The caller holds the lock.
+func (c *Client) cacheEntries(entries callerapi.Entries) {
 	c.entries = entries
 	kept := time.Duration(entries.KeepSeconds) * time.Second
-	c.expires = time.Now().Add(min(max(kept, 0), maxEntriesKept))
+	c.expires = time.Now().Add(min(max(kept, 0), maxEntriesAge))
 }
 
-// forget makes the next request ask anew which addresses to use.
-func (c *Client) forget() {
+// expireEntries makes the next request ask anew which addresses to use.
+func (c *Client) expireEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// ask asks one daemon which addresses to use.
-func (c *Client) ask(ctx context.Context, address string) (callerapi.Entries, error) {
+// fetchEntries asks one daemon which addresses to use.
+func (c *Client) fetchEntries(ctx context.Context, address string) (callerapi.Entries, error) {
 	var entries callerapi.Entries
 	request, err := c.newRequest(ctx, http.MethodGet, address, callerapi.PathEntries, nil)
 	if err != nil {
 		return entries, err
 	}
-	answer, err := c.exchange(request)
+	answer, err := c.send(request)
 	if err != nil {
 		return entries, err
 	}
--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -32,7 +32,7 @@
 
 	mu       sync.Mutex
 	entries  callerapi.Entries
-	asked    int
+	entriesQueries    int
 	requests []Request
 }
 
@@ -64,7 +64,7 @@
 func (e *Entry) EntriesQueries() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.asked
+	return e.entriesQueries
 }
 
 // Requests returns the requests to models and services so far.
@@ -90,7 +90,7 @@
 func (e *Entry) serveEntries(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
+	e.entriesQueries++
 	_ = json.NewEncoder(w).Encode(e.entries)
 }
 
--- a/caller/request.go
+++ b/caller/request.go
@@ -101,7 +101,7 @@
 	if completion.Stream && !isStream(response) {
 		return nil, &BrokenAnswerError{Reason: "not a stream"}
 	}
-	return read(response, start, onText)
+	return readAnswer(response, start, onText)
 }
 
 // CallService calls a plain service, written NAME/PATH, and returns its answer.
@@ -125,35 +125,35 @@
 	}
 	addresses := slices.Clone(entries.Addresses)
 	if len(addresses) == 0 {
-		addresses = []string{c.first}
+		addresses = []string{c.entry}
 	}
 	for attempt := 1; ; attempt++ {
 		answer, err := c.postTo(ctx, addresses[0], r)
 		if err == nil {
 			return answer, nil
 		}
-		addresses = append(others(err), addresses[1:]...)
-		if attempt == maxAttempts || len(addresses) == 0 || ctx.Err() != nil || !r.repeatable(err) {
+		addresses = append(namedEntries(err), addresses[1:]...)
+		if attempt == maxAttempts || len(addresses) == 0 || ctx.Err() != nil || !r.safeToRetry(err) {
 			return nil, err
 		}
-		c.forget()
+		c.expireEntries()
 	}
 }
 
-// repeatable tells whether sending the request again can't make it run twice:
+// safeToRetry tells whether sending the request again can't make it run twice:
 // it never left, the daemon promised that it did not run and named others, or
 // its idempotency key makes the repeat get the first outcome.
-func (r Request) repeatable(err error) bool {
+func (r Request) safeToRetry(err error) bool {
 	var silent *UnavailableError
 	if errors.As(err, &silent) {
 		return !silent.Sent || r.IdempotencyKey != ""
 	}
-	return len(others(err)) > 0
+	return len(namedEntries(err)) > 0
 }
 
-// others returns the entries that a daemon named when it refused the request
+// namedEntries returns the entries that a daemon named when it refused the request
 // unseen, for example because it is leaving.
-func others(err error) []string {
+func namedEntries(err error) []string {
 	var refused *RefusalError
 	if !errors.As(err, &refused) || refused.Detail.Ran != string(failure.RanNo) {
 		return nil
@@ -174,7 +174,7 @@
 	if r.Deadline > 0 {
 		request.Header.Set(callerapi.HeaderDeadline, r.Deadline.String())
 	}
-	return c.exchange(request)
+	return c.send(request)
 }
 
 func setHeader(request *http.Request, name, value string) {
@@ -194,8 +194,8 @@
 	return request, nil
 }
 
-// exchange sends the request and turns every answer but a success into an error.
-func (c *Client) exchange(request *http.Request) (*http.Response, error) {
+// send sends the request and turns every answer but a success into an error.
+func (c *Client) send(request *http.Request) (*http.Response, error) {
 	// The transport repeats a request by itself only when nothing of it was
 	// written, or when it carries an idempotency key.
 	answer, err := c.http.Do(request)
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -32,7 +32,7 @@
 	if len(story) == 0 {
 		return fmt.Errorf("%s: %w", c.Request, errNoSuchRequest)
 	}
-	return a.tell(story)
+	return a.printLines(story)
 }
 
 // Run implements the command.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	return a.tell(explain.Timeline(lines))
+	return a.printLines(explain.Timeline(lines))
 }
 
 // readLogs reads all lines of the files.
@@ -62,8 +62,8 @@
 	return all, nil
 }
 
-// tell prints lines, for people or as JSON.
-func (a *app) tell(lines []explain.Line) error {
+// printLines prints lines, for people or as JSON.
+func (a *app) printLines(lines []explain.Line) error {
 	if a.out.json {
 		return a.out.object(lines)
 	}
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -13,8 +13,8 @@
 	Files []string      `arg:"" help:"Log files of the daemons." type:"existingfile"`
 }
 
-// lossTables is the output as JSON.
-type lossTables struct {
+// lossesOutput is the output as JSON.
+type lossesOutput struct {
 	ByRoute []explain.Loss `json:"by_route"`
 	BySize  []explain.Loss `json:"by_size"`
 	ByTime  []explain.Loss `json:"by_time"`
@@ -26,19 +26,19 @@
 	if err != nil {
 		return err
 	}
-	var t lossTables
+	var t lossesOutput
 	t.ByRoute, t.BySize, t.ByTime = explain.Losses(lines, c.Step)
 	if a.out.json {
 		return a.out.object(t)
 	}
-	a.lossTable("route", t.ByRoute)
-	a.lossTable("route and size", t.BySize)
-	a.lossTable("time", t.ByTime)
+	a.printLosses("route", t.ByRoute)
+	a.printLosses("route and size", t.BySize)
+	a.printLosses("time", t.ByTime)
 	return nil
 }
 
-// lossTable prints one table and a blank line.
-func (a *app) lossTable(name string, losses []explain.Loss) {
+// printLosses prints one table and a blank line.
+func (a *app) printLosses(name string, losses []explain.Loss) {
 	header := []string{name, "requests"}
 	for _, cause := range explain.Causes() {
 		header = append(header, string(cause))
--- a/cli/operators_test.go
+++ b/cli/operators_test.go
@@ -19,24 +19,24 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// fleet is a fake of what a daemon tells operators.
-type fleet struct {
+// fakeFleet is a fake of what a daemon tells operators.
+type fakeFleet struct {
 	daemon *bronzeturnv1.DaemonStatus
 	bills  []*bronzeturnv1.BillTotal
 }
 
-func (f *fleet) Status(bool) *bronzeturnv1.DaemonStatus { return f.daemon }
+func (f *fakeFleet) Status(bool) *bronzeturnv1.DaemonStatus { return f.daemon }
 
-func (f *fleet) Names() []string { return []string{"h2"} }
+func (f *fakeFleet) Names() []string { return []string{"h2"} }
 
-func (f *fleet) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
+func (f *fakeFleet) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
 
-func (f *fleet) Totals(context.Context, *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
+func (f *fakeFleet) Totals(context.Context, *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
 	return f.bills, nil
 }
 
-func newFleet() *fleet {
-	return &fleet{
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{
 		daemon: &bronzeturnv1.DaemonStatus{
 			Name: "h1", DataCentre: "hall-centro", Health: bronzeturnv1.DaemonHealth_DAEMON_HEALTH_LIVE,
 			GenerationInForce: 7, NewestAccepted: 7, NewsAge: durationpb.New(40 * time.Millisecond),
@@ -52,7 +52,7 @@
 }
 
 // handler serves the operators' paths.
-func (f *fleet) handler() http.Handler {
+func (f *fakeFleet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(operator.NewServer(f, f, f).Handler())
 	return mux
@@ -71,7 +71,7 @@
 
 func TestStatusForProgramsAndPeople(t *testing.T) {
 	c := qt.New(t)
-	address := servePlaintext(t, newFleet().handler())
+	address := servePlaintext(t, newFakeFleet().handler())
 	got := run(t, "status", "--operator", address, "--insecure-plaintext", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
 	var status bronzeturnv1.StatusResponse
@@ -90,7 +90,7 @@
 
 func TestBillsForProgramsAndPeople(t *testing.T) {
 	c := qt.New(t)
-	address := servePlaintext(t, newFleet().handler())
+	address := servePlaintext(t, newFakeFleet().handler())
 	got := run(t, "bills", "--operator", address, "--insecure-plaintext", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
 	var bills bronzeturnv1.BillsResponse
@@ -116,7 +116,7 @@
 		Cert: path("127.0.0.1-operator.pem"), Key: path("127.0.0.1-operator-key.pem"), CA: path("operator-ca.pem"),
 	}, nil)
 	c.Assert(err, qt.IsNil)
-	server := httptest.NewUnstartedServer(newFleet().handler())
+	server := httptest.NewUnstartedServer(newFakeFleet().handler())
 	server.TLS = credentials.Server()
 	server.EnableHTTP2 = true
 	server.StartTLS()
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -17,10 +17,10 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// quarantineTimeout bounds a question, quarantineBytes its answer.
+// quarantineTimeout bounds a question, maxQuarantineBytes its answer.
 const (
 	quarantineTimeout = 5 * time.Second
-	quarantineBytes   = 8 << 20
+	maxQuarantineBytes   = 8 << 20
 )
 
 // quarantineCommand shows the requests that are kept away from engines, or clears one.
@@ -37,7 +37,7 @@
 	if c.Clear != "" {
 		return c.clear(a)
 	}
-	data, status, err := c.ask(a.ctx, http.MethodGet, quarantine.Path)
+	data, status, err := c.call(a.ctx, http.MethodGet, quarantine.Path)
 	if err != nil {
 		return err
 	}
@@ -51,12 +51,12 @@
 	if a.out.json {
 		return a.out.message(list)
 	}
-	a.quarantineTable(list)
+	a.printQuarantine(list)
 	return nil
 }
 
-// quarantineTable prints the entries.
-func (a *app) quarantineTable(list *bronzeturnv1.QuarantineList) {
+// printQuarantine prints the entries.
+func (a *app) printQuarantine(list *bronzeturnv1.QuarantineList) {
 	if len(list.GetEntries()) == 0 {
 		a.out.printf("nothing is in quarantine")
 		return
@@ -82,7 +82,7 @@
 	if _, ok := quarantine.ParseHash(c.Clear); !ok {
 		return usage("--clear must be a hash as the list shows it")
 	}
-	_, status, err := c.ask(a.ctx, http.MethodDelete, quarantine.Path+"/"+c.Clear)
+	_, status, err := c.call(a.ctx, http.MethodDelete, quarantine.Path+"/"+c.Clear)
 	switch {
 	case err != nil:
 		return err
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// ask makes one call and returns the answer's body and status.
-func (c *quarantineCommand) ask(ctx context.Context, method, path string) ([]byte, int, error) {
+// call makes one call and returns the answer's body and status.
+func (c *quarantineCommand) call(ctx context.Context, method, path string) ([]byte, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Daemon+path, nil)
@@ -108,6 +108,6 @@
 		return nil, 0, &caller.UnavailableError{Address: c.Daemon, Cause: err}
 	}
 	defer func() { _ = resp.Body.Close() }() // Read to its end below.
-	data, err := io.ReadAll(io.LimitReader(resp.Body, quarantineBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxQuarantineBytes))
 	return data, resp.StatusCode, err
 }
--- a/cmd/bronzeturn-soak/main.go
+++ b/cmd/bronzeturn-soak/main.go
@@ -34,15 +34,15 @@
 	kong.Parse(&o, kong.Description("Fault soak: real daemons, failures from outside, promises checked by what callers got and engines ran."))
 	code := 0
 	for seed := o.Seed; seed < o.Seed+uint64(o.Runs); seed++ {
-		if !o.one(seed) {
+		if !o.runSeed(seed) {
 			code = 1
 		}
 	}
 	return code
 }
 
-// one runs one seed and tells whether nothing broke.
-func (o *options) one(seed uint64) bool {
+// runSeed runs runSeed seed and tells whether nothing broke.
+func (o *options) runSeed(seed uint64) bool {
 	folder, err := o.folder(seed)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -15,11 +15,11 @@
 // maxLineBytes bounds one log line.
 const maxLineBytes = 1 << 20
 
-// Before and after a request, what daemons came to believe in this time is part
+// Before and contextAfter a request, what daemons came to believe in this time is part
 // of its story.
 const (
-	before = 5 * time.Second
-	after  = time.Second
+	contextBefore = 5 * time.Second
+	contextAfter  = time.Second
 )
 
 // Line is one log line.
@@ -97,13 +97,13 @@
 		if err != nil || !isName || decoder.Decode(&value) != nil {
 			return Line{}, false
 		}
-		l.set(name, value)
+		l.setField(name, value)
 	}
 	return l, !l.Time.IsZero()
 }
 
-// set files one field.
-func (l *Line) set(name string, value json.RawMessage) {
+// setField files one field.
+func (l *Line) setField(name string, value json.RawMessage) {
 	var text string
 	isText := json.Unmarshal(value, &text) == nil
 	switch {
@@ -125,7 +125,7 @@
 }
 
 // Messages that tell a change of what a daemon believes.
-var beliefs = []string{
+var stateChangeMessages = []string{
 	"daemon started", "daemon takes requests", "daemon leaves", "daemon stopped", "daemon state changed", "many daemons joined", "many engines changed",
 	"configuration in force", "configuration refused", "store does not answer", "store answers again",
 	"history gone", "watchers of the store changed", "registration names no engine", "copy taken from another daemon", "engine takes work", "engine takes no work",
@@ -135,13 +135,13 @@
 	"lines dropped",
 }
 
-// isBelief tells whether a line tells a change of what a daemon believes.
-func (l *Line) isBelief() bool {
-	return slices.ContainsFunc(beliefs, func(b string) bool { return strings.HasPrefix(l.Message, b) })
+// isStateChange tells whether a line tells a change of what a daemon believes.
+func (l *Line) isStateChange() bool {
+	return slices.ContainsFunc(stateChangeMessages, func(b string) bool { return strings.HasPrefix(l.Message, b) })
 }
 
-// byTime orders lines by their time, which hosts' clocks may set apart.
-func byTime(lines []Line) {
+// sortByTime orders lines by their time, which hosts' clocks may set apart.
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
@@ -149,11 +149,11 @@
 func Timeline(lines []Line) []Line {
 	var kept []Line
 	for _, l := range lines {
-		if l.isBelief() {
+		if l.isStateChange() {
 			kept = append(kept, l)
 		}
 	}
-	byTime(kept)
+	sortByTime(kept)
 	return kept
 }
 
@@ -170,29 +170,29 @@
 	if len(own) == 0 {
 		return nil
 	}
-	byTime(own)
-	about := aboutOf(own)
+	sortByTime(own)
+	about := scopeOf(own)
 	story := own
 	for _, l := range lines {
-		if l.isBelief() && about.concerns(&l) {
+		if l.isStateChange() && about.includes(&l) {
 			story = append(story, l)
 		}
 	}
-	byTime(story)
+	sortByTime(story)
 	return story
 }
 
-// about is what a request had to do with.
-type about struct {
+// requestScope is what a request had to do with.
+type requestScope struct {
 	from, to time.Time
 	host     string
 	service  string
 	engines  map[string]bool
 }
 
-// aboutOf collects it from the request's own lines.
-func aboutOf(own []Line) about {
-	a := about{engines: make(map[string]bool)}
+// scopeOf collects it from the request's own lines.
+func scopeOf(own []Line) requestScope {
+	a := requestScope{engines: make(map[string]bool)}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for i := range own {
 		a.host = own[i].Host
@@ -206,12 +206,12 @@
 			a.engines[e] = true
 		}
 	}
-	a.from, a.to = first.Add(-before), last.Add(after)
+	a.from, a.to = first.Add(-contextBefore), last.Add(contextAfter)
 	return a
 }
 
-// concerns tells whether a change of belief belongs to the story.
-func (a *about) concerns(l *Line) bool {
+// includes tells whether a change of belief belongs to the story.
+func (a *requestScope) includes(l *Line) bool {
 	if l.Time.Before(a.from) || l.Time.After(a.to) {
 		return false
 	}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -20,7 +20,7 @@
 {"level":"info","host":"h2","service":"s1","state":"running","time":"2026-02-01T22:57:30.000Z","message":"introduction ordered"}
 `
 
-func both(c *qt.C) []Line {
+func readBothLogs(c *qt.C) []Line {
 	var all []Line
 	for _, text := range []string{log1, log2} {
 		lines, _, err := ReadLog(strings.NewReader(text))
@@ -39,11 +39,11 @@
 
 func TestStoryHoldsTheRequestAndWhatConcernedIt(t *testing.T) {
 	c := qt.New(t)
-	got := RequestTimeline(both(c), "r1")
+	got := RequestTimeline(readBothLogs(c), "r1")
 	c.Check(messages(got), qt.DeepEquals, []string{
 		"h1 configuration in force", "h2 belief about an engine changed", "h1 attempt failed", "h1 request ended",
 	})
-	c.Check(RequestTimeline(both(c), "r9"), qt.HasLen, 0)
+	c.Check(RequestTimeline(readBothLogs(c), "r9"), qt.HasLen, 0)
 }
 
 func TestStoryHoldsWhatManyEnginesHaveInCommon(t *testing.T) {
@@ -62,7 +62,7 @@
 
 func TestTimelineIsOrderedOverHosts(t *testing.T) {
 	c := qt.New(t)
-	got := messages(Timeline(both(c)))
+	got := messages(Timeline(readBothLogs(c)))
 	c.Check(got, qt.DeepEquals, []string{
 		"h2 introduction ordered", "h1 configuration in force", "h2 belief about an engine changed",
 		"h2 belief about an engine changed", "h2 configuration in force",
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -54,8 +54,8 @@
 	Resumed int `json:"resumed"`
 }
 
-// ended is one request as its last log line tells it.
-type ended struct {
+// endedRequest is one request as its last log line tells it.
+type endedRequest struct {
 	at           time.Time
 	route        string
 	size         float64
@@ -79,9 +79,9 @@
 // an answer.
 const outputSize = 10
 
-// endedOf reads the last line of a request.
-func endedOf(l *Line) ended {
-	e := ended{
+// parseEndedRequest reads the last line of a request.
+func parseEndedRequest(l *Line) endedRequest {
+	e := endedRequest{
 		at: l.Time, route: l.field("route"), cause: causeOf(l), worth: l.number("worth"), price: l.number("price"),
 		size: l.number("prompt_tokens") + outputSize*l.number("answer_tokens"),
 	}
@@ -112,8 +112,8 @@
 	return CauseNone
 }
 
-// sizeParts are the parts of a route's requests by size that are told apart.
-var sizeParts = []struct {
+// sizeClasses are the parts of a route's requests by size that are told apart.
+var sizeClasses = []struct {
 	name     string
 	from, to float64
 }{{"smaller half", 0, 0.5}, {"next fifth", 0.5, 0.7}, {"fifth below the largest tenth", 0.7, 0.9}, {"largest tenth", 0.9, 1}}
@@ -121,33 +121,33 @@
 // Losses tell where worth went: by route, by size within the routes whose requests have
 // one, and by time in steps. Callers' tries count as requests of their own.
 func Losses(lines []Line, step time.Duration) (byRoute, bySize, byTime []Loss) {
-	var all []ended
+	var all []endedRequest
 	for i := range lines {
 		if lines[i].Message == "request ended" && lines[i].field("route") != "" {
-			all = append(all, endedOf(&lines[i]))
+			all = append(all, parseEndedRequest(&lines[i]))
 		}
 	}
-	slices.SortStableFunc(all, func(a, b ended) int { return a.at.Compare(b.at) })
-	interval := func(e ended) string { return e.at.Truncate(step).UTC().Format(time.TimeOnly) }
+	slices.SortStableFunc(all, func(a, b endedRequest) int { return a.at.Compare(b.at) })
+	interval := func(e endedRequest) string { return e.at.Truncate(step).UTC().Format(time.TimeOnly) }
 	for _, run := range runsOf(all, interval) {
 		byTime = append(byTime, sumUp(interval(run[0]), run))
 	}
-	slices.SortStableFunc(all, func(a, b ended) int {
+	slices.SortStableFunc(all, func(a, b endedRequest) int {
 		return cmp.Or(cmp.Compare(a.route, b.route), cmp.Compare(a.size, b.size))
 	})
-	for _, run := range runsOf(all, func(e ended) string { return e.route }) {
+	for _, run := range runsOf(all, func(e endedRequest) string { return e.route }) {
 		byRoute = append(byRoute, sumUp(run[0].route, run))
 		if run[len(run)-1].size > 0 {
-			bySize = append(bySize, partsOf(run)...)
+			bySize = append(bySize, sumUpBySize(run)...)
 		}
 	}
 	return byRoute, bySize, byTime
 }
 
-// partsOf sums up one route's requests, which are in the order of their sizes.
-func partsOf(all []ended) []Loss {
+// sumUpBySize sums up one route's requests, which are in the order of their sizes.
+func sumUpBySize(all []endedRequest) []Loss {
 	var parts []Loss
-	for _, p := range sizeParts {
+	for _, p := range sizeClasses {
 		from, to := int(p.from*float64(len(all))), int(p.to*float64(len(all)))
 		if from < to {
 			parts = append(parts, sumUp(all[0].route+", "+p.name, all[from:to]))
@@ -157,7 +157,7 @@
 }
 
 // runsOf cuts requests into runs of the same name.
-func runsOf(all []ended, name func(ended) string) (runs [][]ended) {
+func runsOf(all []endedRequest, name func(endedRequest) string) (runs [][]endedRequest) {
 	for len(all) > 0 {
 		n := 1
 		for n < len(all) && name(all[n]) == name(all[0]) {
@@ -170,7 +170,7 @@
 }
 
 // sumUp sums up requests.
-func sumUp(group string, all []ended) Loss {
+func sumUp(group string, all []endedRequest) Loss {
 	sum := Loss{Group: group, Requests: len(all), ByCause: make(map[Cause]int)}
 	for _, e := range all {
 		sum.ByCause[e.cause]++
--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -124,30 +124,30 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.client.Do(req)
 	if err != nil {
-		c.dropIdle(err)
+		c.closeIdleOnTimeout(err)
 		e.cause = err
 		return e
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
-	if e.cause = check(resp, answer, err, into); e.cause == nil {
+	if e.cause = decodeAnswer(resp, answer, err, into); e.cause == nil {
 		return nil
 	}
-	c.dropIdle(err)
+	c.closeIdleOnTimeout(err)
 	e.Status, e.RetryAfter = resp.StatusCode, retryAfter(resp.Header)
 	return e
 }
 
-// dropIdle closes the idle connections after a timeout, since what lost track
+// closeIdleOnTimeout closes the idle connections after a timeout, since what lost track
 // of one connection has often lost track of the others.
-func (c *Client) dropIdle(err error) {
+func (c *Client) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.client.CloseIdleConnections()
 	}
 }
 
-// check decodes a complete answer or tells why it is unusable.
-func check(resp *http.Response, answer []byte, readErr error, into any) error {
+// decodeAnswer decodes a complete answer or tells why it is unusable.
+func decodeAnswer(resp *http.Response, answer []byte, readErr error, into any) error {
 	switch {
 	case readErr != nil:
 		return readErr
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// boundedLines is how many lines may wait for a reader that is slow.
-	boundedLines = 4096
-	// gatherTime is how long lines are gathered before they are written together.
-	gatherTime = 50 * time.Millisecond
-	// maxGather bounds the bytes written together.
-	maxGather = 64 << 10
-	// closeWait bounds the wait for a reader at the end.
-	closeWait = 300 * time.Millisecond
+	// maxQueuedLines is how many lines may wait for a reader that is slow.
+	maxQueuedLines = 4096
+	// batchDelay is how long lines are gathered before they are written together.
+	batchDelay = 50 * time.Millisecond
+	// maxBatchBytes bounds the bytes written together.
+	maxBatchBytes = 64 << 10
+	// closeTimeout bounds the wait for a reader at the end.
+	closeTimeout = 300 * time.Millisecond
 )
 
 // AsyncWriter is a writer for log lines that never blocks: lines wait in bounded
@@ -31,7 +31,7 @@
 
 // NewAsyncWriter returns a writer that passes lines on to w.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	b := &AsyncWriter{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
+	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
@@ -54,7 +54,7 @@
 // Close writes what waits, unless the reader takes too long.
 func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
-	timer := time.NewTimer(closeWait)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-b.done:
@@ -68,7 +68,7 @@
 	for {
 		select {
 		case line := <-b.lines:
-			b.pause()
+			b.waitForBatch()
 			b.flush(w, line)
 		case <-b.closing:
 			b.flush(w, nil)
@@ -77,9 +77,9 @@
 	}
 }
 
-// pause lets more lines gather.
-func (b *AsyncWriter) pause() {
-	timer := time.NewTimer(gatherTime)
+// waitForBatch lets more lines gather.
+func (b *AsyncWriter) waitForBatch() {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -94,7 +94,7 @@
 		select {
 		case line := <-b.lines:
 			batch = append(batch, line...)
-			if len(batch) < maxGather {
+			if len(batch) < maxBatchBytes {
 				continue
 			}
 		default:
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -41,7 +41,7 @@
 		for i := range 3 {
 			_, _ = fmt.Fprintf(b, "line %d\n", i)
 		}
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		qt.Check(t, r.text(), qt.Equals, "line 0\nline 1\nline 2\n")
 		_, _ = fmt.Fprintln(b, "last")
 		b.Close()
@@ -56,17 +56,17 @@
 		r := &reader{stop: make(chan struct{})}
 		b := NewAsyncWriter(r)
 		_, _ = fmt.Fprintln(b, "first")
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		start := time.Now()
-		for i := range 3 * boundedLines {
+		for i := range 3 * maxQueuedLines {
 			_, _ = fmt.Fprintf(b, "line %d\n", i)
 		}
 		qt.Check(t, time.Since(start), qt.Equals, time.Duration(0))
-		qt.Check(t, b.Dropped(), qt.Equals, uint64(2*boundedLines))
+		qt.Check(t, b.Dropped(), qt.Equals, uint64(2*maxQueuedLines))
 		close(r.stop)
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		b.Close()
 		synctest.Wait()
-		qt.Check(t, strings.Contains(r.text(), fmt.Sprintf(`"dropped":%d`, 2*boundedLines)), qt.IsTrue)
+		qt.Check(t, strings.Contains(r.text(), fmt.Sprintf(`"dropped":%d`, 2*maxQueuedLines)), qt.IsTrue)
 	})
 }
