--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -30,10 +30,10 @@
 	// chat answers requests to models and services.
 	chat http.HandlerFunc
 
-	mu       sync.Mutex
-	entries  callerapi.Entries
-	entriesQueries    int
-	requests []Request
+	mu             sync.Mutex
+	entries        callerapi.Entries
+	entriesQueries int
+	requests       []Request
 }
 
 // Request is one request that the fake received.
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -19,8 +19,8 @@
 
 // quarantineTimeout bounds a question, maxQuarantineBytes its answer.
 const (
-	quarantineTimeout = 5 * time.Second
-	maxQuarantineBytes   = 8 << 20
+	quarantineTimeout  = 5 * time.Second
+	maxQuarantineBytes = 8 << 20
 )
 
 // quarantineCommand shows the requests that are kept away from engines, or clears one.
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -45,12 +45,12 @@
 	// Worth is what right answers would have been worth, Doubt the part of it that
 	// answers are expected to miss for being wrong, Price what the model sizes cost. All
 	// are in the unit of the models' prices and zero where the size was not open.
-	Worth float64 `json:"worth"`
+	Worth        float64 `json:"worth"`
 	ExpectedLoss float64 `json:"doubt"`
-	Price float64 `json:"price"`
+	Price        float64 `json:"price"`
 	// Resends counts second and further sends, Resumed streams that went on at another
 	// engine.
-	Resends   int `json:"again"`
+	Resends int `json:"again"`
 	Resumed int `json:"resumed"`
 }
 
