--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -58,7 +58,7 @@
 		{"unknown outcome that may be a conflict", &config.OutcomeError{Cause: conflict}, ExitUnavailable},
 		{"undecodable file", &config.DecodeError{}, ExitInvalid},
 		{"invalid file", &config.ValidationError{Problems: []config.Problem{{}}}, ExitInvalid},
-		{"store unavailable", &objectstore.UnavailableError{Cause: io.EOF}, ExitUnavailable},
+		{"store down", &objectstore.UnavailableError{Cause: io.EOF}, ExitUnavailable},
 		{"store at its rate limit", &objectstore.RateLimitError{}, ExitUnavailable},
 		{"no answer", &caller.UnavailableError{Cause: io.EOF}, ExitUnavailable},
 		{"broken answer", &caller.BrokenAnswerError{}, ExitFailure},
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -139,7 +139,7 @@
 
 // isStateChange reports whether the line reports such a change.
 func (l *Line) isStateChange() bool {
-	return slices.ContainsFunc(stateChangeMessages, func(b string) bool { return strings.HasPrefix(l.Message, b) })
+	return slices.ContainsFunc(stateChangeMessages, func(prefix string) bool { return strings.HasPrefix(l.Message, prefix) })
 }
 
 // sortByTime sorts lines by their time. The clocks of hosts may differ, so lines of
@@ -150,14 +150,14 @@
 
 // Timeline returns the lines that report state changes, in order of time.
 func Timeline(lines []Line) []Line {
-	var kept []Line
+	var changes []Line
 	for _, l := range lines {
 		if l.isStateChange() {
-			kept = append(kept, l)
+			changes = append(changes, l)
 		}
 	}
-	sortByTime(kept)
-	return kept
+	sortByTime(changes)
+	return changes
 }
 
 // RequestTimeline returns the lines of one request in order of time, together with the
@@ -196,40 +196,40 @@
 
 // scopeOf returns the scope that the request's own lines, sorted by time, give.
 func scopeOf(own []Line) requestScope {
-	a := requestScope{engines: make(map[string]bool)}
+	scope := requestScope{engines: make(map[string]bool)}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for i := range own {
-		a.host = own[i].Host
+		scope.host = own[i].Host
 		if s := own[i].field("service"); s != "" {
-			a.service = s
+			scope.service = s
 		}
 		if e := own[i].field("engine"); e != "" {
-			a.engines[e] = true
+			scope.engines[e] = true
 		}
 		for _, e := range own[i].list("engines") {
-			a.engines[e] = true
+			scope.engines[e] = true
 		}
 	}
-	a.from, a.to = first.Add(-contextBefore), last.Add(contextAfter)
-	return a
+	scope.from, scope.to = first.Add(-contextBefore), last.Add(contextAfter)
+	return scope
 }
 
 // includes reports whether a state change concerns the request. A line that names
 // engines is matched by engine, else one that names a service by service, else by host.
-func (a *requestScope) includes(l *Line) bool {
-	if l.Time.Before(a.from) || l.Time.After(a.to) {
+func (scope *requestScope) includes(l *Line) bool {
+	if l.Time.Before(scope.from) || l.Time.After(scope.to) {
 		return false
 	}
 	if engine := l.field("engine"); engine != "" {
-		return a.engines[engine]
+		return scope.engines[engine]
 	}
 	if engines := l.list("engines"); len(engines) > 0 {
-		return slices.ContainsFunc(engines, func(e string) bool { return a.engines[e] })
+		return slices.ContainsFunc(engines, func(e string) bool { return scope.engines[e] })
 	}
 	if service := l.field("service"); service != "" {
-		return service == a.service
+		return service == scope.service
 	}
-	return l.Host == a.host
+	return l.Host == scope.host
 }
 
 // WriteLines writes lines as text, with the time of day, host, message and fields.
--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -136,8 +136,8 @@
 	return e
 }
 
-// closeIdleOnTimeout closes the idle connections if err is a timeout: a fault that stalls
-// one connection, such as a firewall that lost its state, often affects the others too.
+// closeIdleOnTimeout closes the idle connections if err is a timeout, since a fault that
+// lost the state of one connection has often lost that of the others.
 func (c *Client) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.client.CloseIdleConnections()
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -39,10 +39,10 @@
 
 // Write implements io.Writer. It queues a copy of line, never blocks and never fails.
 func (b *AsyncWriter) Write(line []byte) (int, error) {
-	kept := make([]byte, len(line))
-	copy(kept, line)
+	queued := make([]byte, len(line))
+	copy(queued, line)
 	select {
-	case b.lines <- kept:
+	case b.lines <- queued:
 	default:
 		b.dropped.Add(1)
 	}
