--- a/cli/losses.go
+++ b/cli/losses.go
@@ -7,14 +7,14 @@
 	"github.com/bronzeturn/bronzeturn/explain"
 )
 
-// lossesCommand tells where worth went.
+// lossesCommand shows how much worth requests lost, and why.
 type lossesCommand struct {
-	Step  time.Duration `help:"Length of the intervals of the table by time." default:"2s"`
+	Step  time.Duration `help:"Length of an interval in the table by time." default:"2s"`
 	Files []string      `arg:"" help:"Log files of the daemons." type:"existingfile"`
 }
 
-// lossTables is the output as JSON.
-type lossTables struct {
+// lossesOutput is the JSON shape of the command.
+type lossesOutput struct {
 	ByRoute []explain.Loss `json:"by_route"`
 	BySize  []explain.Loss `json:"by_size"`
 	ByTime  []explain.Loss `json:"by_time"`
@@ -26,19 +26,19 @@
 	if err != nil {
 		return err
 	}
-	var t lossTables
+	var t lossesOutput
 	t.ByRoute, t.BySize, t.ByTime = explain.Losses(lines, c.Step)
 	if a.out.json {
 		return a.out.object(t)
 	}
-	a.lossTable("route", t.ByRoute)
-	a.lossTable("route and size", t.BySize)
-	a.lossTable("time", t.ByTime)
+	a.printLosses("route", t.ByRoute)
+	a.printLosses("route and size", t.BySize)
+	a.printLosses("time", t.ByTime)
 	return nil
 }
 
-// lossTable prints one table and a blank line.
-func (a *app) lossTable(name string, losses []explain.Loss) {
+// printLosses prints one table followed by a blank line.
+func (a *app) printLosses(name string, losses []explain.Loss) {
 	header := []string{name, "requests"}
 	for _, cause := range explain.Causes() {
 		header = append(header, string(cause))
@@ -50,8 +50,8 @@
 		for _, cause := range explain.Causes() {
 			row = append(row, strconv.Itoa(l.ByCause[cause]))
 		}
-		row = append(row, strconv.Itoa(l.Again), strconv.Itoa(l.Resumed))
-		for _, amount := range []float64{l.Worth, l.Doubt, l.Price} {
+		row = append(row, strconv.Itoa(l.Resends), strconv.Itoa(l.Resumed))
+		for _, amount := range []float64{l.Worth, l.ExpectedLoss, l.Price} {
 			row = append(row, strconv.FormatFloat(amount, 'f', 1, 64))
 		}
 		rows = append(rows, row)
--- a/cli/operators_test.go
+++ b/cli/operators_test.go
@@ -19,24 +19,24 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// fleet is a fake of what a daemon tells operators.
-type fleet struct {
+// fakeFleet is a fake of the data that a daemon serves to operators.
+type fakeFleet struct {
 	daemon *bronzeturnv1.DaemonStatus
 	bills  []*bronzeturnv1.BillTotal
 }
 
-func (f *fleet) Status(bool) *bronzeturnv1.DaemonStatus { return f.daemon }
+func (f *fakeFleet) Status(bool) *bronzeturnv1.DaemonStatus { return f.daemon }
 
-func (f *fleet) Names() []string { return []string{"h2"} }
+func (f *fakeFleet) Names() []string { return []string{"h2"} }
 
-func (f *fleet) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
+func (f *fakeFleet) Dial(string) (connect.HTTPClient, string, bool) { return nil, "", false }
 
-func (f *fleet) Totals(context.Context, *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
+func (f *fakeFleet) Totals(context.Context, *bronzeturnv1.BillsRequest) ([]*bronzeturnv1.BillTotal, error) {
 	return f.bills, nil
 }
 
-func newFleet() *fleet {
-	return &fleet{
+func newFakeFleet() *fakeFleet {
+	return &fakeFleet{
 		daemon: &bronzeturnv1.DaemonStatus{
 			Name: "h1", DataCentre: "hall-centro", Health: bronzeturnv1.DaemonHealth_DAEMON_HEALTH_LIVE,
 			GenerationInForce: 7, NewestAccepted: 7, NewsAge: durationpb.New(40 * time.Millisecond),
@@ -51,14 +51,14 @@
 	}
 }
 
-// handler serves the operators' paths.
-func (f *fleet) handler() http.Handler {
+// handler returns a handler of the operators' API.
+func (f *fakeFleet) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(operator.NewServer(f, f, f).Handler())
 	return mux
 }
 
-// servePlaintext returns the address of a listener without TLS.
+// servePlaintext serves h over HTTP/2 without TLS and returns the address.
 func servePlaintext(t *testing.T, h http.Handler) string {
 	t.Helper()
 	server := httptest.NewUnstartedServer(h)
@@ -69,9 +69,9 @@
 	return server.Listener.Addr().String()
 }
 
-func TestStatusForProgramsAndPeople(t *testing.T) {
+func TestStatusAsJSONAndText(t *testing.T) {
 	c := qt.New(t)
-	address := servePlaintext(t, newFleet().handler())
+	address := servePlaintext(t, newFakeFleet().handler())
 	got := run(t, "status", "--operator", address, "--insecure-plaintext", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
 	var status bronzeturnv1.StatusResponse
@@ -79,25 +79,25 @@
 	c.Check(status.GetDaemons(), qt.HasLen, 2)
 	c.Check(status.GetConfiguration().GetInForceOn(), qt.Equals, uint32(1))
 
-	people := run(t, "status", "--operator", address, "--insecure-plaintext", "--engines").stdout
+	text := run(t, "status", "--operator", address, "--insecure-plaintext", "--engines").stdout
 	for _, part := range []string{
 		"generation 7, in force on 1 of 2", "ledger writer (2)", "40ms", "h2 did not answer", "h1: suspected",
 		"h1 refused generation 8", "rules.kinds[0].name: missing", "e1 of -: ejected",
 	} {
-		c.Check(people, qt.Contains, part)
+		c.Check(text, qt.Contains, part)
 	}
 }
 
-func TestBillsForProgramsAndPeople(t *testing.T) {
+func TestBillsAsJSONAndText(t *testing.T) {
 	c := qt.New(t)
-	address := servePlaintext(t, newFleet().handler())
+	address := servePlaintext(t, newFakeFleet().handler())
 	got := run(t, "bills", "--operator", address, "--insecure-plaintext", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
 	var bills bronzeturnv1.BillsResponse
 	c.Assert(protojson.Unmarshal([]byte(got.stdout), &bills), qt.IsNil)
 	c.Check(bills.GetTotals()[0].GetCostMicros(), qt.Equals, uint64(1_500_000))
-	people := run(t, "bills", "--operator", address, "--insecure-plaintext")
-	c.Check(contains(people.stdout, "bici", "diag@1", "1.500000"), qt.IsTrue, qt.Commentf("%s", people.stdout))
+	text := run(t, "bills", "--operator", address, "--insecure-plaintext")
+	c.Check(contains(text.stdout, "bici", "diag@1", "1.500000"), qt.IsTrue, qt.Commentf("%s", text.stdout))
 	wrong := run(t, "bills", "--operator", address, "--insecure-plaintext", "--from=yesterday")
 	c.Check(wrong.code, qt.Equals, ExitUsage)
 }
@@ -116,7 +116,7 @@
 		Cert: path("127.0.0.1-operator.pem"), Key: path("127.0.0.1-operator-key.pem"), CA: path("operator-ca.pem"),
 	}, nil)
 	c.Assert(err, qt.IsNil)
-	server := httptest.NewUnstartedServer(newFleet().handler())
+	server := httptest.NewUnstartedServer(newFakeFleet().handler())
 	server.TLS = credentials.Server()
 	server.EnableHTTP2 = true
 	server.StartTLS()
@@ -132,7 +132,7 @@
 	c.Check(none.code, qt.Equals, ExitUsage)
 }
 
-func TestSilentDaemonIsUnavailable(t *testing.T) {
+func TestUnresponsiveDaemonIsUnavailable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = l.Close() }()
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -17,16 +17,17 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// quarantineTimeout bounds a question, quarantineBytes its answer.
+// quarantineTimeout is the time limit for a call, maxQuarantineBytes the size limit of its
+// answer.
 const (
-	quarantineTimeout = 5 * time.Second
-	quarantineBytes   = 8 << 20
+	quarantineTimeout  = 5 * time.Second
+	maxQuarantineBytes = 8 << 20
 )
 
-// quarantineCommand shows the requests that are kept away from engines, or clears one.
+// quarantineCommand shows the requests in quarantine, or clears one.
 type quarantineCommand struct {
-	Daemon string `required:"" env:"BRONZETURN_ENTRY_ADMIN" help:"Address of any entry daemon for readiness or metrics, IP:PORT."`
-	Clear  string `help:"Hash of the request to clear, on all daemons. It may crash engines again." placeholder:"HASH"`
+	Daemon string `required:"" env:"BRONZETURN_ENTRY_ADMIN" help:"Address at which any entry daemon serves readiness or metrics, IP:PORT."`
+	Clear  string `help:"Hash of the request to clear on all daemons. It is sent to engines again and may crash them." placeholder:"HASH"`
 }
 
 // Run implements the command.
@@ -37,7 +38,7 @@
 	if c.Clear != "" {
 		return c.clear(a)
 	}
-	data, status, err := c.ask(a.ctx, http.MethodGet, quarantine.Path)
+	data, status, err := c.call(a.ctx, http.MethodGet, quarantine.Path)
 	if err != nil {
 		return err
 	}
@@ -51,12 +52,12 @@
 	if a.out.json {
 		return a.out.message(list)
 	}
-	a.quarantineTable(list)
+	a.printQuarantine(list)
 	return nil
 }
 
-// quarantineTable prints the entries.
-func (a *app) quarantineTable(list *bronzeturnv1.QuarantineList) {
+// printQuarantine prints a table of the requests in quarantine.
+func (a *app) printQuarantine(list *bronzeturnv1.QuarantineList) {
 	if len(list.GetEntries()) == 0 {
 		a.out.printf("nothing is in quarantine")
 		return
@@ -72,17 +73,17 @@
 	a.out.table([]string{"hash", "service", "versions", "crashed", "first", "last", "tied", "retries left", "told by"}, rows)
 }
 
-// ageOf prints an age.
+// ageOf formats an age.
 func ageOf(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String() + " ago"
 }
 
-// clear clears one entry.
+// clear releases one request from quarantine.
 func (c *quarantineCommand) clear(a *app) error {
 	if _, ok := quarantine.ParseHash(c.Clear); !ok {
 		return usage("--clear must be a hash as the list shows it")
 	}
-	_, status, err := c.ask(a.ctx, http.MethodDelete, quarantine.Path+"/"+c.Clear)
+	_, status, err := c.call(a.ctx, http.MethodDelete, quarantine.Path+"/"+c.Clear)
 	switch {
 	case err != nil:
 		return err
@@ -91,12 +92,12 @@
 	case status != http.StatusNoContent:
 		return fmt.Errorf("daemon %s answered with status %d", c.Daemon, status)
 	}
-	a.out.printf("%s is cleared; it reaches engines again", c.Clear)
+	a.out.printf("%s is cleared; it is sent to engines again", c.Clear)
 	return nil
 }
 
-// ask makes one call and returns the answer's body and status.
-func (c *quarantineCommand) ask(ctx context.Context, method, path string) ([]byte, int, error) {
+// call makes an HTTP call to the daemon and returns the body and status of its answer.
+func (c *quarantineCommand) call(ctx context.Context, method, path string) ([]byte, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Daemon+path, nil)
@@ -107,7 +108,7 @@
 	if err != nil {
 		return nil, 0, &caller.UnavailableError{Address: c.Daemon, Cause: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // Read to its end below.
-	data, err := io.ReadAll(io.LimitReader(resp.Body, quarantineBytes))
+	defer func() { _ = resp.Body.Close() }() // Read below.
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxQuarantineBytes))
 	return data, resp.StatusCode, err
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain reads the log files of daemons and tells the story of one
-// request, or what the fleet believed and when.
+// Package explain analyses the log files of daemons. It reconstructs what happened
+// to one request, lists the state changes of the fleet in order of time, and sums up
+// why requests fell short of their full worth.
 package explain
 
 import (
@@ -12,14 +13,14 @@
 	"time"
 )
 
-// maxLineBytes bounds one log line.
+// maxLineBytes is the length limit of one log line.
 const maxLineBytes = 1 << 20
 
-// Before and after a request, what daemons came to believe in this time is part
-// of its story.
+// State changes this long before a request's first log line and after its last one are
+// part of its timeline.
 const (
-	before = 5 * time.Second
-	after  = time.Second
+	contextBefore = 5 * time.Second
+	contextAfter  = time.Second
 )
 
 // Line is one log line.
@@ -29,22 +30,22 @@
 	Part    string
 	Level   string
 	Message string
-	// Fields are the other fields, each as its JSON text.
+	// Fields holds the other fields in the order of the line.
 	Fields []Field
 }
 
-// Field is one field of a line.
+// Field is one field of a line. Value is its JSON text.
 type Field struct {
 	Name, Value string
 }
 
-// field returns the value of a field without quotes, "" when there is none.
+// field returns the value of a field without quotes, or "" if the line does not have it.
 func (l *Line) field(name string) string {
 	value, _ := l.lookup(name)
 	return strings.Trim(value, `"`)
 }
 
-// lookup returns the JSON text of a field and whether the line has it.
+// lookup returns the JSON text of a field and reports whether the line has it.
 func (l *Line) lookup(name string) (string, bool) {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -54,7 +55,7 @@
 	return "", false
 }
 
-// list returns a field that is a list of texts, nil where it is anything else.
+// list returns the value of a field that is a list of strings, or nil if it is not one.
 func (l *Line) list(name string) (texts []string) {
 	value, _ := l.lookup(name)
 	if json.Unmarshal([]byte(value), &texts) != nil {
@@ -63,9 +64,9 @@
 	return texts
 }
 
-// Read returns the lines of a log in the order of the file. What is not a JSON
-// object with a time is left out and counted.
-func Read(r io.Reader) (lines []Line, skipped int, err error) {
+// ReadLog returns the lines of a log in the order of the file. Lines that are not a JSON
+// object with a time are skipped and counted.
+func ReadLog(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
@@ -79,7 +80,7 @@
 	return lines, skipped, scanner.Err()
 }
 
-// parse reads one line. Text before the object, as collectors add it, is ignored.
+// parse parses one line. It ignores text before the JSON object, which log collectors add.
 func parse(text []byte) (Line, bool) {
 	start := strings.IndexByte(string(text), '{')
 	if start < 0 {
@@ -97,13 +98,13 @@
 		if err != nil || !isName || decoder.Decode(&value) != nil {
 			return Line{}, false
 		}
-		l.set(name, value)
+		l.setField(name, value)
 	}
 	return l, !l.Time.IsZero()
 }
 
-// set files one field.
-func (l *Line) set(name string, value json.RawMessage) {
+// setField stores one field.
+func (l *Line) setField(name string, value json.RawMessage) {
 	var text string
 	isText := json.Unmarshal(value, &text) == nil
 	switch {
@@ -124,8 +125,9 @@
 	}
 }
 
-// Messages that tell a change of what a daemon believes.
-var beliefs = []string{
+// stateChangeMessages are the prefixes of the messages that report a change in the state
+// of a daemon or in what it knows of engines, configuration, store and introductions.
+var stateChangeMessages = []string{
 	"daemon started", "daemon takes requests", "daemon leaves", "daemon stopped", "daemon state changed", "many daemons joined", "many engines changed",
 	"configuration in force", "configuration refused", "store does not answer", "store answers again",
 	"history gone", "watchers of the store changed", "registration names no engine", "copy taken from another daemon", "engine takes work", "engine takes no work",
@@ -135,32 +137,33 @@
 	"lines dropped",
 }
 
-// isBelief tells whether a line tells a change of what a daemon believes.
-func (l *Line) isBelief() bool {
-	return slices.ContainsFunc(beliefs, func(b string) bool { return strings.HasPrefix(l.Message, b) })
+// isStateChange reports whether the line reports such a change.
+func (l *Line) isStateChange() bool {
+	return slices.ContainsFunc(stateChangeMessages, func(prefix string) bool { return strings.HasPrefix(l.Message, prefix) })
 }
 
-// byTime orders lines by their time, which hosts' clocks may set apart.
-func byTime(lines []Line) {
+// sortByTime sorts lines by their time. The clocks of hosts may differ, so lines of
+// different hosts may be in the wrong order.
+func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Timeline returns all changes of belief in the order of their time.
+// Timeline returns the lines that report state changes, in order of time.
 func Timeline(lines []Line) []Line {
-	var kept []Line
+	var changes []Line
 	for _, l := range lines {
-		if l.isBelief() {
-			kept = append(kept, l)
+		if l.isStateChange() {
+			changes = append(changes, l)
 		}
 	}
-	byTime(kept)
-	return kept
+	sortByTime(changes)
+	return changes
 }
 
-// Story returns the lines of one request, and around them what its daemon and
-// any daemon came to believe of its engines and service. It is empty when no
-// line names the request.
-func Story(lines []Line, request string) []Line {
+// RequestTimeline returns the lines of one request in order of time, together with the
+// state changes around it that concern its engines or its service on any daemon, and
+// other state changes of its own daemon. It is empty if no line names the request.
+func RequestTimeline(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
 		if l.field("request") == request {
@@ -170,65 +173,67 @@
 	if len(own) == 0 {
 		return nil
 	}
-	byTime(own)
-	about := aboutOf(own)
-	story := own
+	sortByTime(own)
+	scope := scopeOf(own)
+	timeline := own
 	for _, l := range lines {
-		if l.isBelief() && about.concerns(&l) {
-			story = append(story, l)
+		if l.isStateChange() && scope.includes(&l) {
+			timeline = append(timeline, l)
 		}
 	}
-	byTime(story)
-	return story
+	sortByTime(timeline)
+	return timeline
 }
 
-// about is what a request had to do with.
-type about struct {
+// requestScope holds the time span, host, service and engines of a request. Engines that
+// its log lines name are included even if they did not answer.
+type requestScope struct {
 	from, to time.Time
 	host     string
 	service  string
 	engines  map[string]bool
 }
 
-// aboutOf collects it from the request's own lines.
-func aboutOf(own []Line) about {
-	a := about{engines: make(map[string]bool)}
+// scopeOf returns the scope that the request's own lines, sorted by time, give.
+func scopeOf(own []Line) requestScope {
+	scope := requestScope{engines: make(map[string]bool)}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for i := range own {
-		a.host = own[i].Host
+		scope.host = own[i].Host
 		if s := own[i].field("service"); s != "" {
-			a.service = s
+			scope.service = s
 		}
 		if e := own[i].field("engine"); e != "" {
-			a.engines[e] = true
+			scope.engines[e] = true
 		}
 		for _, e := range own[i].list("engines") {
-			a.engines[e] = true
+			scope.engines[e] = true
 		}
 	}
-	a.from, a.to = first.Add(-before), last.Add(after)
-	return a
+	scope.from, scope.to = first.Add(-contextBefore), last.Add(contextAfter)
+	return scope
 }
 
-// concerns tells whether a change of belief belongs to the story.
-func (a *about) concerns(l *Line) bool {
-	if l.Time.Before(a.from) || l.Time.After(a.to) {
+// includes reports whether a state change concerns the request. A line that names
+// engines is matched by engine, else one that names a service by service, else by host.
+func (scope *requestScope) includes(l *Line) bool {
+	if l.Time.Before(scope.from) || l.Time.After(scope.to) {
 		return false
 	}
 	if engine := l.field("engine"); engine != "" {
-		return a.engines[engine]
+		return scope.engines[engine]
 	}
 	if engines := l.list("engines"); len(engines) > 0 {
-		return slices.ContainsFunc(engines, func(e string) bool { return a.engines[e] })
+		return slices.ContainsFunc(engines, func(e string) bool { return scope.engines[e] })
 	}
 	if service := l.field("service"); service != "" {
-		return service == a.service
+		return service == scope.service
 	}
-	return l.Host == a.host
+	return l.Host == scope.host
 }
 
-// Write prints lines for people.
-func Write(w io.Writer, lines []Line) error {
+// WriteLines writes lines as text, with the time of day, host, message and fields.
+func WriteLines(w io.Writer, lines []Line) error {
 	for _, l := range lines {
 		var fields strings.Builder
 		for _, f := range l.Fields {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -20,10 +20,10 @@
 {"level":"info","host":"h2","service":"s1","state":"running","time":"2026-02-01T22:57:30.000Z","message":"introduction ordered"}
 `
 
-func both(c *qt.C) []Line {
+func readBothLogs(c *qt.C) []Line {
 	var all []Line
 	for _, text := range []string{log1, log2} {
-		lines, _, err := Read(strings.NewReader(text))
+		lines, _, err := ReadLog(strings.NewReader(text))
 		c.Assert(err, qt.IsNil)
 		all = append(all, lines...)
 	}
@@ -37,41 +37,41 @@
 	return all
 }
 
-func TestStoryHoldsTheRequestAndWhatConcernedIt(t *testing.T) {
+func TestRequestTimelineIncludesRelatedStateChanges(t *testing.T) {
 	c := qt.New(t)
-	got := Story(both(c), "r1")
+	got := RequestTimeline(readBothLogs(c), "r1")
 	c.Check(messages(got), qt.DeepEquals, []string{
 		"h1 configuration in force", "h2 belief about an engine changed", "h1 attempt failed", "h1 request ended",
 	})
-	c.Check(Story(both(c), "r9"), qt.HasLen, 0)
+	c.Check(RequestTimeline(readBothLogs(c), "r9"), qt.HasLen, 0)
 }
 
-func TestStoryHoldsWhatManyEnginesHaveInCommon(t *testing.T) {
+func TestRequestTimelineMatchesListsOfEngines(t *testing.T) {
 	c := qt.New(t)
-	lines, _, err := Read(strings.NewReader(`{"host":"h1","engines":["e7","e1"],"time":"2026-02-01T22:57:43.000Z","message":"engine is cold"}
+	lines, _, err := ReadLog(strings.NewReader(`{"host":"h1","engines":["e7","e1"],"time":"2026-02-01T22:57:43.000Z","message":"engine is cold"}
 {"host":"h1","engines":["e8"],"time":"2026-02-01T22:57:43.100Z","message":"engine is cold"}
 {"host":"h1","data_centre":"hall-1","engines":20,"time":"2026-02-01T22:57:43.200Z","message":"data centre evacuated, its engines get nothing new"}
 {"host":"h1","request":"r1","engines":["e1"],"time":"2026-02-01T22:57:44.000Z","message":"request ended"}
 `))
 	c.Assert(err, qt.IsNil)
-	c.Check(messages(Story(lines, "r1")), qt.DeepEquals, []string{
+	c.Check(messages(RequestTimeline(lines, "r1")), qt.DeepEquals, []string{
 		"h1 engine is cold", "h1 data centre evacuated, its engines get nothing new", "h1 request ended",
 	})
 	c.Check(Timeline(lines), qt.HasLen, 3)
 }
 
-func TestTimelineIsOrderedOverHosts(t *testing.T) {
+func TestTimelineIsSortedAcrossHosts(t *testing.T) {
 	c := qt.New(t)
-	got := messages(Timeline(both(c)))
+	got := messages(Timeline(readBothLogs(c)))
 	c.Check(got, qt.DeepEquals, []string{
 		"h2 introduction ordered", "h1 configuration in force", "h2 belief about an engine changed",
 		"h2 belief about an engine changed", "h2 configuration in force",
 	})
 }
 
-func TestOtherTextIsCounted(t *testing.T) {
+func TestUnparsableLinesAreCounted(t *testing.T) {
 	c := qt.New(t)
-	lines, skipped, err := Read(strings.NewReader(log1 + `{"time":"never"}` + "\n{\n"))
+	lines, skipped, err := ReadLog(strings.NewReader(log1 + `{"time":"never"}` + "\n{\n"))
 	c.Assert(err, qt.IsNil)
 	c.Check(lines, qt.HasLen, 4)
 	c.Check(skipped, qt.Equals, 3)
@@ -80,8 +80,8 @@
 func FuzzRead(f *testing.F) {
 	f.Add(log1)
 	f.Fuzz(func(t *testing.T, text string) {
-		lines, _, _ := Read(strings.NewReader(text)) // Must not panic.
+		lines, _, _ := ReadLog(strings.NewReader(text)) // Must not panic.
 		_ = Timeline(lines)
-		_ = Story(lines, "r1")
+		_ = RequestTimeline(lines, "r1")
 	})
 }
--- a/jsoncall/jsoncall_test.go
+++ b/jsoncall/jsoncall_test.go
@@ -14,7 +14,7 @@
 	"github.com/bronzeturn/bronzeturn/jsoncall"
 )
 
-func TestAnswersAreTyped(t *testing.T) {
+func TestErrorsAreTyped(t *testing.T) {
 	tests := []struct {
 		name    string
 		status  int
@@ -54,12 +54,12 @@
 			var failed *jsoncall.Error
 			c.Assert(errors.As(err, &failed), qt.IsTrue)
 			c.Assert(failed.Status, qt.Equals, test.status)
-			wait, limited := jsoncall.RateLimited(err)
+			wait, limited := jsoncall.RateLimitDelay(err)
 			c.Assert(limited, qt.Equals, test.limited)
 			if limited {
 				c.Assert(wait, qt.Equals, 7*time.Second)
 			}
-			c.Assert(jsoncall.NotFound(err), qt.Equals, test.absent)
+			c.Assert(jsoncall.IsNotFound(err), qt.Equals, test.absent)
 		})
 	}
 }
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// boundedLines is how many lines may wait for a reader that is slow.
-	boundedLines = 4096
-	// gatherTime is how long lines are gathered before they are written together.
-	gatherTime = 50 * time.Millisecond
-	// maxGather bounds the bytes written together.
-	maxGather = 64 << 10
-	// closeWait bounds the wait for a reader at the end.
-	closeWait = 300 * time.Millisecond
+	// maxQueuedLines is the largest number of lines that wait for a slow reader.
+	maxQueuedLines = 4096
+	// batchDelay is how long lines are collected before they are written in one call.
+	batchDelay = 50 * time.Millisecond
+	// maxBatchBytes is the size at which a batch is written without taking further lines.
+	maxBatchBytes = 64 << 10
+	// closeTimeout is how long Close waits for a slow reader.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// Bounded is a writer for log lines that never blocks: lines wait in bounded
-// memory, and what does not fit is dropped and counted in the log itself.
-type Bounded struct {
+// AsyncWriter writes log lines in the background, so that a slow reader of the log never
+// blocks the daemon. Lines wait in a queue of limited length. When it is full, further
+// lines are dropped, and their number is logged with the next batch.
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
 	closing chan struct{}
@@ -29,32 +30,33 @@
 	once    sync.Once
 }
 
-// NewBounded returns a writer that passes lines on to w.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, boundedLines), closing: make(chan struct{}), done: make(chan struct{})}
+// NewAsyncWriter returns a writer that writes lines to w in a goroutine of its own.
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
-// Write implements io.Writer for one line. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
-	kept := make([]byte, len(line))
-	copy(kept, line)
+// Write implements io.Writer. It queues a copy of line, never blocks and never fails.
+func (b *AsyncWriter) Write(line []byte) (int, error) {
+	queued := make([]byte, len(line))
+	copy(queued, line)
 	select {
-	case b.lines <- kept:
+	case b.lines <- queued:
 	default:
 		b.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped and not yet told of in the log.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+// Dropped returns the number of dropped lines that have not been logged yet.
+func (b *AsyncWriter) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes what waits, unless the reader takes too long.
-func (b *Bounded) Close() {
+// Close writes the queued lines. It returns after closeTimeout even if the reader has not
+// taken them all.
+func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
-	timer := time.NewTimer(closeWait)
+	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
 	case <-b.done:
@@ -62,13 +64,13 @@
 	}
 }
 
-// run writes lines until Close.
-func (b *Bounded) run(w io.Writer) {
+// run writes lines in batches until Close is called.
+func (b *AsyncWriter) run(w io.Writer) {
 	defer close(b.done)
 	for {
 		select {
 		case line := <-b.lines:
-			b.pause()
+			b.waitForBatch()
 			b.flush(w, line)
 		case <-b.closing:
 			b.flush(w, nil)
@@ -77,9 +79,9 @@
 	}
 }
 
-// pause lets more lines gather.
-func (b *Bounded) pause() {
-	timer := time.NewTimer(gatherTime)
+// waitForBatch waits for batchDelay, or until Close is called, so that more lines are queued.
+func (b *AsyncWriter) waitForBatch() {
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -87,14 +89,14 @@
 	}
 }
 
-// flush writes the lines that wait.
-func (b *Bounded) flush(w io.Writer, first []byte) {
+// flush writes first and all queued lines, in batches.
+func (b *AsyncWriter) flush(w io.Writer, first []byte) {
 	batch := append([]byte(nil), first...)
 	for {
 		select {
 		case line := <-b.lines:
 			batch = append(batch, line...)
-			if len(batch) < maxGather {
+			if len(batch) < maxBatchBytes {
 				continue
 			}
 		default:
@@ -105,7 +107,7 @@
 		batch = fmt.Appendf(batch, `{"level":"warn","part":"logging","dropped":%d,"message":"lines dropped, the reader was too slow"}`+"\n", n)
 	}
 	if len(batch) > 0 {
-		_, _ = w.Write(batch) // There is no other place to tell of a log that fails.
+		_, _ = w.Write(batch) // An error of the log itself can't be logged.
 	}
 	if len(b.lines) > 0 {
 		b.flush(w, nil)
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -12,7 +12,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// reader takes writes, or blocks them until it is released.
+// reader stores what is written to it. If stop is not nil, writes block until stop is
+// closed.
 type reader struct {
 	mu   sync.Mutex
 	got  bytes.Buffer
@@ -34,14 +35,14 @@
 	return r.got.String()
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{}
-		b := NewBounded(r)
+		b := NewAsyncWriter(r)
 		for i := range 3 {
 			_, _ = fmt.Fprintf(b, "line %d\n", i)
 		}
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		qt.Check(t, r.text(), qt.Equals, "line 0\nline 1\nline 2\n")
 		_, _ = fmt.Fprintln(b, "last")
 		b.Close()
@@ -50,23 +51,23 @@
 	})
 }
 
-// TestReaderThatStoppedBlocksNobody writes far more than fits while nobody reads.
-func TestReaderThatStoppedBlocksNobody(t *testing.T) {
+// Writes three times as many lines as the queue holds while the reader is blocked.
+func TestBlockedReaderDoesNotBlockWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{stop: make(chan struct{})}
-		b := NewBounded(r)
+		b := NewAsyncWriter(r)
 		_, _ = fmt.Fprintln(b, "first")
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		start := time.Now()
-		for i := range 3 * boundedLines {
+		for i := range 3 * maxQueuedLines {
 			_, _ = fmt.Fprintf(b, "line %d\n", i)
 		}
 		qt.Check(t, time.Since(start), qt.Equals, time.Duration(0))
-		qt.Check(t, b.Dropped(), qt.Equals, uint64(2*boundedLines))
+		qt.Check(t, b.Dropped(), qt.Equals, uint64(2*maxQueuedLines))
 		close(r.stop)
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * batchDelay)
 		b.Close()
 		synctest.Wait()
-		qt.Check(t, strings.Contains(r.text(), fmt.Sprintf(`"dropped":%d`, 2*boundedLines)), qt.IsTrue)
+		qt.Check(t, strings.Contains(r.text(), fmt.Sprintf(`"dropped":%d`, 2*maxQueuedLines)), qt.IsTrue)
 	})
 }
--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -78,10 +78,10 @@
 }
 
 func translate(op string, err error) error {
-	if wait, ok := jsoncall.RateLimited(err); ok {
+	if wait, ok := jsoncall.RateLimitDelay(err); ok {
 		return &RateLimitError{RetryAfter: wait}
 	}
-	if jsoncall.NotFound(err) {
+	if jsoncall.IsNotFound(err) {
 		return ErrNotFound
 	}
 	return fmt.Errorf("%s weights: %w", op, err)
