--- a/e2e/entry_test.go
+++ b/e2e/entry_test.go
@@ -244,7 +244,7 @@
 	f.c.Check(f.runsIn(zone, 6), qt.Equals, 0, qt.Commentf("a daemon that starts in an outage knows of the evacuation"))
 	f.store.SetFaults(emulator.StoreFaults{})
 
-	f.store.TakeBack(zone)
+	f.store.EndEvacuation(zone)
 	f.eventually("work in the data centre again", func() bool { return f.runsIn(zone, 4) > 0 })
 }
 
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -51,7 +51,7 @@
 		r.store.SetFaults(emulator.StoreFaults{LoseWrites: 3, Delay: 80 * time.Millisecond})
 		return func() { r.store.SetFaults(emulator.StoreFaults{}) }
 	}},
-	{"history forgotten", func(r *run) func() { r.store.Forget(); return nil }},
+	{"history forgotten", func(r *run) func() { r.store.DropHistory(); return nil }},
 	{"configuration changed", func(r *run) func() {
 		r.version++
 		_, _ = r.store.Put("config", "main", emulator.Config(r.version)) // The emulated store takes every document.
@@ -78,7 +78,7 @@
 		if err := r.store.Evacuate(zone); err != nil {
 			r.checks.broke("evacuation of %s not written: %v", zone, err)
 		}
-		return func() { r.store.TakeBack(zone) }
+		return func() { r.store.EndEvacuation(zone) }
 	}},
 }
 
