--- a/soak/faults.go
+++ b/soak/faults.go
@@ -48,7 +48,7 @@
 		return func() { r.store.SetFaults(emulator.StoreFaults{}) }
 	}},
 	{"store loses answers and is slow", func(r *run) func() {
-		r.store.SetFaults(emulator.StoreFaults{LoseWrites: 3, Delay: 80 * time.Millisecond})
+		r.store.SetFaults(emulator.StoreFaults{LoseWriteAnswers: 3, Delay: 80 * time.Millisecond})
 		return func() { r.store.SetFaults(emulator.StoreFaults{}) }
 	}},
 	{"history forgotten", func(r *run) func() { r.store.DropHistory(); return nil }},
