--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -250,7 +250,7 @@
 	for range 5 {
 		live := f.record.Live(f.engines)
 		for _, e := range live[:len(live)/3] {
-			e.CrashAndReturn()
+			e.CrashAndRestart()
 		}
 		time.Sleep(1500 * time.Millisecond)
 	}
--- a/e2e/entry_test.go
+++ b/e2e/entry_test.go
@@ -280,7 +280,7 @@
 func TestDrainingEngineGetsNothingNew(t *testing.T) {
 	f := newEntryFleet(t, 3, 3, 1, usualBounds)
 	f.c.Assert(f.engines[0].Register("draining"), qt.IsNil)
-	f.engines[1].Vanish()
+	f.engines[1].Deregister()
 	f.eventually("both passed over", func() bool {
 		before := len(f.record.Runs(""))
 		for i := range 9 {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -63,14 +63,14 @@
 	{"engine gives foreign answers", engineFault(emulator.EngineFaults{Foreign: true})},
 	{"engine breaks streams", engineFault(emulator.EngineFaults{BreakAfter: 3, Short: true})},
 	{"engine full", engineFault(emulator.EngineFaults{Full: true})},
-	{"engine crashes", func(r *run) func() { r.engine().CrashAndReturn(); return nil }},
+	{"engine crashes", func(r *run) func() { r.engine().CrashAndRestart(); return nil }},
 	{"request crashes engines", func(r *run) func() { return r.insist() }},
 	{"engine replaced", func(r *run) func() {
 		e := r.engine()
 		if r.addEngine(e.Spec.Service, coldFor) != nil {
 			return nil
 		}
-		e.Vanish()
+		e.Deregister()
 		return func() { e.Crash() }
 	}},
 	{"data centre evacuated", func(r *run) func() {
