--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -31,7 +31,7 @@
 
 // crashes makes engines end by such requests and come back.
 var crashes = emulator.CrashSpec{
-	Body: crashBody, After: 30 * time.Millisecond, Back: time.Second, Lapse: 1500 * time.Millisecond,
+	BodyPrefix: crashBody, Delay: 30 * time.Millisecond, RestartAfter: time.Second, DeregisterAfter: 1500 * time.Millisecond,
 }
 
 // newCrashFleet starts n daemons before engines that such requests crash.
@@ -315,7 +315,7 @@
 	background := harmless.run(f, 60, stop)
 	time.Sleep(time.Second)
 	onAll := crashes
-	onAll.Body = "harmless"
+	onAll.BodyPrefix = "harmless"
 	f.c.Check(f.introduceModel(t, 6, onAll, 12*time.Second), qt.Equals, "rolled_back")
 	from := time.Now()
 	time.Sleep(2 * time.Second)
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -27,7 +27,7 @@
 
 // crashes makes engines end by such requests and come back.
 var crashes = emulator.CrashSpec{
-	Body: crashBody, After: 30 * time.Millisecond, Back: time.Second, Lapse: 1500 * time.Millisecond,
+	BodyPrefix: crashBody, Delay: 30 * time.Millisecond, RestartAfter: time.Second, DeregisterAfter: 1500 * time.Millisecond,
 }
 
 // insist has a caller repeat a request that crashes engines, at any daemon. It returns how
