--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -248,7 +248,7 @@
 	}
 	time.Sleep(time.Second)
 	for range 5 {
-		live := f.record.Live(f.engines)
+		live := f.record.LiveEngines(f.engines)
 		for _, e := range live[:len(live)/3] {
 			e.CrashAndRestart()
 		}
