--- a/e2e/entry_test.go
+++ b/e2e/entry_test.go
@@ -61,7 +61,7 @@
 func (f *entryFleet) addDaemons(n int) {
 	first := len(f.daemons)
 	for i := first; i < first+n; i++ {
-		d, err := emulator.FreeDaemon(fmt.Sprintf("entry-%d", i), zoneOf(i))
+		d, err := emulator.NewDaemon(fmt.Sprintf("entry-%d", i), zoneOf(i))
 		f.c.Assert(err, qt.IsNil)
 		f.daemons = append(f.daemons, d)
 	}
@@ -159,7 +159,7 @@
 func wholeStream(id string, events int) string {
 	var all strings.Builder
 	for n := 1; n <= events; n++ {
-		all.WriteString(emulator.Event(id, n))
+		all.WriteString(emulator.EventText(id, n))
 	}
 	return all.String()
 }
@@ -168,7 +168,7 @@
 	f := newEntryFleet(t, 3, 2, 2, usualBounds)
 	for i := range f.daemons {
 		once := f.send(i, http.MethodPost, "/once/x")
-		f.c.Check(once.body, qt.Equals, emulator.Body(once.id, []byte("body")))
+		f.c.Check(once.body, qt.Equals, emulator.AnswerBody(once.id, []byte("body")))
 		f.c.Check(f.send(i, http.MethodGet, "/safe/x").status, qt.Equals, http.StatusOK)
 		s := f.stream(i)
 		f.c.Check(s.err, qt.IsNil)
@@ -273,8 +273,8 @@
 			warm = append(warm, run.At)
 		}
 	}
-	f.c.Check(len(while) <= 2*usualBounds.MostCold(), qt.IsTrue, qt.Commentf("%d requests in two seconds", len(while)))
-	f.c.Check(len(warm) > 2*usualBounds.MostCold(), qt.IsTrue, qt.Commentf("%d requests in a second when it was warm", len(warm)))
+	f.c.Check(len(while) <= 2*usualBounds.MaxColdRequests(), qt.IsTrue, qt.Commentf("%d requests in two seconds", len(while)))
+	f.c.Check(len(warm) > 2*usualBounds.MaxColdRequests(), qt.IsTrue, qt.Commentf("%d requests in a second when it was warm", len(warm)))
 }
 
 func TestDrainingEngineGetsNothingNew(t *testing.T) {
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -115,11 +115,11 @@
 
 // check compares an answer with what the engines send.
 func (c *checks) check(id, target string, once bool, status int, body string, err error) bool {
-	want := emulator.Body(id, []byte("body"))
+	want := emulator.AnswerBody(id, []byte("body"))
 	if strings.HasPrefix(target, "/stream") {
 		want = ""
 		for n := 1; n <= streamEvents; n++ {
-			want += emulator.Event(id, n)
+			want += emulator.EventText(id, n)
 		}
 	}
 	switch {
@@ -217,7 +217,7 @@
 			for times[i].Sub(times[first]) >= time.Second {
 				first++
 			}
-			if got := i - first + 1; got > bounds.MostCold() {
+			if got := i - first + 1; got > bounds.MaxColdRequests() {
 				c.broke("%s got %d requests within a second while it was cold", e.Spec.ID, got)
 				break
 			}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -129,7 +129,7 @@
 	}
 	var seeds []string
 	for i := range r.Daemons {
-		d, err := emulator.FreeDaemon(fmt.Sprintf("entry-%d", i), fmt.Sprintf("hall-%d", i%3))
+		d, err := emulator.NewDaemon(fmt.Sprintf("entry-%d", i), fmt.Sprintf("hall-%d", i%3))
 		if err != nil {
 			return err
 		}
