--- a/dispatch.go
+++ b/dispatch.go
@@ -53,7 +53,7 @@
 // Call implements router.ServiceClient.
 func (g gatedServices) Call(ctx context.Context, c plainservice.Call) (*plainservice.Response, error) {
 	if f := g.gate.refusal(""); f != nil {
-		return nil, &plainservice.Error{Kind: plainservice.Refused, Ran: failure.RanNo}
+		return nil, &plainservice.Error{Kind: plainservice.KindRefused, Ran: failure.RanNo}
 	}
 	return g.next.Call(ctx, c)
 }
--- a/plainservice/plainservice.go
+++ b/plainservice/plainservice.go
@@ -24,17 +24,17 @@
 
 // The kinds. The comment names the value of Ran.
 const (
-	// Unreachable: no connection, or nothing was written to it. Not run.
-	Unreachable Kind = "unreachable"
-	// Refused: the service declined with a mark that it did not run. Not run.
-	Refused Kind = "refused"
-	// Broken: the connection ended before the whole answer came. Unknown, or
+	// KindUnreachable: no connection, or nothing was written to it. Not run.
+	KindUnreachable Kind = "unreachable"
+	// KindRefused: the service declined with a mark that it did not run. Not run.
+	KindRefused Kind = "refused"
+	// KindBroken: the connection ended before the whole answer came. Unknown, or
 	// run when part of the answer came.
-	Broken Kind = "broken"
-	// Silent: no progress within the progress timeout. Unknown, or run.
-	Silent Kind = "silent"
-	// Canceled: the caller's context ended.
-	Canceled Kind = "canceled"
+	KindBroken Kind = "broken"
+	// KindSilent: no progress within the progress timeout. Unknown, or run.
+	KindSilent Kind = "silent"
+	// KindCanceled: the caller's context ended.
+	KindCanceled Kind = "canceled"
 )
 
 // Error is a failure of a call. An answer with any status is not a failure,
@@ -101,7 +101,7 @@
 // Call sends the call once and reads its whole answer. The error is an *Error.
 func (c *Client) Call(ctx context.Context, call Call) (*Response, error) {
 	if !strings.HasPrefix(call.Path, "/") {
-		return nil, &Error{Kind: Unreachable, Ran: failure.RanNo, cause: errPath}
+		return nil, &Error{Kind: KindUnreachable, Ran: failure.RanNo, cause: errPath}
 	}
 	x, err := attempt.Send(ctx, c.transport, attempt.Request{
 		Method: call.Method, URL: "http://" + call.Address + call.Path,
@@ -116,10 +116,10 @@
 		return nil, translate(err, x.Status)
 	}
 	if len(body) > MaxBodyBytes {
-		return nil, &Error{Kind: Broken, Ran: failure.RanYes, Status: x.Status, cause: errTooLong}
+		return nil, &Error{Kind: KindBroken, Ran: failure.RanYes, Status: x.Status, cause: errTooLong}
 	}
 	if x.Status >= http.StatusBadRequest && x.Header.Get(HeaderNotRun) == "true" {
-		return nil, &Error{Kind: Refused, Ran: failure.RanNo, Status: x.Status, cause: errNotRun}
+		return nil, &Error{Kind: KindRefused, Ran: failure.RanNo, Status: x.Status, cause: errNotRun}
 	}
 	return &Response{Status: x.Status, Header: endToEnd(x.Header), Body: body}, nil
 }
@@ -146,22 +146,22 @@
 
 // translate types a failed attempt.
 func translate(err error, status int) *Error {
-	e := &Error{Kind: Broken, Ran: failure.RanUnknown, Status: status, cause: err}
+	e := &Error{Kind: KindBroken, Ran: failure.RanUnknown, Status: status, cause: err}
 	var a *attempt.Error
 	if !errors.As(err, &a) {
 		return e
 	}
 	switch a.Stage {
 	case attempt.NotSent:
-		e.Kind, e.Ran = Unreachable, failure.RanNo
+		e.Kind, e.Ran = KindUnreachable, failure.RanNo
 	case attempt.Answered:
 		e.Ran = failure.RanYes
 	}
 	switch {
 	case a.Reason == attempt.Canceled:
-		e.Kind = Canceled
+		e.Kind = KindCanceled
 	case a.Reason == attempt.Silent && a.Stage != attempt.NotSent:
-		e.Kind = Silent
+		e.Kind = KindSilent
 	}
 	return e
 }
--- a/plainservice/plainservice_test.go
+++ b/plainservice/plainservice_test.go
@@ -74,9 +74,9 @@
 		ran   failure.Ran
 		times int
 	}{
-		{"refused", standin.Faults{Refuse: true}, plainservice.Refused, failure.RanNo, 0},
-		{"lost answer", standin.Faults{LoseAnswers: 1}, plainservice.Broken, failure.RanUnknown, 1},
-		{"silent connection", standin.Faults{SilenceConnections: true}, plainservice.Silent, failure.RanUnknown, 0},
+		{"refused", standin.Faults{Refuse: true}, plainservice.KindRefused, failure.RanNo, 0},
+		{"lost answer", standin.Faults{LoseAnswers: 1}, plainservice.KindBroken, failure.RanUnknown, 1},
+		{"silent connection", standin.Faults{SilenceConnections: true}, plainservice.KindSilent, failure.RanUnknown, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -105,7 +105,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.Close(), qt.IsNil)
 	failed := failureOf(c, newClient(c), call(l.Addr().String()))
-	c.Assert(failed.Kind, qt.Equals, plainservice.Unreachable)
+	c.Assert(failed.Kind, qt.Equals, plainservice.KindUnreachable)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 	bad := call(l.Addr().String())
 	bad.Path = "@other/"
@@ -120,7 +120,7 @@
 	}))
 	defer server.Close()
 	failed := failureOf(c, newClient(c), call(strings.TrimPrefix(server.URL, "http://")))
-	c.Assert(failed.Kind, qt.Equals, plainservice.Broken)
+	c.Assert(failed.Kind, qt.Equals, plainservice.KindBroken)
 	c.Assert(failed.Ran, qt.Equals, failure.RanYes)
 }
 
--- a/router/service.go
+++ b/router/service.go
@@ -184,9 +184,9 @@
 	}
 	var typed *plainservice.Error
 	if !errors.As(err, &typed) {
-		typed = &plainservice.Error{Kind: plainservice.Broken, Ran: failure.RanUnknown}
+		typed = &plainservice.Error{Kind: plainservice.KindBroken, Ran: failure.RanUnknown}
 	}
-	if typed.Kind == plainservice.Canceled {
+	if typed.Kind == plainservice.KindCanceled {
 		breaker.Abandon(time.Now())
 	} else {
 		breaker.Failure(time.Now())
@@ -207,11 +207,11 @@
 
 // serviceKinds maps failures of plain services to those of the retry policy.
 var serviceKinds = map[plainservice.Kind]retry.Kind{
-	plainservice.Unreachable: retry.KindConnect,
-	plainservice.Refused:     retry.KindRefused,
-	plainservice.Broken:      retry.KindBroken,
-	plainservice.Silent:      retry.KindSilent,
-	plainservice.Canceled:    retry.KindCancelled,
+	plainservice.KindUnreachable: retry.KindConnect,
+	plainservice.KindRefused:     retry.KindRefused,
+	plainservice.KindBroken:      retry.KindBroken,
+	plainservice.KindSilent:      retry.KindSilent,
+	plainservice.KindCanceled:    retry.KindCancelled,
 }
 
 // retryServiceOrFail decides whether to retry a failed call, and waits for the backoff
@@ -234,7 +234,7 @@
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return failure.Wrap(err, failure.CodeDeadlinePassed, ran, "the deadline passed before an answer came")
-	case err.Kind == plainservice.Canceled:
+	case err.Kind == plainservice.KindCanceled:
 		return failure.Wrap(err, failure.CodeCanceled, ran, "the request was canceled")
 	case ran == failure.RanNo:
 		return failure.Wrap(err, failure.CodeNoCapacity, ran, "the service did not take the call").After(busyRetryAfter)
