--- a/entry/directory.go
+++ b/entry/directory.go
@@ -24,7 +24,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return nil
 		}
-		return d.Documents.AnswerAddresses(w, list, d.current.Load().AddressTTL.Seconds())
+		return d.Documents.WriteAddresses(w, list, d.current.Load().AddressTTL.Seconds())
 	})
 	return mux
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -101,12 +101,12 @@
 	Config(s *follow.Snapshot) (route.Config, bool, error)
 	Engine(item follow.Item) (inventory.Registration, error)
 	Order(item follow.Item) (canary.Order, canary.State, error)
-	// Evacuated returns the names of the data centres whose evacuation has been requested.
-	Evacuated(s *follow.Snapshot) []string
+	// EvacuatedDataCentres returns the names of the data centres whose evacuation has been requested.
+	EvacuatedDataCentres(s *follow.Snapshot) []string
 	OrderStatus(target string, state canary.State) (json.RawMessage, error)
 	AddressesPath() string
 	AddressQuery(r *http.Request) AddressQuery
-	AnswerAddresses(w http.ResponseWriter, list []string, keepSeconds float64) error
+	WriteAddresses(w http.ResponseWriter, list []string, keepSeconds float64) error
 }
 
 // Options configure a Daemon.
--- a/entry/evacuations.go
+++ b/entry/evacuations.go
@@ -27,7 +27,7 @@
 
 // evacuationsChanged puts the requested evacuations in force. Calls must not overlap.
 func (d *Daemon) evacuationsChanged(u follow.Update) {
-	next := d.Documents.Evacuated(u.Snapshot)
+	next := d.Documents.EvacuatedDataCentres(u.Snapshot)
 	before := d.evacuated.list()
 	d.evacuated.names.Store(&next)
 	for _, name := range next {
--- a/entry/evacuations_test.go
+++ b/entry/evacuations_test.go
@@ -20,7 +20,7 @@
 // namesAsEvacuated decodes evacuations whose object names are the names of the data centres.
 type namesAsEvacuated struct{ testDocuments }
 
-func (namesAsEvacuated) Evacuated(s *follow.Snapshot) (names []string) {
+func (namesAsEvacuated) EvacuatedDataCentres(s *follow.Snapshot) (names []string) {
 	for item := range s.All() {
 		names = append(names, item.Name)
 	}
