--- a/hostlist/hostlist.go
+++ b/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is the adapter of the platform's host list, which shows live
-// and leaving hosts with a lag.
+// Package hostlist is the client of the platform's host list, which contains live
+// and leaving hosts and may lag behind their actual state.
 package hostlist
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/bronzeturn/bronzeturn/jsoncall"
 )
 
-// Path is where the host list answers.
+// Path is the path of the host list.
 const Path = "/v1/hosts"
 
 // State is the state of a listed host.
 type State string
 
-// The states of listed hosts. A host that is gone is not listed.
+// The states of listed hosts. A host that has left is no longer listed.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
@@ -41,15 +41,15 @@
 	Revision uint64 `json:"revision"`
 }
 
-// List is the host list at one revision, which rises with every change.
+// List is the host list at one revision, which increases with every change.
 type List struct {
 	Revision uint64 `json:"revision"`
 	Hosts    []Host `json:"hosts"`
 }
 
-// DecodeError is a list that cannot be used.
+// DecodeError reports an invalid list.
 type DecodeError struct {
-	// Host is the index of the bad entry, or -1.
+	// Host is the index of the invalid entry, or -1 if the list cannot be decoded.
 	Host  int
 	Field string
 	cause error
@@ -68,14 +68,14 @@
 	calls *jsoncall.Client
 }
 
-// New returns a Client for the host list at baseURL. Nil stands for
+// New returns a Client for the host list at baseURL. A nil client means
 // http.DefaultClient.
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{calls: jsoncall.New(baseURL, client)}
 }
 
-// List returns the list as the platform shows it now. The error is a
-// *jsoncall.Error when no answer came, a *DecodeError when it is not a list.
+// List reads the list. The error wraps a *jsoncall.Error if the call failed, and is a
+// *DecodeError if the answer is not a valid list.
 func (c *Client) List(ctx context.Context) (List, error) {
 	var raw json.RawMessage
 	if err := c.calls.Get(ctx, Path, &raw); err != nil {
@@ -84,9 +84,9 @@
 	return Decode(raw)
 }
 
-// ListChanged returns the list unless its revision is still the known one. It
-// reports whether it returned a list. Most calls carry no list, which matters
-// to those that ask several times a second.
+// ListChanged returns the list, or false if its revision is still the known one. As
+// most answers then contain no list, it suits callers that poll several times a
+// second. The errors are those of List.
 func (c *Client) ListChanged(ctx context.Context, known uint64) (List, bool, error) {
 	var raw json.RawMessage
 	changed, err := c.calls.GetChanged(ctx, Path, EntityTag(known), &raw)
@@ -100,7 +100,7 @@
 	return list, err == nil, err
 }
 
-// EntityTag is the entity tag of the list at a revision, empty for zero.
+// EntityTag returns the entity tag of the list at a revision, "" for zero.
 func EntityTag(revision uint64) string {
 	if revision == 0 {
 		return ""
@@ -108,7 +108,8 @@
 	return fmt.Sprintf("%q", strconv.FormatUint(revision, 10))
 }
 
-// Decode reads a list and refuses it whole when an entry is invalid.
+// Decode decodes a list. If any entry is invalid, the whole list is rejected. The error is a
+// *DecodeError.
 func Decode(data []byte) (List, error) {
 	var list List
 	if err := json.Unmarshal(data, &list); err != nil {
@@ -124,7 +125,7 @@
 	return list, nil
 }
 
-// invalidField names the first invalid field of h, or is empty.
+// invalidField returns the name of the first invalid field of h, or "".
 func invalidField(h Host, revision uint64, seen map[string]bool) string {
 	switch {
 	case h.Name == "" || seen[h.Name]:
--- a/hostlist/hostlist_test.go
+++ b/hostlist/hostlist_test.go
@@ -57,7 +57,7 @@
 	c.Assert(list.Hosts[1].State, qt.Equals, hostlist.StateLive)
 }
 
-func TestUnavailableListIsTyped(t *testing.T) {
+func TestUnavailableListGivesATypedError(t *testing.T) {
 	c := qt.New(t)
 	s, client := start(c, standin.HostListConfig{})
 	s.SetFaults(standin.Faults{Refuse: true})
@@ -67,7 +67,7 @@
 	c.Assert(failed.Status, qt.Equals, http.StatusServiceUnavailable)
 }
 
-func TestInvalidListIsRefusedWhole(t *testing.T) {
+func TestInvalidListIsRejected(t *testing.T) {
 	tests := []struct {
 		name  string
 		data  string
@@ -88,26 +88,26 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := hostlist.Decode([]byte(test.data))
-			var bad *hostlist.DecodeError
-			c.Assert(errors.As(err, &bad), qt.IsTrue, qt.Commentf("%v", err))
-			c.Assert(bad.Host, qt.Equals, test.host)
-			c.Assert(bad.Field, qt.Equals, test.field)
+			var invalid *hostlist.DecodeError
+			c.Assert(errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%v", err))
+			c.Assert(invalid.Host, qt.Equals, test.host)
+			c.Assert(invalid.Field, qt.Equals, test.field)
 		})
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	good, err := json.Marshal(hostlist.List{Revision: 3, Hosts: hosts})
+	valid, err := json.Marshal(hostlist.List{Revision: 3, Hosts: hosts})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(good)
+	f.Add(valid)
 	f.Add([]byte(`{"revision":1,"hosts":[{}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		list, err := hostlist.Decode(data)
 		if err != nil {
-			var bad *hostlist.DecodeError
-			qt.Assert(t, errors.As(err, &bad), qt.IsTrue)
+			var invalid *hostlist.DecodeError
+			qt.Assert(t, errors.As(err, &invalid), qt.IsTrue)
 			return
 		}
 		again, err := json.Marshal(list)
