--- a/plainservice/plainservice.go
+++ b/plainservice/plainservice.go
@@ -1,6 +1,5 @@
-// Package plainservice is the adapter of the plain services that stand beside
-// the model engines. It sends a call once and tells after a failure whether
-// the call ran.
+// Package plainservice is the client of plain services, which run no models. It sends each
+// call once and reports for a failure whether the call ran.
 package plainservice
 
 import (
@@ -16,33 +15,36 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// HeaderNotRun is "true" on a refusal of a call that was not executed.
+// HeaderNotRun is the header that a service sets to "true" if it refuses a call without running
+// it.
 const HeaderNotRun = "X-Not-Run"
 
 // Kind classifies a failure of a plain service.
 type Kind string
 
-// The kinds. The comment names the value of Ran.
+// The kinds of failures. Each comment ends with the possible values of Ran.
 const (
-	// KindUnreachable: no connection, or nothing was written to it. Not run.
+	// KindUnreachable: there was no connection, or nothing was written to it. Not run.
 	KindUnreachable Kind = "unreachable"
-	// KindRefused: the service declined with a mark that it did not run. Not run.
+	// KindRefused: the service refused the call with HeaderNotRun. Not run.
 	KindRefused Kind = "refused"
-	// KindBroken: the connection ended before the whole answer came. Unknown, or
-	// run when part of the answer came.
+	// KindBroken: the connection was closed before the complete answer had arrived, or the
+	// answer is too long. Unknown, or run if the answer has begun.
 	KindBroken Kind = "broken"
-	// KindSilent: no progress within the progress timeout. Unknown, or run.
+	// KindSilent: no data arrived within the progress timeout. Unknown, or run if
+	// the answer has begun.
 	KindSilent Kind = "silent"
-	// KindCanceled: the caller's context ended.
+	// KindCanceled: the caller's context ended. Any value, depending on the
+	// progress of the call.
 	KindCanceled Kind = "canceled"
 )
 
-// Error is a failure of a call. An answer with any status is not a failure,
-// unless the service marks it as not run.
+// Error is a failure of a call. An answer with an error status is not a failure, unless the
+// service states with HeaderNotRun that the call did not run.
 type Error struct {
 	Kind Kind
 	Ran  failure.Ran
-	// Status is the HTTP status, zero when none came.
+	// Status is the HTTP status, zero if none was received.
 	Status int
 	cause  error
 }
@@ -55,50 +57,49 @@
 // Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Call is one call of one instance of a service.
+// Call is a call to one instance of a service.
 type Call struct {
-	// Address is IP and port of the instance.
+	// Address is the IP and port of the instance.
 	Address string
 	Method  string
-	// Path is the path with the query, beginning with a slash.
+	// Path is the path with the query. It begins with a slash.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Idempotent tells that the call may be repeated. It is never repeated
-	// here, whatever it says; the field is for the service's own information.
+	// Idempotent is set if the call may be repeated. This package does not use it and never
+	// repeats a call.
 	Idempotent bool
-	// ProgressTimeout bounds the time in which nothing comes from the service.
-	// Zero means no bound.
+	// ProgressTimeout limits the time without data from the service. Zero means no limit.
 	ProgressTimeout time.Duration
 }
 
-// Response is a whole answer.
+// Response is a complete answer.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Client calls plain services. It may be used concurrently.
+// Client calls plain services. It is safe for concurrent use.
 type Client struct {
 	transport http.RoundTripper
 }
 
-// New returns a Client over transport, which should bound the time to connect.
+// New returns a Client over transport, which should have a connect timeout.
 func New(transport http.RoundTripper) *Client {
 	return &Client{transport: transport}
 }
 
-// MaxBodyBytes bounds an answer.
+// MaxBodyBytes is the maximum size of the body of an answer.
 const MaxBodyBytes = 16 << 20
 
 var (
 	errTooLong = errors.New("answer exceeds its bound")
-	errNotRun  = errors.New("service declined the call")
+	errNotRun  = errors.New("service refused the call without running it")
 	errPath    = errors.New("path does not begin with a slash")
 )
 
-// Call sends the call once and reads its whole answer. The error is an *Error.
+// Call sends the call once and reads the complete answer. The error is an *Error.
 func (c *Client) Call(ctx context.Context, call Call) (*Response, error) {
 	if !strings.HasPrefix(call.Path, "/") {
 		return nil, &Error{Kind: KindUnreachable, Ran: failure.RanNo, cause: errPath}
@@ -124,13 +125,13 @@
 	return &Response{Status: x.Status, Header: endToEnd(x.Header), Body: body}, nil
 }
 
-// hopByHop names the headers that belong to one connection only.
+// hopByHop lists the headers that apply to a single connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEnd returns the headers of h that may be passed on.
+// endToEnd returns a copy of h without the hop-by-hop headers.
 func endToEnd(h http.Header) http.Header {
 	kept := h.Clone()
 	for _, listed := range h["Connection"] {
@@ -144,7 +145,7 @@
 	return kept
 }
 
-// translate types a failed attempt.
+// translate converts the error of an attempt to an *Error.
 func translate(err error, status int) *Error {
 	e := &Error{Kind: KindBroken, Ran: failure.RanUnknown, Status: status, cause: err}
 	var a *attempt.Error
--- a/plainservice/plainservice_test.go
+++ b/plainservice/plainservice_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAnswerIsToTheOwnCall(t *testing.T) {
+func TestCallReturnsItsAnswer(t *testing.T) {
 	c := qt.New(t)
 	_, address, client := start(c)
 	response, err := client.Call(ctx, call(address))
@@ -66,7 +66,7 @@
 	return failed
 }
 
-func TestFaultsAreTyped(t *testing.T) {
+func TestFaultsGiveTypedErrors(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault standin.Faults
@@ -112,7 +112,7 @@
 	c.Assert(failureOf(c, newClient(c), bad).Ran, qt.Equals, failure.RanNo)
 }
 
-func TestAnswerCutShortIsBroken(t *testing.T) {
+func TestTruncatedAnswerIsBroken(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
@@ -135,7 +135,7 @@
 	c.Assert(response.Status, qt.Equals, http.StatusNotFound)
 }
 
-func TestHopByHopHeadersStay(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	c := qt.New(t)
 	headers := make(chan http.Header, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
