--- a/weightstore/weightstore.go
+++ b/weightstore/weightstore.go
@@ -1,5 +1,5 @@
-// Package weightstore is the adapter of the platform's rate-limited weight
-// store, which holds the weights of model versions.
+// Package weightstore is the client of the platform's weight store, which holds the
+// weights of model versions and limits the rate of calls.
 package weightstore
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/bronzeturn/bronzeturn/jsoncall"
 )
 
-// PathWeights is the prefix of the store's paths.
+// PathWeights is the path prefix of the weights of versions.
 const PathWeights = "/v1/weights/"
 
-// PathFetch is the suffix of a path that asks for a transfer.
+// PathFetch is the path suffix that requests a transfer of the weights.
 const PathFetch = "/fetch"
 
-// ErrNotFound reports that the store does not hold the version.
+// ErrNotFound reports that the store does not have the weights of the version.
 var ErrNotFound = errors.New("weights not found")
 
-// RateLimitError reports that the store refused the call unseen.
+// RateLimitError reports that the store rejected the call because of its rate limit.
 type RateLimitError struct {
 	RetryAfter time.Duration
 }
@@ -42,7 +42,7 @@
 // Transfer is a granted transfer of weights.
 type Transfer struct {
 	Weights
-	// Millis is the time the transfer takes, in milliseconds.
+	// Millis is the duration of the transfer in milliseconds.
 	Millis int64 `json:"millis"`
 }
 
@@ -51,13 +51,13 @@
 	calls *jsoncall.Client
 }
 
-// New returns a Client for the store at baseURL. Nil stands for
+// New returns a Client for the store at baseURL. A nil client means
 // http.DefaultClient.
 func New(baseURL string, client *http.Client) *Client {
 	return &Client{calls: jsoncall.New(baseURL, client)}
 }
 
-// Stat describes the weights of version. The error is ErrNotFound, a
+// Stat returns a description of the weights of version. The error is ErrNotFound, a
 // *RateLimitError, or wraps a *jsoncall.Error.
 func (c *Client) Stat(ctx context.Context, version string) (Weights, error) {
 	var w Weights
@@ -67,8 +67,7 @@
 	return w, nil
 }
 
-// Fetch asks for a transfer of the weights of version. The errors are those of
-// Stat.
+// Fetch requests a transfer of the weights of version. The errors are those of Stat.
 func (c *Client) Fetch(ctx context.Context, version string) (Transfer, error) {
 	var t Transfer
 	if err := c.calls.Post(ctx, PathWeights+url.PathEscape(version)+PathFetch, struct{}{}, &t); err != nil {
--- a/weightstore/weightstore_test.go
+++ b/weightstore/weightstore_test.go
@@ -47,7 +47,7 @@
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
 }
 
-func TestRateLimitIsTyped(t *testing.T) {
+func TestRateLimitGivesATypedError(t *testing.T) {
 	c := qt.New(t)
 	_, client := start(c, standin.WeightStoreConfig{Versions: map[string]int64{"v": 1}, CallsPerSecond: 0.001})
 	_, err := client.Fetch(ctx, "v")
