--- a/plainservice/plainservice_test.go
+++ b/plainservice/plainservice_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAnswerIsToTheOwnCall(t *testing.T) {
+func TestCallReturnsItsAnswer(t *testing.T) {
 	c := qt.New(t)
 	_, address, client := start(c)
 	response, err := client.Call(ctx, call(address))
@@ -66,7 +66,7 @@
 	return failed
 }
 
-func TestFaultsAreTyped(t *testing.T) {
+func TestFaultsGiveTypedErrors(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault standin.Faults
@@ -74,9 +74,9 @@
 		ran   failure.Ran
 		times int
 	}{
-		{"refused", standin.Faults{Refuse: true}, plainservice.Refused, failure.RanNo, 0},
-		{"lost answer", standin.Faults{LoseAnswers: 1}, plainservice.Broken, failure.RanUnknown, 1},
-		{"silent connection", standin.Faults{SilenceConnections: true}, plainservice.Silent, failure.RanUnknown, 0},
+		{"refused", standin.Faults{Refuse: true}, plainservice.KindRefused, failure.RanNo, 0},
+		{"lost answer", standin.Faults{LoseAnswers: 1}, plainservice.KindBroken, failure.RanUnknown, 1},
+		{"silent connection", standin.Faults{SilenceConnections: true}, plainservice.KindSilent, failure.RanUnknown, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -105,14 +105,14 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(l.Close(), qt.IsNil)
 	failed := failureOf(c, newClient(c), call(l.Addr().String()))
-	c.Assert(failed.Kind, qt.Equals, plainservice.Unreachable)
+	c.Assert(failed.Kind, qt.Equals, plainservice.KindUnreachable)
 	c.Assert(failed.Ran, qt.Equals, failure.RanNo)
 	bad := call(l.Addr().String())
 	bad.Path = "@other/"
 	c.Assert(failureOf(c, newClient(c), bad).Ran, qt.Equals, failure.RanNo)
 }
 
-func TestAnswerCutShortIsBroken(t *testing.T) {
+func TestTruncatedAnswerIsBroken(t *testing.T) {
 	c := qt.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
@@ -120,7 +120,7 @@
 	}))
 	defer server.Close()
 	failed := failureOf(c, newClient(c), call(strings.TrimPrefix(server.URL, "http://")))
-	c.Assert(failed.Kind, qt.Equals, plainservice.Broken)
+	c.Assert(failed.Kind, qt.Equals, plainservice.KindBroken)
 	c.Assert(failed.Ran, qt.Equals, failure.RanYes)
 }
 
@@ -135,7 +135,7 @@
 	c.Assert(response.Status, qt.Equals, http.StatusNotFound)
 }
 
-func TestHopByHopHeadersStay(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	c := qt.New(t)
 	headers := make(chan http.Header, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -48,10 +48,10 @@
 		return func() { r.store.SetFaults(emulator.StoreFaults{}) }
 	}},
 	{"store loses answers and is slow", func(r *run) func() {
-		r.store.SetFaults(emulator.StoreFaults{LoseWrites: 3, Delay: 80 * time.Millisecond})
+		r.store.SetFaults(emulator.StoreFaults{LoseWriteAnswers: 3, Delay: 80 * time.Millisecond})
 		return func() { r.store.SetFaults(emulator.StoreFaults{}) }
 	}},
-	{"history forgotten", func(r *run) func() { r.store.Forget(); return nil }},
+	{"history forgotten", func(r *run) func() { r.store.DropHistory(); return nil }},
 	{"configuration changed", func(r *run) func() {
 		r.version++
 		_, _ = r.store.Put("config", "main", emulator.Config(r.version)) // The emulated store takes every document.
@@ -59,18 +59,18 @@
 	}},
 	{"engine fails", engineFault(emulator.EngineFaults{Fail: true})},
 	{"engine hangs", engineFault(emulator.EngineFaults{Hang: true})},
-	{"engine loses answers", engineFault(emulator.EngineFaults{Lose: true})},
-	{"engine gives foreign answers", engineFault(emulator.EngineFaults{Foreign: true})},
-	{"engine breaks streams", engineFault(emulator.EngineFaults{BreakAfter: 3, Short: true})},
+	{"engine loses answers", engineFault(emulator.EngineFaults{LoseAnswer: true})},
+	{"engine gives foreign answers", engineFault(emulator.EngineFaults{WrongRequestID: true})},
+	{"engine breaks streams", engineFault(emulator.EngineFaults{BreakAfter: 3, TruncateBody: true})},
 	{"engine full", engineFault(emulator.EngineFaults{Full: true})},
-	{"engine crashes", func(r *run) func() { r.engine().CrashAndReturn(); return nil }},
+	{"engine crashes", func(r *run) func() { r.engine().CrashAndRestart(); return nil }},
 	{"request crashes engines", func(r *run) func() { return r.insist() }},
 	{"engine replaced", func(r *run) func() {
 		e := r.engine()
 		if r.addEngine(e.Spec.Service, coldFor) != nil {
 			return nil
 		}
-		e.Vanish()
+		e.Deregister()
 		return func() { e.Crash() }
 	}},
 	{"data centre evacuated", func(r *run) func() {
@@ -78,7 +78,7 @@
 		if err := r.store.Evacuate(zone); err != nil {
 			r.checks.broke("evacuation of %s not written: %v", zone, err)
 		}
-		return func() { r.store.TakeBack(zone) }
+		return func() { r.store.EndEvacuation(zone) }
 	}},
 }
 
