--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -55,19 +55,19 @@
 }
 
 // flaky refuses and loses some of the first calls.
-func flaky(calls int64) memstore.Fault {
+func flaky(calls int64) memstore.FaultHook {
 	var count atomic.Int64
-	return func(context.Context, memstore.Op, string) memstore.Verdict {
+	return func(context.Context, memstore.Op, string) memstore.FaultEffect {
 		n := count.Add(1)
 		switch {
 		case n > calls:
-			return memstore.Pass
+			return memstore.NoFault
 		case n%3 == 0:
-			return memstore.Lose
+			return memstore.LoseAnswer
 		case n%2 == 0:
-			return memstore.Refuse
+			return memstore.RefuseCall
 		default:
-			return memstore.Pass
+			return memstore.NoFault
 		}
 	}
 }
--- a/config/outcome_test.go
+++ b/config/outcome_test.go
@@ -53,11 +53,11 @@
 			c.Assert(result.Superseded, qt.IsTrue)
 		}},
 		{"stays unknown while nothing can be read", func(_ *qt.C, store *memstore.Store) {
-			store.SetFault(func(_ context.Context, op memstore.Op, _ string) memstore.Verdict {
+			store.SetFault(func(_ context.Context, op memstore.Op, _ string) memstore.FaultEffect {
 				if op == memstore.OpGet {
-					return memstore.Refuse
+					return memstore.RefuseCall
 				}
-				return memstore.Pass
+				return memstore.NoFault
 			})
 		}, func(c *qt.C, _ Result, err error) {
 			var unknown *OutcomeError
@@ -84,7 +84,7 @@
 func TestUnreachableStoreIsNotAnUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return memstore.Refuse })
+		store.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return memstore.RefuseCall })
 		reg, rules := variant(t, 0)
 		_, err := newTestPublisher(store).Apply(t.Context(), Change{Register: reg, Rules: rules})
 		var unavailable *objectstore.UnavailableError
--- a/ledger/bounds_test.go
+++ b/ledger/bounds_test.go
@@ -21,9 +21,9 @@
 // storeLatency is the time of a store call in the tests of bounds.
 const storeLatency = 3 * time.Millisecond
 
-func delayed(context.Context, memstore.Op, string) memstore.Verdict {
+func delayed(context.Context, memstore.Op, string) memstore.FaultEffect {
 	time.Sleep(storeLatency)
-	return memstore.Pass
+	return memstore.NoFault
 }
 
 // The store calls must stay within the fleet's bound however many requests
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -123,12 +123,12 @@
 		a := c.start(t, "a")
 		synctest.Wait()
 		lost := 0 // answers
-		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.Verdict {
+		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.FaultEffect {
 			if op == memstore.OpCreate && strings.Contains(key, "/slot/") && lost < 1 {
 				lost++
-				return memstore.Lose
+				return memstore.LoseAnswer
 			}
-			return memstore.Pass
+			return memstore.NoFault
 		})
 		r, err := a.Claim(t.Context(), claimRequest("k", "body"))
 		qt.Assert(t, err, qt.IsNil)
@@ -150,12 +150,12 @@
 		_, err := a.Claim(t.Context(), claimRequest("before", "body"))
 		qt.Assert(t, err, qt.IsNil)
 		landed := false
-		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.Verdict {
+		c.store.SetFault(func(_ context.Context, op memstore.Op, key string) memstore.FaultEffect {
 			if op == memstore.OpCreate && !landed {
 				landed = true
-				return memstore.Lose
+				return memstore.LoseAnswer
 			}
-			return memstore.Refuse
+			return memstore.RefuseCall
 		})
 		_, err = a.Claim(t.Context(), claimRequest("k", "body"))
 		f := failure.From(err)
--- a/ledger/outage_test.go
+++ b/ledger/outage_test.go
@@ -15,7 +15,7 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-func refuseAll(context.Context, memstore.Op, string) memstore.Verdict { return memstore.Refuse }
+func refuseAll(context.Context, memstore.Op, string) memstore.FaultEffect { return memstore.RefuseCall }
 
 func billNumber(i int) Bill {
 	return Bill{Organisation: "org", RequestID: fmt.Sprintf("r%d", i), Version: "v", CostMicros: 1}
--- a/objectstore/memstore/memstore.go
+++ b/objectstore/memstore/memstore.go
@@ -27,18 +27,18 @@
 	OpWatch  Op = "watch"
 )
 
-// Verdict is what a Fault hook makes of a call.
-type Verdict int
+// FaultEffect is what a Fault hook makes of a call.
+type FaultEffect int
 
-// The verdicts. Lose lets the call take effect and loses its answer.
+// The verdicts. LoseAnswer lets the call take effect and loses its answer.
 const (
-	Pass Verdict = iota
-	Refuse
-	Lose
+	NoFault FaultEffect = iota
+	RefuseCall
+	LoseAnswer
 )
 
-// Fault decides the fate of a call. It may block to delay the call.
-type Fault func(ctx context.Context, op Op, key string) Verdict
+// FaultHook decides the fate of a call. It may block to delay the call.
+type FaultHook func(ctx context.Context, op Op, key string) FaultEffect
 
 var (
 	errRefused = errors.New("connection refused")
@@ -60,7 +60,7 @@
 	changes  changes
 	revision uint64
 	changed  chan struct{}
-	fault    Fault
+	fault    FaultHook
 	counts   Counts
 	waitMax  time.Duration
 }
@@ -78,7 +78,7 @@
 }
 
 // SetFault installs the hook. Nil removes it.
-func (s *Store) SetFault(f Fault) {
+func (s *Store) SetFault(f FaultHook) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
@@ -109,9 +109,9 @@
 		return false, nil
 	}
 	switch fault(ctx, op, key) {
-	case Refuse:
+	case RefuseCall:
 		return false, unavailable(op, key, errRefused)
-	case Lose:
+	case LoseAnswer:
 		return true, nil
 	default:
 		return false, nil
--- a/objectstore/memstore/memstore_test.go
+++ b/objectstore/memstore/memstore_test.go
@@ -177,15 +177,15 @@
 func TestFaultsRefuseOrLoseTheAnswer(t *testing.T) {
 	c := qt.New(t)
 	s := memstore.New()
-	verdict := memstore.Refuse
-	s.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return verdict })
+	verdict := memstore.RefuseCall
+	s.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return verdict })
 	var gone *objectstore.UnavailableError
 	_, err := s.Create(ctx, "refused", nil)
 	c.Assert(errors.As(err, &gone), qt.IsTrue)
-	verdict = memstore.Lose
+	verdict = memstore.LoseAnswer
 	_, err = s.Create(ctx, "lost", nil)
 	c.Assert(errors.As(err, &gone), qt.IsTrue)
-	verdict = memstore.Pass
+	verdict = memstore.NoFault
 	found, err := s.List(ctx, "", "", 0)
 	c.Assert(err, qt.IsNil)
 	c.Assert(keysOf(found), qt.DeepEquals, []string{"lost"})
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -136,11 +136,11 @@
 		c := qt.New(t)
 		f := newFleet(c, newFakeEngines(true, 1))
 		var lost atomic.Bool
-		f.store.SetFault(func(_ context.Context, op memstore.Op, _ string) memstore.Verdict {
+		f.store.SetFault(func(_ context.Context, op memstore.Op, _ string) memstore.FaultEffect {
 			if op == memstore.OpCreate && lost.CompareAndSwap(false, true) {
-				return memstore.Lose
+				return memstore.LoseAnswer
 			}
-			return memstore.Pass
+			return memstore.NoFault
 		})
 		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), always)
 		time.Sleep(10 * time.Second)
@@ -157,7 +157,7 @@
 		source := newSource(1, 1, "v@1")
 		d := f.daemon("entry-a", f.store, source, always)
 		time.Sleep(10 * time.Second)
-		f.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return memstore.Refuse })
+		f.store.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return memstore.RefuseCall })
 		source.set(2, 1, "v@1", "v@2")
 		time.Sleep(time.Hour)
 		c.Assert(f.engines.taken(0), qt.HasLen, 0)
--- a/orders/schedule_test.go
+++ b/orders/schedule_test.go
@@ -93,9 +93,9 @@
 		s.generation++
 		s.configure(st.daemon)
 	case stepRefuse:
-		s.fault(memstore.Refuse)
+		s.fault(memstore.RefuseCall)
 	case stepLose:
-		s.fault(memstore.Lose)
+		s.fault(memstore.LoseAnswer)
 	case stepSlow:
 		s.late.Store(true)
 	case stepDrop:
@@ -126,8 +126,8 @@
 	s.sources[i].set(s.generation, scheduleEngines, fmt.Sprintf("v@%d", s.generation), "base@1")
 }
 
-func (s *schedule) fault(v memstore.Verdict) {
-	s.fleet.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return v })
+func (s *schedule) fault(v memstore.FaultEffect) {
+	s.fleet.store.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return v })
 }
 
 func (s *schedule) heal() {
--- a/provider/fake_test.go
+++ b/provider/fake_test.go
@@ -370,11 +370,11 @@
 
 // outage lets the calls of daemons fail.
 func (f *fleet) outage() {
-	f.store.SetFault(func(ctx context.Context, _ memstore.Op, _ string) memstore.Verdict {
+	f.store.SetFault(func(ctx context.Context, _ memstore.Op, _ string) memstore.FaultEffect {
 		if ctx.Value(daemonKey{}) != nil {
-			return memstore.Refuse
+			return memstore.RefuseCall
 		}
-		return memstore.Pass
+		return memstore.NoFault
 	})
 }
 
--- a/provider/provider_test.go
+++ b/provider/provider_test.go
@@ -119,12 +119,12 @@
 
 func TestSilentWatchIsReplaced(t *testing.T) {
 	run(t, 1, 1, func(c *qt.C, f *fleet) {
-		f.store.SetFault(func(ctx context.Context, op memstore.Op, _ string) memstore.Verdict {
+		f.store.SetFault(func(ctx context.Context, op memstore.Op, _ string) memstore.FaultEffect {
 			if op == memstore.OpWatch {
 				<-ctx.Done()
-				return memstore.Refuse
+				return memstore.RefuseCall
 			}
-			return memstore.Pass
+			return memstore.NoFault
 		})
 		// The watch under way ends at its wait, the next one stays silent.
 		time.Sleep(watchTimeout)
@@ -473,10 +473,10 @@
 // unsteady makes the store refuse and lose calls by chance.
 func (f *fleet) unsteady(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 5))
-	f.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict {
+	f.store.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return []memstore.Verdict{memstore.Pass, memstore.Pass, memstore.Refuse, memstore.Lose}[random.IntN(4)]
+		return []memstore.FaultEffect{memstore.NoFault, memstore.NoFault, memstore.RefuseCall, memstore.LoseAnswer}[random.IntN(4)]
 	})
 }
 
