--- a/cmd/bronzeturn-standin/commands.go
+++ b/cmd/bronzeturn-standin/commands.go
@@ -106,7 +106,7 @@
 
 // Run runs a plain service.
 func (c *plainServiceCommand) Run(o *options) error {
-	return serve(o, standin.NewPlainService(standin.PlainServiceConfig{Name: c.Name, Work: c.Work}))
+	return serve(o, standin.NewPlainService(standin.PlainServiceConfig{Name: c.Name, CallDuration: c.Work}))
 }
 
 // readFile decodes a JSON file into into. An empty name leaves into as it is.
--- a/demo/platform.go
+++ b/demo/platform.go
@@ -174,7 +174,7 @@
 func (p *Platform) startServices(ctx context.Context) error {
 	for _, s := range p.Register.GetServices() {
 		for _, instance := range s.GetInstances() {
-			service := standin.NewPlainService(standin.PlainServiceConfig{Name: s.GetName(), Work: serviceWork})
+			service := standin.NewPlainService(standin.PlainServiceConfig{Name: s.GetName(), CallDuration: serviceWork})
 			address, err := p.serve(ctx, service)
 			if err != nil {
 				return err
--- a/standin/service.go
+++ b/standin/service.go
@@ -26,8 +26,8 @@
 type PlainServiceConfig struct {
 	// Name shows in the answers.
 	Name string
-	// Work is the time that a call takes.
-	Work time.Duration
+	// CallDuration is the time that a call takes.
+	CallDuration time.Duration
 }
 
 // ServiceAnswer is what a PlainService answers.
@@ -84,7 +84,7 @@
 	}
 	id := r.Header.Get(engine.HeaderRequestID)
 	execution := s.execute(id)
-	pause(r, s.cfg.Work)
+	pause(r, s.cfg.CallDuration)
 	sum := sha256.Sum256(body)
 	writeJSON(w, ServiceAnswer{
 		Service: s.cfg.Name, Method: r.Method, Path: r.URL.RequestURI(), RequestID: id,
