--- a/cmd/bronzeturn-soak/main.go
+++ b/cmd/bronzeturn-soak/main.go
@@ -56,7 +56,7 @@
 	defer func() { _ = report.Close() }() // Nothing is written after the run.
 	r, err := soak.Run(context.Background(), soak.Options{
 		Program: o.Program, Folder: folder, Seed: seed, Duration: o.Duration, Daemons: o.Daemons,
-		Engines: o.Engines, Plain: o.Plain, Callers: o.Callers, Report: report,
+		Engines: o.Engines, PlainServices: o.Plain, Callers: o.Callers, FaultLog: report,
 	})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -132,7 +132,7 @@
 		case <-time.After(pause):
 			f := faults[r.random.IntN(len(faults))]
 			count++
-			_, _ = fmt.Fprintf(r.Report, "%8.3f %s\n", time.Since(r.started).Seconds(), f.name)
+			_, _ = fmt.Fprintf(r.FaultLog, "%8.3f %s\n", time.Since(r.started).Seconds(), f.name)
 			if end := f.make(r); end != nil {
 				open = append(open, ending{time.Now().Add(time.Duration(r.random.Int64N(int64(lasting)))), end})
 			}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -27,12 +27,12 @@
 	Folder   string
 	Seed     uint64
 	Duration time.Duration
-	// Daemons, Plain and Engines are how many of each there are.
-	Daemons, Plain, Engines int
+	// Daemons, PlainServices and Engines are how many of each there are.
+	Daemons, PlainServices, Engines int
 	// Callers send one request after the other.
 	Callers int
-	// Report takes a line for each failure that is brought about.
-	Report io.Writer
+	// FaultLog takes a line for each failure that is brought about.
+	FaultLog io.Writer
 }
 
 // bounds are those of the emulated deployment.
@@ -117,7 +117,7 @@
 	if _, err := r.store.Put("config", "main", emulator.Config(r.version)); err != nil {
 		return err
 	}
-	for range r.Plain {
+	for range r.PlainServices {
 		if err := r.addEngine("desk", 0); err != nil {
 			return err
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -42,7 +42,7 @@
 	for _, seed := range seeds {
 		r, err := Run(t.Context(), Options{
 			Program: program, Folder: t.TempDir(), Seed: seed, Duration: 6 * time.Second,
-			Daemons: 3, Plain: 2, Engines: 3, Callers: 6, Report: os.Stderr,
+			Daemons: 3, PlainServices: 2, Engines: 3, Callers: 6, FaultLog: os.Stderr,
 		})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Check(t, r.Broken, qt.HasLen, 0)
@@ -55,7 +55,7 @@
 // daemon that it had frozen after SIGTERM.
 func TestDaemonFrozenWhileItStopsIsWoken(t *testing.T) {
 	r := &run{
-		Options: Options{Program: program, Folder: t.TempDir(), Seed: 311, Daemons: 1, Plain: 1, Engines: 1, Report: os.Stderr},
+		Options: Options{Program: program, Folder: t.TempDir(), Seed: 311, Daemons: 1, PlainServices: 1, Engines: 1, FaultLog: os.Stderr},
 		random:  rand.New(rand.NewPCG(311, 311)), store: emulator.NewStore(), record: &emulator.Record{}, version: 1, started: time.Now(),
 	}
 	defer r.close()
