--- a/cmd/bronzeturn-soak/main.go
+++ b/cmd/bronzeturn-soak/main.go
@@ -63,11 +63,11 @@
 		return false
 	}
 	fmt.Printf("seed %d: %d failures, %d requests: %d answered, %d refused, %d failed; %d promises broken\n",
-		seed, r.Faults, r.Requests, r.Good, r.Refused, r.Failed, len(r.Broken))
-	for _, line := range r.Broken {
+		seed, r.Faults, r.Requests, r.Succeeded, r.Refused, r.Failed, len(r.Violations))
+	for _, line := range r.Violations {
 		fmt.Printf("  %s\n", line)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		fmt.Printf("  logs in %s\n", folder)
 		return false
 	}
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -201,7 +201,7 @@
 	c.checkColdEngines()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Result{Requests: c.requests, Good: c.good, Refused: c.refused, Failed: c.failed, Broken: c.broken}
+	return Result{Requests: c.requests, Succeeded: c.good, Refused: c.refused, Failed: c.failed, Violations: c.broken}
 }
 
 // checkColdEngines counts what cold engines got within any second, from all daemons.
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -73,11 +73,11 @@
 
 // Result sums up a run.
 type Result struct {
-	Seed            uint64
-	Requests, Good  int
-	Faults          int
-	Broken          []string
-	Refused, Failed int
+	Seed                uint64
+	Requests, Succeeded int
+	Faults              int
+	Violations          []string
+	Refused, Failed     int
 }
 
 // Run carries out one run. An error means that the run itself could not be
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -45,8 +45,8 @@
 			Daemons: 3, PlainServices: 2, Engines: 3, Callers: 6, FaultLog: os.Stderr,
 		})
 		qt.Assert(t, err, qt.IsNil)
-		qt.Check(t, r.Broken, qt.HasLen, 0)
-		qt.Check(t, r.Good > 0, qt.IsTrue)
+		qt.Check(t, r.Violations, qt.HasLen, 0)
+		qt.Check(t, r.Succeeded > 0, qt.IsTrue)
 		qt.Check(t, r.Faults > 0, qt.IsTrue)
 	}
 }
