--- a/objectstore/httpstore/httpstore.go
+++ b/objectstore/httpstore/httpstore.go
@@ -1,6 +1,6 @@
-// Package httpstore is the adapter of the platform's object API over HTTP.
-// Values travel as plain bodies, revisions as entity tags; conditional writes
-// use If-Match and If-None-Match. Lists and watches answer a protocol buffer.
+// Package httpstore is the HTTP client of the platform's object API. Values are
+// raw bodies, revisions are entity tags, and conditional writes use If-Match and
+// If-None-Match. List and watch responses are protocol buffer messages.
 package httpstore
 
 import (
@@ -28,33 +28,35 @@
 	PathWatch   = "/v1/watch"
 )
 
-// MaxWatchWait is how long the server holds a watch without a change at most.
+// MaxWatchWait is the longest time for which the server holds a watch open
+// without a change.
 const MaxWatchWait = 30 * time.Second
 
 const (
-	// watchWait is the wait that a watch asks for. It is short because the
-	// timeout behind it is the time after which a silent connection is noticed.
+	// watchWait is the wait that a watch requests. It is short because a
+	// connection on which nothing arrives any more is noticed only after
+	// watchTimeout.
 	watchWait = 2 * time.Second
-	// watchTimeout and callTimeout bound one call.
+	// watchTimeout bounds one watch call, callTimeout any other call.
 	watchTimeout = watchWait + time.Second
 	callTimeout  = 5 * time.Second
-	// defaultRetryAfter stands in for a missing or unreadable Retry-After.
+	// defaultRetryAfter replaces a missing or invalid Retry-After header.
 	defaultRetryAfter = time.Second
-	// maxAnswerBytes bounds a list or watch answer.
-	maxAnswerBytes = 64 << 20
-	// maxRetryAfter bounds what a server may ask for.
+	// maxResponseBytes bounds the body of any response.
+	maxResponseBytes = 64 << 20
+	// maxRetryAfter caps the delay that a server can request.
 	maxRetryAfter = time.Hour
 )
 
-// Store implements objectstore.Store. Every call has a timeout.
+// Store implements objectstore.Store. Every call is bounded by a timeout.
 type Store struct {
 	base   string
 	client *http.Client
 }
 
 // New returns a Store for the object API at baseURL, for example
-// "http://127.0.0.1:8080". The client must not have a timeout below the watch
-// timeout; nil stands for http.DefaultClient.
+// "http://127.0.0.1:8080". If the client has a timeout, it must be at least the
+// watch timeout of 3 s. A nil client means http.DefaultClient.
 func New(baseURL string, client *http.Client) *Store {
 	if client == nil {
 		client = http.DefaultClient
@@ -62,7 +64,7 @@
 	return &Store{base: strings.TrimSuffix(baseURL, "/"), client: client}
 }
 
-// call describes one call of the object API.
+// call describes a call to the object API.
 type call struct {
 	op      string
 	key     string
@@ -74,8 +76,8 @@
 	timeout time.Duration
 }
 
-// answer is what came back from a successful call.
-type answer struct {
+// response is the result of a successful call.
+type response struct {
 	revision uint64
 	body     []byte
 }
@@ -132,7 +134,7 @@
 		if limit > 0 {
 			query.Set("limit", strconv.Itoa(limit-len(all)))
 		}
-		page, more, err := s.page(ctx, call{op: "list", key: prefix, path: PathList + "?" + query.Encode()})
+		page, more, err := s.fetchPage(ctx, call{op: "list", key: prefix, path: PathList + "?" + query.Encode()})
 		if err != nil {
 			return nil, err
 		}
@@ -144,7 +146,8 @@
 	}
 }
 
-// Watch implements objectstore.Store. The wait ends after 2 s without a change.
+// Watch implements objectstore.Store. The wait times out after 2 s without a
+// change.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]objectstore.Object, error) {
 	var all []objectstore.Object
 	for {
@@ -152,7 +155,7 @@
 			"prefix": {prefix}, "after": {strconv.FormatUint(after, 10)},
 			"wait_ms": {strconv.FormatInt(watchWait.Milliseconds(), 10)},
 		}
-		page, more, err := s.page(ctx, call{
+		page, more, err := s.fetchPage(ctx, call{
 			op: "watch", key: prefix, path: PathWatch + "?" + query.Encode(), timeout: watchTimeout,
 		})
 		if err != nil {
@@ -166,8 +169,9 @@
 	}
 }
 
-// page makes one list or watch call and tells whether objects were left out.
-func (s *Store) page(ctx context.Context, c call) (objects []objectstore.Object, more bool, err error) {
+// fetchPage makes one list or watch call and reports whether there are more
+// objects than the response holds.
+func (s *Store) fetchPage(ctx context.Context, c call) (objects []objectstore.Object, more bool, err error) {
 	c.method = http.MethodGet
 	a, err := s.do(ctx, c)
 	if err != nil {
@@ -183,8 +187,8 @@
 	return objects, found.GetMore(), nil
 }
 
-// do makes one call and reads its whole answer.
-func (s *Store) do(ctx context.Context, c call) (answer, error) {
+// do makes one call and reads the complete response.
+func (s *Store) do(ctx context.Context, c call) (response, error) {
 	if c.timeout == 0 {
 		c.timeout = callTimeout
 	}
@@ -192,31 +196,31 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, s.base+c.path, requestBody(c))
 	if err != nil {
-		return answer{}, unavailable(c, err)
+		return response{}, unavailable(c, err)
 	}
 	if c.header[0] != "" {
 		req.Header.Set(c.header[0], c.header[1])
 	}
 	resp, err := s.client.Do(req)
 	if err != nil {
-		s.dropIdle(err)
-		return answer{}, unavailable(c, err)
+		s.closeIdleOnTimeout(err)
+		return response{}, unavailable(c, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
-		s.dropIdle(err)
-		return answer{}, unavailable(c, err)
+		s.closeIdleOnTimeout(err)
+		return response{}, unavailable(c, err)
 	}
-	if len(body) > maxAnswerBytes {
-		return answer{}, unavailable(c, errTooLong)
+	if len(body) > maxResponseBytes {
+		return response{}, unavailable(c, errResponseTooLarge)
 	}
-	return read(c, resp, body)
+	return parseResponse(c, resp, body)
 }
 
-// dropIdle closes the idle connections after a timeout, since what lost track
-// of one connection has often lost track of the others.
-func (s *Store) dropIdle(err error) {
+// closeIdleOnTimeout closes all idle connections if err is a timeout: whatever
+// silently dropped one connection has often dropped the pooled ones too.
+func (s *Store) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		s.client.CloseIdleConnections()
 	}
@@ -229,25 +233,25 @@
 	return bytes.NewReader(c.body)
 }
 
-// read turns a complete answer into a result or a typed error.
-func read(c call, resp *http.Response, body []byte) (answer, error) {
+// parseResponse converts a complete HTTP response into a result or a typed error.
+func parseResponse(c call, resp *http.Response, body []byte) (response, error) {
 	revision, tagErr := ParseTag(resp.Header.Get("ETag"))
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if tagErr != nil && c.op != "list" && c.op != "watch" && c.op != "delete" {
-			return answer{}, unavailable(c, tagErr)
+			return response{}, unavailable(c, tagErr)
 		}
-		return answer{revision: revision, body: body}, nil
+		return response{revision: revision, body: body}, nil
 	case http.StatusNotFound:
-		return answer{}, objectstore.ErrNotFound
+		return response{}, objectstore.ErrNotFound
 	case http.StatusConflict, http.StatusPreconditionFailed:
-		return answer{}, &objectstore.ConflictError{Key: c.key, Want: c.want, Have: revision}
+		return response{}, &objectstore.ConflictError{Key: c.key, Want: c.want, Have: revision}
 	case http.StatusRequestEntityTooLarge:
-		return answer{}, objectstore.ErrTooLarge
+		return response{}, objectstore.ErrTooLarge
 	case http.StatusTooManyRequests:
-		return answer{}, &objectstore.RateLimitError{RetryAfter: RetryAfter(resp.Header)}
+		return response{}, &objectstore.RateLimitError{RetryAfter: RetryAfter(resp.Header)}
 	default:
-		return answer{}, unavailable(c, &StatusError{Status: resp.StatusCode})
+		return response{}, unavailable(c, &StatusError{Status: resp.StatusCode})
 	}
 }
 
@@ -255,7 +259,8 @@
 	return &objectstore.UnavailableError{Op: c.op, Key: c.key, Cause: cause}
 }
 
-// StatusError is an answer with a status that the object API does not define.
+// StatusError reports a response with a status that the object API does not
+// define.
 type StatusError struct {
 	Status int
 }
@@ -264,23 +269,25 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
 var (
-	errTag     = errors.New("answer without a revision")
-	errTooLong = errors.New("answer exceeds its bound")
+	errBadTag           = errors.New("answer without a revision")
+	errResponseTooLarge = errors.New("response exceeds 64 MiB")
 )
 
-// FormatTag writes a revision as an entity tag.
+// FormatTag formats a revision as an entity tag.
 func FormatTag(revision uint64) string { return `"` + strconv.FormatUint(revision, 10) + `"` }
 
-// ParseTag reads a revision from an entity tag.
+// ParseTag parses the revision from an entity tag.
 func ParseTag(tag string) (uint64, error) {
 	revision, err := strconv.ParseUint(strings.Trim(tag, `"`), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %q", errTag, tag)
+		return 0, fmt.Errorf("%w: %q", errBadTag, tag)
 	}
 	return revision, nil
 }
 
-// RetryAfter reads a Retry-After header in seconds, which may have a fraction.
+// RetryAfter returns the delay of the Retry-After header, given in seconds with an
+// optional fraction. It returns 1 s if the header is missing or invalid, and 1 h
+// at most.
 func RetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds >= 0) {
--- a/objectstore/httpstore/httpstore_test.go
+++ b/objectstore/httpstore/httpstore_test.go
@@ -19,7 +19,7 @@
 
 var ctx = context.Background()
 
-// start runs an object API and returns it with a client of it.
+// start serves a stand-in of the object API and returns it with a client.
 func start(c *qt.C, cfg standin.ObjectAPIConfig) (*standin.ObjectAPI, *httpstore.Store) {
 	api := standin.NewObjectAPI(cfg)
 	address, wait, err := standin.Start(c.Context(), api)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLostConditionsAreConflicts(t *testing.T) {
+func TestFailedPreconditionsAreConflicts(t *testing.T) {
 	c := qt.New(t)
 	_, s := start(c, standin.ObjectAPIConfig{})
 	first, err := s.Create(ctx, "k", []byte("1"))
@@ -87,7 +87,7 @@
 	c.Assert(string(got.Value), qt.Equals, "2")
 }
 
-func TestValueAboveTheBoundIsRefused(t *testing.T) {
+func TestValueAboveSizeLimitIsRejected(t *testing.T) {
 	c := qt.New(t)
 	api, s := start(c, standin.ObjectAPIConfig{})
 	_, err := s.Create(ctx, "k", make([]byte, objectstore.MaxValueBytes+1))
@@ -104,7 +104,7 @@
 func TestListPagesThroughAllObjects(t *testing.T) {
 	c := qt.New(t)
 	api, s := start(c, standin.ObjectAPIConfig{})
-	const count = 2300 // More than two answers hold.
+	const count = 2300 // More than fits into two pages.
 	for i := range count {
 		_, err := api.Store().Create(ctx, fmt.Sprintf("p/%04d", i), []byte("v"))
 		c.Assert(err, qt.IsNil)
@@ -126,7 +126,7 @@
 	c.Assert(seen[count-1].Key, qt.Equals, "p/2299")
 }
 
-func TestWatchWakesOnChangeAndEndsWithoutOne(t *testing.T) {
+func TestWatchReturnsOnChangeAndTimesOutWithoutOne(t *testing.T) {
 	c := qt.New(t)
 	_, s := start(c, standin.ObjectAPIConfig{WatchWait: 20 * time.Millisecond})
 	found, err := s.Watch(ctx, "k", 0)
@@ -159,7 +159,7 @@
 	got, err := s.Get(ctx, "k")
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(got.Value), qt.Equals, "2")
-	c.Assert(api.Calls().Writes, qt.Equals, uint64(2)) // The lost write was not repeated.
+	c.Assert(api.Calls().Writes, qt.Equals, uint64(2)) // The client did not retry the write whose answer was lost.
 }
 
 func TestRefusalAndFailureAreUnavailable(t *testing.T) {
@@ -184,7 +184,7 @@
 	var limited *objectstore.RateLimitError
 	c.Assert(errors.As(err, &limited), qt.IsTrue)
 	c.Assert(limited.RetryAfter > 500*time.Second, qt.IsTrue)
-	found, err := s.Watch(ctx, "k", 0) // Takes the only read.
+	found, err := s.Watch(ctx, "k", 0) // Uses up the read limit.
 	c.Assert(err, qt.IsNil)
 	c.Assert(found, qt.HasLen, 1)
 	_, err = s.Get(ctx, "k")
--- a/objectstore/memstore/memstore.go
+++ b/objectstore/memstore/memstore.go
@@ -1,6 +1,6 @@
-// Package memstore implements the object API in memory. The stand-in server
-// and the tests use it; a Fault hook lets them bring about failures. Values that
-// it returns must not be modified.
+// Package memstore implements the object API in memory, for the stand-in server
+// and for tests. A FaultHook injects failures. Values that the store returns must
+// not be modified.
 package memstore
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// Op names a call for the Fault hook.
+// Op identifies the kind of a call.
 type Op string
 
-// The calls that a Fault hook sees.
+// The kinds of calls.
 const (
 	OpGet    Op = "get"
 	OpList   Op = "list"
@@ -27,17 +27,18 @@
 	OpWatch  Op = "watch"
 )
 
-// FaultEffect is what a Fault hook makes of a call.
+// FaultEffect is the effect that a FaultHook has on a call.
 type FaultEffect int
 
-// The verdicts. LoseAnswer lets the call take effect and loses its answer.
+// The effects. RefuseCall fails the call before it takes effect. LoseAnswer fails
+// it after it took effect.
 const (
 	NoFault FaultEffect = iota
 	RefuseCall
 	LoseAnswer
 )
 
-// FaultHook decides the fate of a call. It may block to delay the call.
+// FaultHook decides whether a call fails. It may block to delay the call.
 type FaultHook func(ctx context.Context, op Op, key string) FaultEffect
 
 var (
@@ -45,7 +46,7 @@
 	errLost    = errors.New("answer lost")
 )
 
-// Counts holds the number of calls received by kind.
+// Counts holds the number of calls received, by kind.
 type Counts struct {
 	Reads   uint64
 	Writes  uint64
@@ -56,16 +57,17 @@
 type Store struct {
 	mu       sync.Mutex
 	objects  map[string]objectstore.Object
-	keys     []string // of objects, sorted
-	changes  changes
+	keys     []string // keys of objects, sorted
+	changes  changeLog
 	revision uint64
 	changed  chan struct{}
 	fault    FaultHook
 	counts   Counts
-	waitMax  time.Duration
+	maxWait  time.Duration
 }
 
-// watchWait bounds one Watch call, as the stand-in's long poll does.
+// watchWait is the time-out of a Watch call without a change, the same as that of
+// the HTTP protocol.
 const watchWait = 30 * time.Second
 
 // New returns an empty store.
@@ -73,27 +75,28 @@
 	return &Store{
 		objects: make(map[string]objectstore.Object),
 		changed: make(chan struct{}),
-		waitMax: watchWait,
+		maxWait: watchWait,
 	}
 }
 
-// SetFault installs the hook. Nil removes it.
+// SetFault sets the fault hook. Nil removes it.
 func (s *Store) SetFault(f FaultHook) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Counts returns the calls received so far.
+// Counts returns the number of calls received so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// enter counts the call and applies the fault hook. The returned error is nil
-// for Pass and Lose; lost tells that the answer must be dropped.
-func (s *Store) enter(ctx context.Context, op Op, key string) (lost bool, err error) {
+// beginCall counts the call and applies the fault hook. It returns an error for
+// RefuseCall, and lost for LoseAnswer: the call must then be executed and its
+// result discarded.
+func (s *Store) beginCall(ctx context.Context, op Op, key string) (lost bool, err error) {
 	s.mu.Lock()
 	switch op {
 	case OpGet, OpList:
@@ -124,7 +127,7 @@
 
 // Get implements objectstore.Store.
 func (s *Store) Get(ctx context.Context, key string) (objectstore.Object, error) {
-	lost, err := s.enter(ctx, OpGet, key)
+	lost, err := s.beginCall(ctx, OpGet, key)
 	if err != nil {
 		return objectstore.Object{}, err
 	}
@@ -142,7 +145,7 @@
 
 // List implements objectstore.Store.
 func (s *Store) List(ctx context.Context, prefix, after string, limit int) ([]objectstore.Object, error) {
-	lost, err := s.enter(ctx, OpList, prefix)
+	lost, err := s.beginCall(ctx, OpList, prefix)
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +181,7 @@
 	if len(value) > objectstore.MaxValueBytes {
 		return objectstore.Object{}, objectstore.ErrTooLarge
 	}
-	lost, err := s.enter(ctx, op, key)
+	lost, err := s.beginCall(ctx, op, key)
 	if err != nil {
 		return objectstore.Object{}, err
 	}
@@ -202,19 +205,19 @@
 	}
 	s.objects[key] = obj
 	s.changes.add(s.revision, key, s.objects)
-	s.wake()
+	s.notifyWatches()
 	return obj, nil
 }
 
-// wake releases all waiting watches. The caller holds the lock.
-func (s *Store) wake() {
+// notifyWatches wakes up all waiting watches. The caller must hold s.mu.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Delete implements objectstore.Store.
 func (s *Store) Delete(ctx context.Context, key string, revision uint64) error {
-	lost, err := s.enter(ctx, OpDelete, key)
+	lost, err := s.beginCall(ctx, OpDelete, key)
 	if err != nil {
 		return err
 	}
@@ -240,17 +243,17 @@
 
 // Watch implements objectstore.Store.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64) ([]objectstore.Object, error) {
-	lost, err := s.enter(ctx, OpWatch, prefix)
+	lost, err := s.beginCall(ctx, OpWatch, prefix)
 	if err != nil {
 		return nil, err
 	}
 	if lost {
 		return nil, unavailable(OpWatch, prefix, errLost)
 	}
-	timer := time.NewTimer(s.waitMax)
+	timer := time.NewTimer(s.maxWait)
 	defer timer.Stop()
 	for {
-		found, seen, changed := s.newer(prefix, after)
+		found, seen, changed := s.changedSince(prefix, after)
 		if len(found) > 0 {
 			return found, nil
 		}
@@ -265,12 +268,12 @@
 	}
 }
 
-// newer returns the objects above after, the newest revision of the store, and
-// the channel that the next write closes.
-func (s *Store) newer(prefix string, after uint64) ([]objectstore.Object, uint64, <-chan struct{}) {
+// changedSince returns the objects with the prefix whose revision is above after,
+// the latest revision of the store, and the channel that the next write closes.
+func (s *Store) changedSince(prefix string, after uint64) ([]objectstore.Object, uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.changes.newer(prefix, after, s.objects), s.revision, s.changed
+	return s.changes.changedSince(prefix, after, s.objects), s.revision, s.changed
 }
 
 var _ objectstore.Store = (*Store)(nil)
--- a/objectstore/memstore/memstore_test.go
+++ b/objectstore/memstore/memstore_test.go
@@ -29,7 +29,8 @@
 
 var ctx = context.Background()
 
-// model is the simplest correct store: every call looks at every object.
+// model is a reference implementation of the store that scans all objects in
+// every call.
 type model struct {
 	objects  map[string]objectstore.Object
 	revision uint64
@@ -86,17 +87,17 @@
 					write = func() (objectstore.Object, error) { return s.Create(ctx, key, value) }
 				}
 				have := m.objects[key].Revision
-				won := m.write(key, value, want)
-				checkWrite(t, write, won, have)
+				succeeds := m.write(key, value, want)
+				checkWrite(t, write, succeeds, have)
 			},
 			"delete": func(t *rapid.T) {
 				key := keys.Draw(t, "key")
 				want := rapid.Uint64Range(0, m.revision+1).Draw(t, "want")
-				won := want != 0 && m.objects[key].Revision == want
-				if err := s.Delete(ctx, key, want); want != 0 && (err == nil) != won {
-					t.Fatalf("delete: %v, want won %v", err, won)
+				succeeds := want != 0 && m.objects[key].Revision == want
+				if err := s.Delete(ctx, key, want); want != 0 && (err == nil) != succeeds {
+					t.Fatalf("delete: %v, want success %v", err, succeeds)
 				}
-				if won {
+				if succeeds {
 					delete(m.objects, key)
 				}
 			},
@@ -123,15 +124,15 @@
 	})
 }
 
-func checkWrite(t *rapid.T, write func() (objectstore.Object, error), won bool, have uint64) {
+func checkWrite(t *rapid.T, write func() (objectstore.Object, error), succeeds bool, have uint64) {
 	_, err := write()
 	var conflict *objectstore.ConflictError
 	switch {
-	case won && err != nil:
+	case succeeds && err != nil:
 		t.Fatalf("write failed: %v", err)
-	case !won && !errors.As(err, &conflict):
+	case !succeeds && !errors.As(err, &conflict):
 		t.Fatalf("write did not conflict: %v", err)
-	case !won && conflict.Have != have:
+	case !succeeds && conflict.Have != have:
 		t.Fatalf("conflict shows %d, want %d", conflict.Have, have)
 	}
 }
@@ -152,11 +153,11 @@
 	return revisions
 }
 
-func TestManyWritesOfOneKeyKeepWatchesRight(t *testing.T) {
+func TestWatchIsCorrectAfterCompaction(t *testing.T) {
 	c := qt.New(t)
 	s := memstore.New()
 	var revision uint64
-	for range 5000 { // More than what is kept of superseded changes.
+	for range 5000 { // Enough for the change log to be compacted.
 		o, err := s.Update(ctx, "k", nil, revision)
 		c.Assert(err, qt.IsNil)
 		revision = o.Revision
@@ -166,7 +167,7 @@
 	c.Assert(revisionsOf(found), qt.DeepEquals, []uint64{revision})
 }
 
-func TestWatchEndsAfterItsWait(t *testing.T) {
+func TestWatchTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		found, err := memstore.New().Watch(ctx, "k", 0)
 		qt.Check(t, err, qt.IsNil)
@@ -177,15 +178,15 @@
 func TestFaultsRefuseOrLoseTheAnswer(t *testing.T) {
 	c := qt.New(t)
 	s := memstore.New()
-	verdict := memstore.RefuseCall
-	s.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return verdict })
+	effect := memstore.RefuseCall
+	s.SetFault(func(context.Context, memstore.Op, string) memstore.FaultEffect { return effect })
 	var gone *objectstore.UnavailableError
 	_, err := s.Create(ctx, "refused", nil)
 	c.Assert(errors.As(err, &gone), qt.IsTrue)
-	verdict = memstore.LoseAnswer
+	effect = memstore.LoseAnswer
 	_, err = s.Create(ctx, "lost", nil)
 	c.Assert(errors.As(err, &gone), qt.IsTrue)
-	verdict = memstore.NoFault
+	effect = memstore.NoFault
 	found, err := s.List(ctx, "", "", 0)
 	c.Assert(err, qt.IsNil)
 	c.Assert(keysOf(found), qt.DeepEquals, []string{"lost"})
--- a/objectstore/objectstore.go
+++ b/objectstore/objectstore.go
@@ -1,7 +1,7 @@
 // Package objectstore defines the objects, calls and errors of the platform's
-// object API. Consumers declare the part of Store that they use; the adapter
-// for the HTTP protocol is in package httpstore, the in-memory implementation
-// in package memstore.
+// object API. Consumers declare an interface with the methods of Store that they
+// use. Package httpstore is the HTTP client, package memstore the in-memory
+// implementation.
 package objectstore
 
 import (
@@ -11,51 +11,54 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value that the object API holds.
+// MaxValueBytes is the size limit of an object's value.
 const MaxValueBytes = 1 << 20
 
-// Object is one stored value with the revision of its last change. Revisions
-// are positive, rise with every change of any object, and never repeat.
+// Object is a stored value with the revision of its last write. Revisions are
+// positive, unique, and increase with every write to any object.
 type Object struct {
 	Key      string
 	Revision uint64
 	Value    []byte
 }
 
-// Store is the whole object API. Every method may be called concurrently.
+// Store is the complete object API. Its methods are safe for concurrent use.
 type Store interface {
 	// Get returns the object, or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
 	// List returns at most limit objects whose keys begin with prefix and are
-	// greater than after, in key order.
+	// greater than after, in key order. A limit of zero or less means no limit.
 	List(ctx context.Context, prefix, after string, limit int) ([]Object, error)
-	// Create stores the object if the key is absent, otherwise it fails with a
-	// ConflictError.
+	// Create stores the object if the key is absent and fails with a
+	// ConflictError otherwise.
 	Create(ctx context.Context, key string, value []byte) (Object, error)
-	// Update replaces the object if its revision is the given one, otherwise it
-	// fails with a ConflictError.
+	// Update replaces the object if it still has the given revision and fails
+	// with a ConflictError otherwise.
 	Update(ctx context.Context, key string, value []byte, revision uint64) (Object, error)
-	// Delete removes the object if its revision is the given one, otherwise it
-	// fails with a ConflictError.
+	// Delete removes the object if it still has the given revision and fails
+	// with a ConflictError otherwise.
 	Delete(ctx context.Context, key string, revision uint64) error
-	// Watch waits until an object with the prefix has a revision above after
+	// Watch blocks until an object with the prefix has a revision above after
 	// and returns all such objects in revision order, or none when the wait
-	// ends without a change. Deletions are not reported.
+	// times out. Deletions are not reported.
 	Watch(ctx context.Context, prefix string, after uint64) ([]Object, error)
 }
 
-// ErrNotFound reports that a key holds no object.
+// ErrNotFound reports that there is no object with the key.
 var ErrNotFound = errors.New("object not found")
 
-// ErrTooLarge reports that a value is above MaxValueBytes. Nothing was written.
+// ErrTooLarge reports that a value exceeds MaxValueBytes. Nothing was written.
 var ErrTooLarge = errors.New("object value too large")
 
-// ConflictError reports that a conditional write lost. Nothing was written.
+// ConflictError reports that the precondition of a write did not hold. Nothing
+// was written.
 type ConflictError struct {
 	Key string
-	// Want is the revision the writer expected, zero for "absent".
+	// Want is the revision that the writer expected, zero if it expected the
+	// key to be absent.
 	Want uint64
-	// Have is the revision in force, zero when the key is absent or unknown.
+	// Have is the current revision, zero if the key is absent or the revision is
+	// unknown.
 	Have uint64
 }
 
@@ -64,8 +67,8 @@
 	return fmt.Sprintf("conflict on %s: expected revision %d, found %d", e.Key, e.Want, e.Have)
 }
 
-// RateLimitError reports that the object API refused the call unseen. Nothing
-// was written.
+// RateLimitError reports that the object API rejected the call because of its
+// rate limit, before executing it. Nothing was written.
 type RateLimitError struct {
 	RetryAfter time.Duration
 }
@@ -75,7 +78,8 @@
 	return fmt.Sprintf("object API rate limit, retry after %v", e.RetryAfter)
 }
 
-// UnavailableError reports that no answer came. A write may have taken effect.
+// UnavailableError reports that the call got no valid answer. A write may have
+// taken effect.
 type UnavailableError struct {
 	Op    string
 	Key   string
@@ -87,10 +91,10 @@
 	return fmt.Sprintf("object API unavailable: %s %s: %v", e.Op, e.Key, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// IsConflict tells whether err is a lost conditional write.
+// IsConflict reports whether err is or wraps a ConflictError.
 func IsConflict(err error) bool {
 	var c *ConflictError
 	return errors.As(err, &c)
