--- a/standin/answer.go
+++ b/standin/answer.go
@@ -12,7 +12,7 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// vocabulary holds the words of answers. They need no escaping in JSON.
+// vocabulary holds the words of generated answers. They need no escaping in JSON.
 var vocabulary = [...]string{
 	"motor", "battery", "lock", "dock", "route", "crate", "sheet", "price",
 	"report", "check", "phase", "current", "cable", "wheel", "depot", "pallet",
@@ -20,8 +20,8 @@
 	"kiosk", "gate", "list", "shift", "bolt", "spare", "repair", "test",
 }
 
-// promptDigest identifies the messages of a request body, whatever its model,
-// its cache salt and its other fields are.
+// promptDigest returns a hash of the messages of a request body. It does not depend
+// on the model, the cache salt and other fields.
 func promptDigest(body []byte) (uint64, error) {
 	text, err := engine.PromptText(body)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return xxhash.Sum64(messages), nil
 }
 
-// answerTokens returns the tokens of the answer to the prompt of the digest,
-// of which the last is the checksum of the prompt.
+// answerTokens returns the tokens of the answer to the prompt with the digest. The
+// last token is a checksum of the prompt.
 func answerTokens(digest uint64, count int) []string {
 	random := rand.New(rand.NewPCG(digest, uint64(count)))
 	tokens := make([]string, count)
@@ -45,11 +45,12 @@
 
 func checksum(digest uint64) string { return fmt.Sprintf("#%016x", digest) }
 
-// ErrWrongAnswer reports an answer that is not the whole answer to the request.
+// ErrWrongAnswer reports an answer that is incomplete or belongs to another
+// request.
 var ErrWrongAnswer = errors.New("not the whole answer to the request")
 
-// CheckAnswer tells whether text is the whole answer of an Engine to the
-// request with the given body. The error wraps ErrWrongAnswer.
+// CheckAnswer verifies that text is the complete answer of an Engine to the
+// request with the given body. If it is not, the error wraps ErrWrongAnswer.
 func CheckAnswer(body []byte, text string) error {
 	digest, err := promptDigest(body)
 	if err != nil {
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -8,14 +8,14 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// eventsKept bounds the cache events an engine still publishes.
+// eventsKept bounds the number of past cache events that can still be read.
 const eventsKept = 4096
 
-// prefixCache models the prefix cache of an engine: a bounded set of prompt
-// prefixes, of which the least recently used is evicted.
+// prefixCache simulates the prefix cache of an engine: a bounded set of prompt
+// prefixes with least-recently-used eviction.
 type prefixCache struct {
-	limit    int
-	gapEvery uint64
+	limit     int
+	dropEvery uint64
 
 	mu       sync.Mutex
 	byPrefix map[uint64]*list.Element
@@ -29,16 +29,16 @@
 	at time.Time
 }
 
-func newPrefixCache(limit int, gapEvery uint64) *prefixCache {
+func newPrefixCache(limit int, dropEvery uint64) *prefixCache {
 	return &prefixCache{
-		limit: limit, gapEvery: gapEvery,
+		limit: limit, dropEvery: dropEvery,
 		byPrefix: make(map[uint64]*list.Element), recent: list.New(),
 	}
 }
 
-// use stores the prefixes of a prompt and returns how many leading ones were
-// stored before.
-func (c *prefixCache) use(now time.Time, prefixes []uint64) int {
+// insertPrompt stores the prefixes of a prompt and returns how many of them, from
+// the first on, were already cached.
+func (c *prefixCache) insertPrompt(now time.Time, prefixes []uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hits, leading := 0, true
@@ -56,7 +56,8 @@
 	return hits
 }
 
-// store adds a prefix and evicts the oldest beyond the limit.
+// store adds a prefix and evicts the least recently used one if the cache exceeds
+// its limit.
 func (c *prefixCache) store(now time.Time, prefix uint64) {
 	c.byPrefix[prefix] = c.recent.PushFront(prefix)
 	c.publish(now, prefix, true)
@@ -69,10 +70,11 @@
 	c.publish(now, evicted, false)
 }
 
-// publish records an event. Every gapEvery-th one gets lost.
+// publish records an event. Every dropEvery-th event is lost, but takes a sequence
+// number.
 func (c *prefixCache) publish(now time.Time, prefix uint64, stored bool) {
 	c.sequence++
-	if c.gapEvery > 0 && c.sequence%c.gapEvery == 0 {
+	if c.dropEvery > 0 && c.sequence%c.dropEvery == 0 {
 		return
 	}
 	if len(c.events) >= eventsKept {
@@ -82,9 +84,9 @@
 	c.events = append(c.events, timedEvent{CacheEvent: event, at: now})
 }
 
-// published returns the events above after that happened before known, and the
-// sequence number reached by then.
-func (c *prefixCache) published(after uint64, known time.Time) ([]engine.CacheEvent, uint64) {
+// eventsSince returns the events up to the time known whose sequence number is
+// above after, and the last sequence number up to that time.
+func (c *prefixCache) eventsSince(after uint64, known time.Time) ([]engine.CacheEvent, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := []engine.CacheEvent{}
--- a/standin/counter.go
+++ b/standin/counter.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// counter counts by id and forgets the oldest ids beyond its limit. It is not
-// safe for concurrent use.
+// counter counts by id and removes the oldest id when it exceeds its limit. It is
+// not safe for concurrent use.
 type counter struct {
 	limit  int
 	counts map[string]int
@@ -14,7 +14,7 @@
 	return &counter{limit: limit, counts: make(map[string]int)}
 }
 
-// add counts one more of id and returns the count.
+// add increments the count of id and returns it.
 func (c *counter) add(id string) int {
 	c.counts[id]++
 	if c.counts[id] == 1 {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -19,39 +19,43 @@
 
 // EngineConfig configures an Engine.
 type EngineConfig struct {
-	// Versions are loaded from the start.
+	// Versions are the versions that are loaded at the start.
 	Versions []string
-	// Slots is the number of requests decoded together. Zero means 8.
+	// Slots is the number of requests that run concurrently. Zero means 8.
 	Slots int
-	// QueueLimit bounds the waiting requests. Zero means no bound.
+	// QueueLimit bounds the number of queued requests. Zero means no limit.
 	QueueLimit int
-	// TokensPerSecond is the generation rate of one slot. Zero means as fast
-	// as possible.
+	// TokensPerSecond is the generation rate of each slot. Zero means
+	// unlimited.
 	TokensPerSecond float64
-	// PrefillTokensPerSecond is the rate at which prompt tokens outside the
-	// prefix cache are processed. Zero means at once.
+	// PrefillTokensPerSecond is the rate at which prompt tokens that are not in
+	// the prefix cache are processed. Zero means unlimited.
 	PrefillTokensPerSecond float64
-	// AnswerTokens is the usual length of an answer; each prompt has its own
-	// between half and one and a half of it. Zero means 32.
+	// AnswerTokens is the mean length of an answer. The prompt determines the
+	// length, between half and one and a half times the mean. Zero means 32.
 	AnswerTokens int
-	// CacheBlocks bounds the prefix cache, in blocks of engine.PrefixBlockBytes.
+	// CacheBlocks is the size of the prefix cache, in blocks of
+	// engine.PrefixBlockBytes.
 	// Zero means 4096.
 	CacheBlocks int
-	// CacheEventLag delays cache events, CacheEventGap loses every so many-th.
+	// CacheEventLag delays the publication of cache events. Every
+	// CacheEventGap-th event is lost; zero means none.
 	CacheEventLag time.Duration
 	CacheEventGap uint64
-	// ReportLag is the age of the load that reports show.
+	// ReportLag is the age of the load shown in load reports.
 	ReportLag time.Duration
-	// CheckFencing refuses orders and requests with an old fencing number.
+	// CheckFencing makes the engine reject an order whose fencing number is
+	// below that of an earlier order, and a request whose fencing number is
+	// below that of an earlier request with the same id.
 	CheckFencing bool
 	// LoadTime is the time to load a version.
 	LoadTime time.Duration
-	// Role is the role at the start.
+	// Role is the initial role.
 	Role string
-	// CrashOn is a text that ends the engine as it begins a request with it in the
-	// prompt. Empty for none.
+	// CrashOn is a text that crashes the engine when it starts to run a request
+	// whose prompt contains it. Empty means none.
 	CrashOn string
-	// Crash ends the process. Nil means os.Exit.
+	// Crash replaces the exit of the process in a crash. Nil means os.Exit.
 	Crash func()
 }
 
@@ -59,27 +63,27 @@
 	defaultSlots        = 8
 	defaultAnswerTokens = 32
 	defaultCacheBlocks  = 4096
-	// bytesPerToken is the length of a prompt token in the model.
+	// bytesPerToken is the assumed length of a prompt token.
 	bytesPerToken = 4
-	// maxPrefixBlocks bounds the blocks of one prompt that are cached.
+	// maxPrefixBlocks bounds the number of cached blocks of one prompt.
 	maxPrefixBlocks = 1024
-	// maxAnswerTokens bounds one answer.
+	// maxAnswerTokens bounds the length of one answer.
 	maxAnswerTokens = 100_000
 )
 
-// Engine stands in for a model engine.
+// Engine is a stand-in for a model engine.
 type Engine struct {
 	server
 	cfg         EngineConfig
 	slots       slots
 	cache       *prefixCache
 	orders      orders
-	outstanding atomic.Int64 // tokens still to generate
+	outstanding atomic.Int64 // tokens still to be generated
 
-	mu       sync.Mutex
-	executed *counter
-	fencing  map[string]uint64 // highest number by request id
-	past     history[loadSample]
+	mu          sync.Mutex
+	executed    *counter
+	fencing     map[string]uint64 // highest fencing number by request id
+	loadHistory history[loadSample]
 }
 
 // NewEngine returns an Engine.
@@ -113,14 +117,14 @@
 	}
 }
 
-// Executions returns how often each request id was executed.
+// Executions returns the number of executions by request id.
 func (e *Engine) Executions() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.executed.all()
 }
 
-// job is one request in the engine.
+// job is a request to the engine with its planned answer.
 type job struct {
 	Model               string `json:"model"`
 	Stream              bool   `json:"stream"`
@@ -136,13 +140,13 @@
 	cached   int
 	tokens   []string
 	finish   string
-	// crashes tells that the engine ends under the request.
+	// crashes reports that the request crashes the engine.
 	crashes bool
 }
 
 var errMalformed = errors.New("malformed request")
 
-// readJob decodes a request.
+// readJob decodes a request and plans its answer.
 func (e *Engine) readJob(r *http.Request) (*job, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBytes))
 	if err != nil {
@@ -162,15 +166,15 @@
 	j.prefixes = engine.PromptPrefixes(text, maxPrefixBlocks)
 	j.crashes = e.cfg.CrashOn != "" && strings.Contains(string(text), e.cfg.CrashOn)
 	j.prompt = (len(text) + bytesPerToken - 1) / bytesPerToken
-	// Absent headers read as zero, which is their default.
+	// A missing header parses to zero, which is its default.
 	j.priority, _ = strconv.Atoi(r.Header.Get(engine.HeaderPriority))
 	j.fencing, _ = strconv.ParseUint(r.Header.Get(engine.HeaderFencing), 10, 64)
-	j.tokens, j.finish = e.answer(j)
+	j.tokens, j.finish = e.planAnswer(j)
 	return j, nil
 }
 
-// answer decides the tokens of the answer and why it ends.
-func (e *Engine) answer(j *job) ([]string, string) {
+// planAnswer returns the tokens and the finish reason of the answer.
+func (e *Engine) planAnswer(j *job) ([]string, string) {
 	usual := uint64(e.cfg.AnswerTokens)
 	count, finish := int(usual/2+j.digest%(usual+1)), "stop"
 	limit := max(j.MaxTokens, j.MaxCompletionTokens)
@@ -183,15 +187,15 @@
 	return answerTokens(j.digest, max(count, 1)), finish
 }
 
-// chat answers one request.
+// chat handles a chat completion request.
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
 	j, err := e.readJob(r)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "invalid_request_error", err.Error())
+		writeNotRun(w, http.StatusBadRequest, "invalid_request_error", err.Error())
 		return
 	}
-	if !e.orders.serves(time.Now(), j.Model) {
-		refuse(w, http.StatusNotFound, engine.ErrorTypeNotRun, "version not loaded")
+	if !e.orders.isLoaded(time.Now(), j.Model) {
+		writeNotRun(w, http.StatusNotFound, engine.ErrorTypeNotRun, "version not loaded")
 		return
 	}
 	e.outstanding.Add(int64(len(j.tokens)))
@@ -202,33 +206,35 @@
 	}()
 	e.sample()
 	if err := e.slots.acquire(r.Context(), j.priority); err != nil {
-		e.refuseFull(w, err)
+		e.writeQueueFull(w, err)
 		return
 	}
 	defer e.slots.release()
 	e.run(w, r, j, &left)
 }
 
-// refuseFull answers a request that got no slot.
-func (e *Engine) refuseFull(w http.ResponseWriter, err error) {
+// writeQueueFull responds to a request that got no slot. It writes nothing if the
+// caller cancelled the request.
+func (e *Engine) writeQueueFull(w http.ResponseWriter, err error) {
 	if !errors.Is(err, errQueueFull) {
-		return // The caller is gone.
+		return // The caller cancelled the request.
 	}
 	w.Header().Set("Retry-After", "1")
-	refuse(w, http.StatusTooManyRequests, engine.ErrorTypeNotRun, "queue is full")
+	writeNotRun(w, http.StatusTooManyRequests, engine.ErrorTypeNotRun, "queue is full")
 }
 
-// run executes a job that has a slot. left counts down the tokens to generate.
+// run executes a job that holds a slot. It decreases left by the tokens that it
+// generates.
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, j *job, left *int64) {
-	if !e.start(j) {
-		refuse(w, http.StatusConflict, engine.ErrorTypeFenced, "a higher fencing number was met")
+	if !e.beginExecution(j) {
+		writeNotRun(w, http.StatusConflict, engine.ErrorTypeFenced, "a higher fencing number was met")
 		return
 	}
 	if j.crashes {
 		e.crash()
 	}
 	e.sample()
-	hits := e.cache.use(time.Now(), j.prefixes)
+	hits := e.cache.insertPrompt(time.Now(), j.prefixes)
 	j.cached = min(hits*engine.PrefixBlockBytes/bytesPerToken, j.prompt)
 	if !pause(r, e.prefillTime(j)) {
 		return
@@ -237,7 +243,7 @@
 	g.run(left)
 }
 
-// crash ends the engine without an answer.
+// crash ends the process without an answer.
 func (e *Engine) crash() {
 	if e.cfg.Crash != nil {
 		e.cfg.Crash()
@@ -246,23 +252,24 @@
 	os.Exit(1)
 }
 
-// start counts the execution, unless a higher fencing number was met for the
-// same request id.
-func (e *Engine) start(j *job) bool {
+// beginExecution counts the execution. It returns false, without counting, if the
+// engine checks fencing and has seen a higher number for the same request id.
+func (e *Engine) beginExecution(j *job) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.CheckFencing && j.fencing < e.fencing[j.id] {
 		return false
 	}
 	if e.cfg.CheckFencing && j.fencing > 0 {
-		e.remember(j)
+		e.recordFencing(j)
 	}
 	e.executed.add(j.id)
 	return true
 }
 
-// remember keeps the fencing number of a request id. The caller holds the lock.
-func (e *Engine) remember(j *job) {
+// recordFencing stores the fencing number of a request id. The caller must hold
+// e.mu.
+func (e *Engine) recordFencing(j *job) {
 	if len(e.fencing) >= executionsKept {
 		clear(e.fencing)
 	}
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -17,7 +17,7 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// ask sends a request for n tokens to e in process and returns the status.
+// ask calls e in process with a request for n tokens and returns the response.
 func ask(ctx context.Context, e *Engine, id string, priority, n int, prompt string) *httptest.ResponseRecorder {
 	body := fmt.Sprintf(`{"model":"v","max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, n, prompt)
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body))
@@ -28,7 +28,8 @@
 	return w
 }
 
-// newTestEngine returns an engine with answers of exactly the tokens asked for.
+// newTestEngine returns an engine whose answers are long enough to be cut at the
+// number of tokens requested.
 func newTestEngine(cfg EngineConfig) *Engine {
 	cfg.Versions = []string{"v"}
 	cfg.AnswerTokens = 10_000
@@ -100,7 +101,7 @@
 	})
 }
 
-func TestCachedPrefixShortensTheFirstToken(t *testing.T) {
+func TestCachedPrefixShortensTimeToFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{PrefillTokensPerSecond: 64, CacheBlocks: 4})
 		prompt := strings.Repeat("a", 4*engine.PrefixBlockBytes)
@@ -117,7 +118,7 @@
 	})
 }
 
-func TestReportsLag(t *testing.T) {
+func TestLoadReportsAreDelayedByReportLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{TokensPerSecond: 10, ReportLag: 2 * time.Second})
 		time.Sleep(time.Minute)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -17,71 +17,75 @@
 // Paths of the control endpoint.
 const (
 	pathControl = "/control/"
-	// PathFaults takes Faults by PUT and shows those in force by GET.
+	// PathFaults returns the current Faults on GET and replaces them on PUT.
 	PathFaults = "/control/faults"
 )
 
-// maxControlBytes bounds the body of a control call.
+// maxControlBytes bounds the body of a control request.
 const maxControlBytes = 4 << 20
 
-// Faults are the failures that a stand-in brings about. A PUT replaces them all.
+// Faults are the faults that a stand-in injects. A PUT replaces all of them.
 type Faults struct {
-	// SlowMillis delays every call by so many milliseconds.
+	// SlowMillis delays every call, in milliseconds.
 	SlowMillis int64 `json:"slow_ms"`
-	// Refuse answers every call 503, marked as not run.
+	// Refuse rejects every call with status 503 and marks it as not run.
 	Refuse bool `json:"refuse"`
-	// Fail lets every call take effect and answers 500.
+	// Fail executes every call and responds with status 500.
 	Fail bool `json:"fail"`
-	// LoseAnswers lets so many calls other than GET take effect and drops
-	// their connections without an answer. Below zero means all.
+	// LoseAnswers is the number of calls, other than GET, that are executed but
+	// whose connections are dropped without an answer. A negative number means
+	// all calls.
 	LoseAnswers int `json:"lose_answers"`
-	// LagMillis delays what reports, lists and ratings show, in milliseconds.
+	// LagMillis is added to the lag of load reports, cache events, host lists and
+	// ratings, in milliseconds.
 	LagMillis int64 `json:"lag_ms"`
-	// SilenceConnections makes the connections that are open now go silent for
-	// good. New connections work.
+	// SilenceConnections makes the open connections permanently silent: nothing
+	// more is sent or received on them. New connections work.
 	SilenceConnections bool `json:"silence_connections"`
-	// BreakAfterTokens cuts each answer of an engine after so many tokens.
+	// BreakAfterTokens drops the connection of each engine answer after this many
+	// tokens. Zero means never.
 	BreakAfterTokens int `json:"break_after_tokens"`
-	// RateFactor multiplies an engine's generation rate. Zero means one.
+	// RateFactor is a factor on an engine's generation rate. Zero means one.
 	RateFactor float64 `json:"rate_factor"`
 }
 
 // lag returns LagMillis as a duration.
 func (f Faults) lag() time.Duration { return time.Duration(f.LagMillis) * time.Millisecond }
 
-// faultState holds the faults in force.
+// faultState holds the current faults.
 type faultState struct {
-	mu  sync.Mutex
-	now Faults
+	mu      sync.Mutex
+	current Faults
 }
 
 func (s *faultState) set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.now = f
+	s.current = f
 }
 
 func (s *faultState) get() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now
+	return s.current
 }
 
-// loses tells whether the answer of this call is lost, and counts it.
-func (s *faultState) loses(method string) bool {
+// takeLostAnswer reports whether the answer of this call is to be lost, and
+// decreases the number of answers that are still to be lost.
+func (s *faultState) takeLostAnswer(method string) bool {
 	if method == http.MethodGet {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now.LoseAnswers > 0 {
-		s.now.LoseAnswers--
+	if s.current.LoseAnswers > 0 {
+		s.current.LoseAnswers--
 		return true
 	}
-	return s.now.LoseAnswers < 0
+	return s.current.LoseAnswers < 0
 }
 
-// apply lets next answer the call under the faults in force.
+// apply handles the call with next, subject to the current faults.
 func (s *faultState) apply(next http.Handler, w http.ResponseWriter, r *http.Request) {
 	f := s.get()
 	if !pause(r, time.Duration(f.SlowMillis)*time.Millisecond) {
@@ -89,19 +93,19 @@
 	}
 	switch {
 	case f.Refuse:
-		refuse(w, http.StatusServiceUnavailable, engine.ErrorTypeNotRun, "refused by a fault")
+		writeNotRun(w, http.StatusServiceUnavailable, engine.ErrorTypeNotRun, "refused by a fault")
 	case f.Fail:
-		next.ServeHTTP(newDiscard(), r)
+		next.ServeHTTP(newDiscardWriter(), r)
 		http.Error(w, "failed by a fault", http.StatusInternalServerError)
-	case s.loses(r.Method):
-		next.ServeHTTP(newDiscard(), r)
+	case s.takeLostAnswer(r.Method):
+		next.ServeHTTP(newDiscardWriter(), r)
 		panic(http.ErrAbortHandler)
 	default:
 		next.ServeHTTP(w, r)
 	}
 }
 
-// pause waits for d and tells whether the caller is still there.
+// pause waits for d. It returns false if the request is cancelled first.
 func pause(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -116,29 +120,29 @@
 	}
 }
 
-// discard is a ResponseWriter whose answer goes nowhere.
-type discard struct {
+// discardWriter is an http.ResponseWriter that discards the response.
+type discardWriter struct {
 	header http.Header
 }
 
-func newDiscard() *discard { return &discard{header: make(http.Header)} }
+func newDiscardWriter() *discardWriter { return &discardWriter{header: make(http.Header)} }
 
 // Header implements http.ResponseWriter.
-func (d *discard) Header() http.Header { return d.header }
+func (d *discardWriter) Header() http.Header { return d.header }
 
 // Write implements http.ResponseWriter.
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (d *discard) WriteHeader(int) {}
+func (d *discardWriter) WriteHeader(int) {}
 
 // Flush implements http.Flusher.
-func (d *discard) Flush() {}
+func (d *discardWriter) Flush() {}
 
 func isControl(r *http.Request) bool { return strings.HasPrefix(r.URL.Path, pathControl) }
 
-// newControl returns a router with the control endpoint of faults. The
-// stand-ins add their own paths.
+// newControl returns a router for the control endpoint that handles PathFaults.
+// Each stand-in adds its own paths.
 func (s *server) newControl() *bunrouter.CompatRouter {
 	router := bunrouter.New().Compat()
 	router.GET(PathFaults, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.faults.get()) })
@@ -159,7 +163,8 @@
 	writeJSON(w, f)
 }
 
-// readJSON decodes a control body strictly, or answers 400.
+// readJSON decodes a JSON body and rejects unknown fields. It responds with status
+// 400 and returns false if that fails.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(io.LimitReader(r.Body, maxControlBytes))
 	d.DisallowUnknownFields()
@@ -177,14 +182,14 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(append(body, '\n')) // A caller that is gone needs no answer.
+	_, _ = w.Write(append(body, '\n')) // A write error means that the caller has disconnected.
 }
 
-// refuse answers that the call did not run.
-func refuse(w http.ResponseWriter, status int, kind, message string) {
+// writeNotRun responds with an error and marks the call as not run.
+func writeNotRun(w http.ResponseWriter, status int, kind, message string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(engine.HeaderNotRun, "true")
 	w.WriteHeader(status)
 	body, _ := json.Marshal(map[string]map[string]string{"error": {"type": kind, "message": message}})
-	_, _ = w.Write(body) // A caller that is gone needs no answer.
+	_, _ = w.Write(body) // A write error means that the caller has disconnected.
 }
--- a/standin/generate.go
+++ b/standin/generate.go
@@ -11,13 +11,15 @@
 )
 
 const (
-	// batchInterval is the shortest time between two writes of a paced answer.
+	// batchInterval is the shortest time between two writes of an answer with a
+	// limited rate.
 	batchInterval = 2 * time.Millisecond
-	// batchTokens is the number of tokens in one write of an unpaced answer.
+	// batchTokens is the number of tokens in one write of an answer with an
+	// unlimited rate.
 	batchTokens = 32
 )
 
-// generator writes one answer at the engine's rate.
+// generator writes one answer at the engine's generation rate.
 type generator struct {
 	e       *Engine
 	w       http.ResponseWriter
@@ -34,7 +36,7 @@
 	return &generator{e: e, w: w, r: r, j: j, started: time.Now()}
 }
 
-// run generates all tokens and counts left down with them.
+// run generates all tokens and decreases left by each of them.
 func (g *generator) run(left *int64) {
 	if g.j.Stream {
 		g.openStream()
@@ -45,24 +47,25 @@
 		rate *= f.RateFactor
 	}
 	for done, total := 0, len(g.j.tokens); done < total; {
-		due := g.due(done, total, rate)
+		due := g.dueTokens(done, total, rate)
 		if f.BreakAfterTokens > 0 && due > f.BreakAfterTokens {
-			g.cut(done, min(due, f.BreakAfterTokens))
+			g.abort(done, min(due, f.BreakAfterTokens))
 		}
 		g.write(g.j.tokens[done:due])
 		g.e.outstanding.Add(int64(done - due))
 		*left -= int64(due - done)
 		done = due
 		g.e.sample()
-		if !g.wait(done, total, rate) {
+		if !g.waitForNext(done, total, rate) {
 			return
 		}
 	}
 	g.finish()
 }
 
-// due returns how many tokens are to be written by now, at least one more.
-func (g *generator) due(done, total int, rate float64) int {
+// dueTokens returns the number of tokens that must have been written by now, at
+// least one more than done.
+func (g *generator) dueTokens(done, total int, rate float64) int {
 	if rate <= 0 {
 		return min(done+batchTokens, total)
 	}
@@ -70,9 +73,9 @@
 	return min(max(int(elapsed*rate)+1, done+1), total)
 }
 
-// wait waits until the next token is due and tells whether the caller is still
-// there.
-func (g *generator) wait(done, total int, rate float64) bool {
+// waitForNext waits until the next token is due. It returns false if the request
+// is cancelled first.
+func (g *generator) waitForNext(done, total int, rate float64) bool {
 	if g.r.Context().Err() != nil {
 		return false
 	}
@@ -95,15 +98,16 @@
 	}
 }
 
-// cut writes the tokens before the break and drops the connection.
-func (g *generator) cut(done, end int) {
+// abort writes the tokens up to end and drops the connection.
+func (g *generator) abort(done, end int) {
 	g.write(g.j.tokens[done:max(done, end)])
 	panic(http.ErrAbortHandler)
 }
 
 func (g *generator) id() string { return "cmpl-" + g.j.id }
 
-// openStream writes the header and prepares the bytes around each token.
+// openStream sets the header of a stream and prepares the bytes before and after
+// each token.
 func (g *generator) openStream() {
 	g.w.Header().Set("Content-Type", "text/event-stream")
 	id, model := quote(g.id()), quote(g.j.Model)
@@ -114,11 +118,12 @@
 
 // quote returns s as a JSON string.
 func quote(s string) string {
-	q, _ := json.Marshal(s) // A string always has a JSON form.
+	q, _ := json.Marshal(s) // Marshalling a string cannot fail.
 	return string(q)
 }
 
-// write sends tokens as one event each, in one write.
+// write sends one event for each token, in a single write. It does nothing if the
+// answer is not streamed.
 func (g *generator) write(tokens []string) {
 	if !g.j.Stream {
 		return
@@ -132,15 +137,15 @@
 	g.send()
 }
 
-// send writes the buffer through to the connection.
+// send writes the buffer and flushes it to the connection.
 func (g *generator) send() {
-	_, _ = g.w.Write(g.buf) // The context tells when the caller is gone.
+	_, _ = g.w.Write(g.buf) // A disconnected caller shows in the request's context.
 	if f, ok := g.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// completion is a whole answer.
+// completion is the response body of an answer that is not streamed.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -180,7 +185,7 @@
 	}
 }
 
-// finish writes the end of a stream, or a whole answer.
+// finish writes the end of a stream, or the complete answer if it is not streamed.
 func (g *generator) finish() {
 	if g.j.Stream {
 		g.finishStream()
@@ -199,19 +204,19 @@
 	}
 	g.w.Header().Set("Content-Type", "application/json")
 	g.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = g.w.Write(body) // A caller that is gone needs no answer.
+	_, _ = g.w.Write(body) // A write error means that the caller has disconnected.
 }
 
 func (g *generator) finishStream() {
 	head := `data: {"id":` + quote(g.id()) + `,"object":"chat.completion.chunk","created":0,"model":` + quote(g.j.Model)
-	spent, _ := json.Marshal(g.usage()) // A struct of numbers always has a JSON form.
+	usageJSON, _ := json.Marshal(g.usage()) // Marshalling a struct of numbers cannot fail.
 	g.buf = append(g.buf[:0], head+`,"choices":[{"index":0,"delta":{},"finish_reason":"`+g.j.finish+`"}]}`+"\n\n"...)
-	g.buf = append(g.buf, head+`,"choices":[],"usage":`+string(spent)+"}\n\n"...)
+	g.buf = append(g.buf, head+`,"choices":[],"usage":`+string(usageJSON)+"}\n\n"...)
 	g.buf = append(g.buf, "data: [DONE]\n\n"...)
 	g.send()
 }
 
-// loadSample is the load of an engine at one time.
+// loadSample is the load of an engine at a point in time.
 type loadSample struct {
 	tokens  int64
 	queued  int
@@ -219,16 +224,16 @@
 	free    int
 }
 
-// sample records the load of now for the reports.
+// sample records the current load for the load reports.
 func (e *Engine) sample() {
 	free, queued := e.slots.state()
 	s := loadSample{tokens: e.outstanding.Load(), queued: queued, free: free, running: e.cfg.Slots - free}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.past.add(time.Now(), s)
+	e.loadHistory.add(time.Now(), s)
 }
 
-// load answers a load report.
+// load handles a request for a load report.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -237,10 +242,10 @@
 	}
 	now, lag := time.Now(), e.faults.get().lag()
 	state := e.orders.state(now)
-	events, sequence := e.cache.published(after, now.Add(-e.cfg.CacheEventLag-lag))
+	events, sequence := e.cache.eventsSince(after, now.Add(-e.cfg.CacheEventLag-lag))
 	known := now.Add(-e.cfg.ReportLag - lag)
 	e.mu.Lock()
-	s, _ := e.past.asOf(known)
+	s, _ := e.loadHistory.asOf(known)
 	e.mu.Unlock()
 	writeJSON(w, engine.Load{
 		QueuedTokens: s.tokens, QueuedRequests: s.queued, RunningRequests: s.running, FreeSlots: s.free,
--- a/standin/history.go
+++ b/standin/history.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// historyLimit bounds the entries kept, historyStep merges changes that are
-// closer to each other.
+// historyLimit bounds the number of entries. Changes within historyStep of each
+// other share one entry.
 const (
 	historyLimit = 4096
 	historyStep  = 5 * time.Millisecond
 )
 
-// history keeps past values so that they can be shown with a lag. It is not
+// history stores past values, so that they can be reported with a lag. It is not
 // safe for concurrent use.
 type history[T any] struct {
 	entries []historyEntry[T]
@@ -20,7 +20,7 @@
 	value T
 }
 
-// add records the value in force from now on.
+// add records a value that is current from now on.
 func (h *history[T]) add(now time.Time, value T) {
 	if n := len(h.entries); n > 1 && now.Sub(h.entries[n-1].at) < historyStep {
 		h.entries[n-1].value = value
@@ -32,7 +32,8 @@
 	h.entries = append(h.entries, historyEntry[T]{at: now, value: value})
 }
 
-// asOf returns the value in force at the given time, or the oldest kept.
+// asOf returns the value that was current at the given time and the time at which
+// it was recorded. For a time before the oldest entry, it returns that entry.
 func (h *history[T]) asOf(at time.Time) (T, time.Time) {
 	var found historyEntry[T]
 	for i := len(h.entries) - 1; i >= 0; i-- {
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -11,26 +11,26 @@
 	"github.com/bronzeturn/bronzeturn/hostlist"
 )
 
-// PathHosts takes a []hostlist.Host by PUT, which replaces the list.
+// PathHosts replaces the list on PUT. The body is a []hostlist.Host.
 const PathHosts = "/control/hosts"
 
 // HostListConfig configures a HostList.
 type HostListConfig struct {
-	// Lag is the time after which a change shows.
+	// Lag is the delay until a change becomes visible.
 	Lag time.Duration
-	// Hosts are listed from the start. Their revisions are set anew.
+	// Hosts is the initial list. The revisions in it are ignored.
 	Hosts []hostlist.Host
 }
 
-// HostList stands in for the platform's host list.
+// HostList is a stand-in for the platform's host list.
 type HostList struct {
 	server
 	lag time.Duration
 
-	mu       sync.Mutex
-	revision uint64
-	hosts    []hostlist.Host
-	past     history[hostlist.List]
+	mu          sync.Mutex
+	revision    uint64
+	hosts       []hostlist.Host
+	listHistory history[hostlist.List]
 }
 
 // NewHostList returns a HostList.
@@ -46,9 +46,9 @@
 	return h
 }
 
-// get answers the list, or that it is still the one that the caller knows.
+// get responds with the list, or with status 304 if the caller already has it.
 func (h *HostList) get(w http.ResponseWriter, r *http.Request) {
-	list := h.shown()
+	list := h.visibleList()
 	tag := hostlist.Tag(list.Revision)
 	w.Header().Set("ETag", tag)
 	if tag != "" && r.Header.Get("If-None-Match") == tag {
@@ -67,7 +67,7 @@
 	writeJSON(w, hosts)
 }
 
-// Replace makes hosts the whole list. Hosts that change get a new revision.
+// Replace replaces the list. Hosts that changed get a new revision.
 func (h *HostList) Replace(hosts []hostlist.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,10 +84,10 @@
 		}
 	}
 	h.hosts = next
-	h.record()
+	h.recordHistory()
 }
 
-// SetState changes the state of one host and tells whether it is listed.
+// SetState sets the state of a host. It returns false if the host is not listed.
 func (h *HostList) SetState(name string, state hostlist.State) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -99,11 +99,11 @@
 	h.hosts = slices.Clone(h.hosts)
 	h.hosts[i].State = state
 	h.hosts[i].Revision = h.revision
-	h.record()
+	h.recordHistory()
 	return true
 }
 
-// Remove takes one host off the list and tells whether it was listed.
+// Remove removes a host from the list. It returns false if the host is not listed.
 func (h *HostList) Remove(name string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,26 +113,26 @@
 	}
 	h.revision++
 	h.hosts = slices.Delete(slices.Clone(h.hosts), i, i+1)
-	h.record()
+	h.recordHistory()
 	return true
 }
 
-// find returns the index of a host, or -1. The caller holds the lock.
+// find returns the index of a host, or -1. The caller must hold h.mu.
 func (h *HostList) find(name string) int {
 	return slices.IndexFunc(h.hosts, func(host hostlist.Host) bool { return host.Name == name })
 }
 
-// record keeps the list in force. The caller holds the lock.
-func (h *HostList) record() {
-	h.past.add(time.Now(), hostlist.List{Revision: h.revision, Hosts: h.hosts})
+// recordHistory adds the current list to the history. The caller must hold h.mu.
+func (h *HostList) recordHistory() {
+	h.listHistory.add(time.Now(), hostlist.List{Revision: h.revision, Hosts: h.hosts})
 }
 
-// shown returns the list as it was before the lag.
-func (h *HostList) shown() hostlist.List {
+// visibleList returns the list with the configured lag.
+func (h *HostList) visibleList() hostlist.List {
 	lag := h.lag + h.faults.get().lag()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list, _ := h.past.asOf(time.Now().Add(-lag))
+	list, _ := h.listHistory.asOf(time.Now().Add(-lag))
 	if list.Hosts == nil {
 		list.Hosts = []hostlist.Host{}
 	}
--- a/standin/objectapi.go
+++ b/standin/objectapi.go
@@ -18,36 +18,39 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// PathCalls shows the calls an object API received, as ObjectAPICalls.
+// PathCalls returns the number of calls received, as ObjectAPICalls.
 const PathCalls = "/control/calls"
 
-// watchCharge is the waiting time for which a watch is counted as one read.
-const watchCharge = time.Second
+// watchChargeInterval is the waiting time for which a watch is charged one read.
+const watchChargeInterval = time.Second
 
 // ObjectAPIConfig configures an ObjectAPI.
 type ObjectAPIConfig struct {
-	// ReadsPerSecond and WritesPerSecond limit the calls, with a burst of one
-	// second's worth. Zero means no limit. A watch counts as one read when it
-	// opens and as one more for each second that it waits.
+	// ReadsPerSecond and WritesPerSecond limit the rate of calls, with a burst of
+	// one second's calls. Zero means no limit. A watch is charged one read when
+	// it starts and one more for each second that it waits.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// WatchWait bounds the wait of a watch. Zero means httpstore.MaxWatchWait.
+	// WatchWait is the longest wait of a watch. Zero means
+	// httpstore.MaxWatchWait.
 	WatchWait time.Duration
-	// Store holds the objects. Nil means a new memstore.Store.
+	// Store is the backing store. Nil means a new memstore.Store.
 	Store objectstore.Store
 }
 
-// ObjectAPICalls counts the calls received, the refused ones apart.
+// ObjectAPICalls holds the number of calls received, by kind. Calls that the rate
+// limit rejected count only as Refused.
 type ObjectAPICalls struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
-	// WatchSeconds counts the further reads charged to waiting watches.
+	// WatchSeconds is the number of reads charged to waiting watches, in addition
+	// to the one for each watch.
 	WatchSeconds uint64 `json:"watch_seconds"`
 	Refused      uint64 `json:"refused"`
 }
 
-// ObjectAPI stands in for the platform's object API.
+// ObjectAPI is a stand-in for the platform's object API.
 type ObjectAPI struct {
 	server
 	store     objectstore.Store
@@ -94,10 +97,10 @@
 	return router
 }
 
-// Store returns the store behind the API, without faults and limits.
+// Store returns the backing store. Calls to it bypass faults and rate limits.
 func (a *ObjectAPI) Store() objectstore.Store { return a.store }
 
-// Calls returns the calls received so far.
+// Calls returns the number of calls received so far.
 func (a *ObjectAPI) Calls() ObjectAPICalls {
 	return ObjectAPICalls{
 		Reads: a.readCalls.Load(), Writes: a.writeCalls.Load(), Watches: a.watchCalls.Load(),
@@ -105,19 +108,20 @@
 	}
 }
 
-// admit counts the call and takes its token, or answers 429.
+// admit takes a token from the rate limit and counts the call. If there is no
+// token, it responds with status 429 and returns false.
 func (a *ObjectAPI) admit(w http.ResponseWriter, count *atomic.Uint64, limit *rate.Limiter) bool {
 	if limit.Allow() {
 		count.Add(1)
 		return true
 	}
 	a.refused.Add(1)
-	tooMany(w, limit)
+	writeRateLimited(w, limit)
 	return false
 }
 
-// tooMany answers 429 with the time until the next token.
-func tooMany(w http.ResponseWriter, limit *rate.Limiter) {
+// writeRateLimited responds with status 429 and the time until the next token.
+func writeRateLimited(w http.ResponseWriter, limit *rate.Limiter) {
 	wait := (1 - limit.Tokens()) / float64(limit.Limit())
 	w.Header().Set("Retry-After", strconv.FormatFloat(max(wait, 0), 'f', 3, 64))
 	http.Error(w, "rate limit", http.StatusTooManyRequests)
@@ -136,7 +140,7 @@
 	}
 	w.Header().Set("ETag", httpstore.FormatTag(object.Revision))
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(object.Value) // A caller that is gone needs no answer.
+	_, _ = w.Write(object.Value) // A write error means that the caller has disconnected.
 }
 
 func (a *ObjectAPI) put(w http.ResponseWriter, r *http.Request) {
@@ -183,7 +187,7 @@
 	}
 }
 
-// writeStoreError answers with the status that httpstore translates back.
+// writeStoreError responds with the status that httpstore maps to the same error.
 func writeStoreError(w http.ResponseWriter, err error) {
 	var conflict *objectstore.ConflictError
 	status := http.StatusServiceUnavailable
@@ -208,7 +212,7 @@
 	query := r.URL.Query()
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit <= 0 || limit > maxListed {
-		limit = maxListed + 1 // One more shows that the answer is not complete.
+		limit = maxListed + 1 // One more than the page holds tells writeObjects that there are more.
 	}
 	objects, err := a.store.List(r.Context(), query.Get("prefix"), query.Get("after"), limit)
 	if err != nil {
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -11,7 +11,7 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// ordersKept bounds the order ids remembered.
+// ordersKept bounds the number of order ids kept for deduplication.
 const ordersKept = 1024
 
 var (
@@ -19,13 +19,13 @@
 	errOrder  = errors.New("unknown operation")
 )
 
-// orders holds what an engine serves and applies orders to it.
+// orders holds the versions and the role of an engine and applies orders to them.
 type orders struct {
-	check    bool
-	loadTime time.Duration
+	checkFencing bool
+	loadTime     time.Duration
 
 	mu sync.Mutex
-	// ready gives the time at which each version can be served.
+	// ready is the time at which each version is loaded.
 	ready   map[string]time.Time
 	role    string
 	fencing uint64
@@ -38,20 +38,20 @@
 		ready[v] = time.Time{}
 	}
 	return orders{
-		check: cfg.CheckFencing, loadTime: cfg.LoadTime,
+		checkFencing: cfg.CheckFencing, loadTime: cfg.LoadTime,
 		ready: ready, role: cfg.Role, seen: newCounter(ordersKept),
 	}
 }
 
-// serves tells whether the version is loaded.
-func (o *orders) serves(now time.Time, version string) bool {
+// isLoaded reports whether the version is loaded.
+func (o *orders) isLoaded(now time.Time, version string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	at, ok := o.ready[version]
 	return ok && !now.Before(at)
 }
 
-// state returns what the engine serves.
+// state returns the engine's versions, role and fencing number.
 func (o *orders) state(now time.Time) engine.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,11 +66,11 @@
 	return state
 }
 
-// apply carries out an order unless its id was met before.
+// apply executes an order, unless its id was received before.
 func (o *orders) apply(now time.Time, order engine.Order) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.check {
+	if o.checkFencing {
 		if order.Fencing < o.fencing {
 			return errFenced
 		}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// order answers an order with the engine's state after it.
+// order applies an order and responds with the resulting state of the engine.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if !readJSON(w, r, &order) {
@@ -103,9 +103,9 @@
 	now := time.Now()
 	switch err := e.orders.apply(now, order); {
 	case errors.Is(err, errFenced):
-		refuse(w, http.StatusConflict, engine.ErrorTypeFenced, err.Error())
+		writeNotRun(w, http.StatusConflict, engine.ErrorTypeFenced, err.Error())
 	case err != nil:
-		refuse(w, http.StatusBadRequest, "invalid_request_error", err.Error())
+		writeNotRun(w, http.StatusBadRequest, "invalid_request_error", err.Error())
 	default:
 		writeJSON(w, e.orders.state(now))
 	}
--- a/standin/ratings.go
+++ b/standin/ratings.go
@@ -14,11 +14,12 @@
 	"github.com/bronzeturn/bronzeturn/rating"
 )
 
-// PathQuality takes a []Quality by PUT, which changes the named entries.
+// PathQuality sets entries on PUT. The body is a []Quality; entries that it does
+// not contain stay.
 const PathQuality = "/control/quality"
 
-// Quality is the true quality of a version for a kind. An empty Kind stands
-// for all kinds without an entry of their own.
+// Quality is the true quality of a version for a kind of request. An empty Kind
+// means all kinds that have no entry of their own.
 type Quality struct {
 	Version string  `json:"version"`
 	Kind    string  `json:"kind"`
@@ -28,22 +29,22 @@
 // RatingServiceConfig configures a Rating service.
 type RatingServiceConfig struct {
 	Quality []Quality
-	// DefaultQuality is that of versions without an entry.
+	// DefaultQuality is the quality of versions without an entry.
 	DefaultQuality float64
-	// Noise is the standard deviation of a score around the quality.
+	// Noise is the standard deviation of the scores around the quality.
 	Noise float64
-	// Bias is added to the scores of an organisation.
+	// Bias is added to the scores from an organisation, by its name.
 	Bias map[string]float64
-	// RatedShare is the share of the samples that get a rating. Zero means all.
+	// RatedShare is the share of samples that get a rating. Zero means all.
 	RatedShare float64
-	// Lag is the time after which a rating shows.
+	// Lag is the delay until a rating becomes visible.
 	Lag time.Duration
 }
 
 const (
-	// ratingsKept bounds the ratings and sample ids remembered.
+	// ratingsKept bounds the number of ratings and of sample ids kept.
 	ratingsKept = 100_000
-	// ratingsPage bounds one answer of a poll.
+	// ratingsPage is the largest number of ratings in one poll response.
 	ratingsPage = 1000
 )
 
@@ -56,11 +57,11 @@
 	quality  map[[2]string]float64
 	seen     *counter
 	sequence uint64
-	ratings  []dueRating
+	ratings  []timedRating
 }
 
-// dueRating is a rating and the time since which it is known.
-type dueRating struct {
+// timedRating is a rating and the time at which it was given.
+type timedRating struct {
 	rating.Rating
 	at time.Time
 }
@@ -88,7 +89,7 @@
 	writeJSON(w, entries)
 }
 
-// SetQuality changes the true quality for the samples that come from now on.
+// SetQuality sets the true quality of versions, for samples submitted from now on.
 func (s *RatingService) SetQuality(entries ...Quality) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +107,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// rate decides the rating of a sample at once; it shows after the lag.
+// rate rates a sample immediately. The rating becomes visible after the lag. The
+// request id determines the noise and whether there is a rating at all.
 func (s *RatingService) rate(sample rating.Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,13 +124,13 @@
 	if len(s.ratings) >= ratingsKept {
 		s.ratings = append(s.ratings[:0], s.ratings[ratingsKept/2:]...)
 	}
-	s.ratings = append(s.ratings, dueRating{at: time.Now(), Rating: rating.Rating{
+	s.ratings = append(s.ratings, timedRating{at: time.Now(), Rating: rating.Rating{
 		Sequence: s.sequence, RequestID: sample.RequestID, Organisation: sample.Organisation,
 		Version: sample.Version, Kind: sample.Kind, Accepted: sample.Accepted, Score: math.Min(math.Max(score, 0), 1),
 	}})
 }
 
-// trueQuality looks up a sample's quality. The caller holds the lock.
+// trueQuality returns the quality for a sample. The caller must hold s.mu.
 func (s *RatingService) trueQuality(sample rating.Sample) float64 {
 	if q, ok := s.quality[[2]string{sample.Version, sample.Kind}]; ok {
 		return q
@@ -145,12 +147,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	writeJSON(w, rating.Ratings{Ratings: s.shown(after)})
+	writeJSON(w, rating.Ratings{Ratings: s.visibleRatings(after)})
 }
 
-// shown returns a page of the ratings above after that are past the lag. A
-// rating does not show before the ones of a lower sequence.
-func (s *RatingService) shown(after uint64) []rating.Rating {
+// visibleRatings returns a page of the ratings that are older than the lag and
+// whose sequence number is above after. Ratings become visible in the order of
+// their sequence numbers.
+func (s *RatingService) visibleRatings(after uint64) []rating.Rating {
 	known := time.Now().Add(-s.cfg.Lag - s.faults.get().lag())
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/server.go
+++ b/standin/server.go
@@ -1,7 +1,8 @@
-// Package standin holds small stand-ins of the outside systems: object API,
-// host list, rating service, weight store, model engine and plain service. They
-// serve demos and tests, in a process of their own or inside another, and take
-// faults over a control endpoint. They are not meant for production.
+// Package standin implements stand-ins for the systems that bronzeturn depends
+// on: object API, host list, rating service, weight store, model engine and plain
+// service. They are for demos and tests, run in a process of their own or inside
+// another one, and inject faults that are set over a control endpoint. They are
+// not meant for production.
 package standin
 
 import (
@@ -14,7 +15,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// server is what all stand-ins share: faults, control and serving.
+// server is the common part of all stand-ins: fault injection, the control
+// endpoint and serving.
 type server struct {
 	faults  faultState
 	conns   connections
@@ -22,7 +24,8 @@
 	control http.Handler
 }
 
-// ServeHTTP implements http.Handler. Silencing connections needs Serve.
+// ServeHTTP implements http.Handler. Faults.SilenceConnections has an effect only
+// on connections that Serve accepted.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if isControl(r) {
 		s.control.ServeHTTP(w, r)
@@ -31,7 +34,7 @@
 	s.faults.apply(s.handler, w, r)
 }
 
-// SetFaults replaces the faults, as a PUT of the control endpoint does.
+// SetFaults replaces the faults, like a PUT to PathFaults.
 func (s *server) SetFaults(f Faults) {
 	s.faults.set(f)
 	if f.SilenceConnections {
@@ -39,13 +42,15 @@
 	}
 }
 
-// Serve answers on the listener until ctx ends, then closes all connections.
+// Serve serves on the listener until ctx is cancelled, then closes all
+// connections.
 func (s *server) Serve(ctx context.Context, l net.Listener) error {
 	srv := &http.Server{
 		Handler:     s,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 	}
-	// tomb.WithContext would race with a parent that ends at once.
+	// tomb.WithContext has a data race if its parent context is cancelled right
+	// away.
 	var t tomb.Tomb
 	t.Go(func() error {
 		if err := srv.Serve(&listener{Listener: l, conns: &s.conns}); !errors.Is(err, http.ErrServerClosed) {
@@ -64,10 +69,10 @@
 	return t.Wait()
 }
 
-// connKey is the context key of a request's connection.
+// connKey is the context key for the connection of a request.
 type connKey struct{}
 
-// listener wraps accepted connections so that they can be silenced.
+// listener wraps accepted connections so that they can be made silent.
 type listener struct {
 	net.Listener
 	conns *connections
@@ -82,7 +87,7 @@
 	return l.conns.add(c), nil
 }
 
-// connections holds the open connections of a stand-in.
+// connections tracks the open connections of a stand-in.
 type connections struct {
 	mu   sync.Mutex
 	open map[*conn]struct{}
@@ -105,7 +110,7 @@
 	delete(cs.open, c)
 }
 
-// silence makes all open connections but except go silent for good.
+// silence makes all open connections other than except permanently silent.
 func (cs *connections) silence(except net.Conn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -116,19 +121,20 @@
 	}
 }
 
-// closeAll closes all connections, the silent ones too.
+// closeAll closes all connections, including silent ones.
 func (cs *connections) closeAll() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for c := range cs.open {
 		c.release()
-		_ = c.Conn.Close() // Nothing is left to do with a failure.
+		_ = c.Conn.Close() // An error changes nothing, as the connection is discarded.
 	}
 	clear(cs.open)
 }
 
-// conn is a connection that can go silent: what is written to it vanishes, and
-// nothing that the peer sends arrives, its closing included.
+// conn is a connection that can be made silent, to simulate a network that drops
+// all packets: writes are discarded, and nothing that the peer sends arrives, not
+// even the end of the connection.
 type conn struct {
 	net.Conn
 	owner *connections
@@ -171,7 +177,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. The peer of a silent connection does not notice.
+// Close implements net.Conn. If the connection is silent, it stays open so that
+// the peer does not notice.
 func (c *conn) Close() error {
 	c.release()
 	if c.isSilent() {
--- a/standin/server_test.go
+++ b/standin/server_test.go
@@ -11,9 +11,9 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// TestEngineFinishesTheWorkOfASilentConnection: the engine does not notice that
-// its caller is gone, frees the slot when it is through, and the caller gets
-// nothing more.
+// TestEngineFinishesTheWorkOfASilentConnection checks that an engine whose
+// connection goes silent does not notice it, completes the answer and frees the
+// slot, while the caller receives nothing more.
 func TestEngineFinishesTheWorkOfASilentConnection(t *testing.T) {
 	c := qt.New(t)
 	e := NewEngine(EngineConfig{Versions: []string{"v"}, AnswerTokens: 400, Slots: 1, TokensPerSecond: 100})
--- a/standin/service.go
+++ b/standin/service.go
@@ -11,12 +11,12 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// PathExecutions shows how often each request id was executed, as a JSON
-// object of id and count.
+// PathExecutions returns the number of executions by request id, as a JSON
+// object.
 const PathExecutions = "/control/executions"
 
 const (
-	// executionsKept bounds the request ids remembered.
+	// executionsKept bounds the number of request ids whose executions are counted.
 	executionsKept = 200_000
 	// maxRequestBytes bounds the body of a request.
 	maxRequestBytes = 16 << 20
@@ -24,27 +24,28 @@
 
 // PlainServiceConfig configures a PlainService.
 type PlainServiceConfig struct {
-	// Name shows in the answers.
+	// Name is the service name in the answers.
 	Name string
 	// CallDuration is the time that a call takes.
 	CallDuration time.Duration
 }
 
-// ServiceAnswer is what a PlainService answers.
+// ServiceAnswer is the response body of a PlainService.
 type ServiceAnswer struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	RequestID string `json:"request_id"`
-	// BodySHA256 is the digest of the body received, so that a caller can check
-	// that the answer is to its own call.
+	// BodySHA256 is the digest of the request body, with which a caller can
+	// check that the answer belongs to its own call.
 	BodySHA256 string `json:"body_sha256"`
-	// Execution is 1 for the first execution of the request id.
+	// Execution is the number of executions of the request id so far, this one
+	// included.
 	Execution int `json:"execution"`
 }
 
-// PlainService stands in for a plain service. It answers any path outside the
-// control endpoint and counts executions by the X-Request-Id header.
+// PlainService is a stand-in for a plain service. It answers on any path outside
+// the control endpoint and counts executions by the X-Request-Id header.
 type PlainService struct {
 	server
 	cfg PlainServiceConfig
@@ -63,7 +64,7 @@
 	return s
 }
 
-// Executions returns how often each request id was executed.
+// Executions returns the number of executions by request id.
 func (s *PlainService) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/slots.go
+++ b/standin/slots.go
@@ -9,7 +9,8 @@
 
 var errQueueFull = errors.New("queue is full")
 
-// slots hands out the slots of an engine, first by priority, then by arrival.
+// slots grants the slots of an engine to requests, by priority and, among equals,
+// in order of arrival.
 type slots struct {
 	mu      sync.Mutex
 	free    int
@@ -18,7 +19,7 @@
 	queue   waiters
 }
 
-// waiter is a request that waits for a slot.
+// waiter is a request that is queued for a slot.
 type waiter struct {
 	priority int
 	arrival  uint64
@@ -26,7 +27,7 @@
 	granted  chan struct{}
 }
 
-// waiters implements heap.Interface.
+// waiters implements heap.Interface. The highest priority is first.
 type waiters []*waiter
 
 func (q waiters) Len() int { return len(q) }
@@ -60,9 +61,10 @@
 	return w
 }
 
-// acquire waits for a slot. It fails with errQueueFull, or with ctx's error.
+// acquire waits for a slot. It returns errQueueFull if the queue is full, or the
+// error of ctx.
 func (s *slots) acquire(ctx context.Context, priority int) error {
-	w, err := s.enter(priority)
+	w, err := s.acquireOrEnqueue(priority)
 	if err != nil || w == nil {
 		return err
 	}
@@ -70,13 +72,14 @@
 	case <-w.granted:
 		return nil
 	case <-ctx.Done():
-		s.abandon(w)
+		s.cancelWait(w)
 		return ctx.Err()
 	}
 }
 
-// enter takes a free slot, or queues and returns the waiter.
-func (s *slots) enter(priority int) (*waiter, error) {
+// acquireOrEnqueue takes a free slot and returns nil, or enqueues a waiter and
+// returns it.
+func (s *slots) acquireOrEnqueue(priority int) (*waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.free > 0 {
@@ -92,8 +95,9 @@
 	return w, nil
 }
 
-// abandon takes w out of the queue, or gives back the slot it got meanwhile.
-func (s *slots) abandon(w *waiter) {
+// cancelWait removes w from the queue, or releases the slot if w got one in the
+// meantime.
+func (s *slots) cancelWait(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.index >= 0 {
@@ -103,7 +107,7 @@
 	s.releaseLocked()
 }
 
-// release gives a slot back.
+// release frees a slot, or passes it to the first waiter.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +122,7 @@
 	close(heap.Pop(&s.queue).(*waiter).granted)
 }
 
-// state returns the free slots and the number of waiting requests.
+// state returns the numbers of free slots and of queued requests.
 func (s *slots) state() (free, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/slots_test.go
+++ b/standin/slots_test.go
@@ -21,22 +21,22 @@
 	os.Exit(m.Run())
 }
 
-// claimant is a request that asked for a slot.
-type claimant struct {
+// slotRequest is a request that has asked for a slot.
+type slotRequest struct {
 	priority int
 	order    int
 	cancel   context.CancelFunc
 	got      chan error
 }
 
-// TestSlotsKeepPriorityAndAreNeverLost checks after every step that the
-// requests that hold slots are those that a plain model picks.
-func TestSlotsKeepPriorityAndAreNeverLost(t *testing.T) {
+// TestSlotsAreGrantedByPriorityAndNeverLost checks after every step that exactly
+// the requests that a simple model selects hold slots.
+func TestSlotsAreGrantedByPriorityAndNeverLost(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 9), 1, 60).Draw(rt, "steps")
 		synctest.Test(t, func(t *testing.T) {
 			s := &slots{free: 2}
-			var holding, waiting []*claimant
+			var holding, waiting []*slotRequest
 			grant := func() {
 				for len(holding) < 2 && len(waiting) > 0 {
 					best := 0
@@ -52,11 +52,11 @@
 			for i, step := range steps {
 				switch {
 				case step < 5: // A request of priority 0 to 4 arrives.
-					waiting = append(waiting, claim(t, s, step, i))
-				case step < 8 && len(holding) > 0: // The oldest one ends.
+					waiting = append(waiting, requestSlot(t, s, step, i))
+				case step < 8 && len(holding) > 0: // The request that has held a slot for longest ends.
 					holding = holding[1:]
 					s.release()
-				case len(waiting) > 0: // One gives up.
+				case len(waiting) > 0: // A waiting request is cancelled.
 					at := i % len(waiting)
 					waiting[at].cancel()
 					qt.Assert(t, <-waiting[at].got, qt.ErrorIs, context.Canceled)
@@ -64,7 +64,7 @@
 				}
 				grant()
 				synctest.Wait()
-				check(t, s, holding, waiting)
+				checkSlots(t, s, holding, waiting)
 			}
 			for _, w := range waiting {
 				w.cancel()
@@ -73,15 +73,15 @@
 	})
 }
 
-func claim(t *testing.T, s *slots, priority, order int) *claimant {
+func requestSlot(t *testing.T, s *slots, priority, order int) *slotRequest {
 	ctx, cancel := context.WithCancel(t.Context())
-	c := &claimant{priority: priority, order: order, cancel: cancel, got: make(chan error, 1)}
+	c := &slotRequest{priority: priority, order: order, cancel: cancel, got: make(chan error, 1)}
 	go func() { c.got <- s.acquire(ctx, priority) }()
 	synctest.Wait()
 	return c
 }
 
-func check(t *testing.T, s *slots, holding, waiting []*claimant) {
+func checkSlots(t *testing.T, s *slots, holding, waiting []*slotRequest) {
 	free, queued := s.state()
 	qt.Assert(t, free, qt.Equals, 2-len(holding))
 	qt.Assert(t, queued, qt.Equals, len(waiting))
--- a/standin/start.go
+++ b/standin/start.go
@@ -8,14 +8,14 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Server is what every stand-in offers.
+// Server is the interface of all stand-ins.
 type Server interface {
-	// Serve answers on the listener until ctx ends.
+	// Serve serves on the listener until ctx is cancelled.
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// Start serves s on a free port of the loopback address until ctx ends. It
-// returns the address, and a function that waits for the end of the service.
+// Start serves s on a free port of 127.0.0.1 until ctx is cancelled. It returns
+// the address, and a function that waits until s has stopped and returns its error.
 func Start(ctx context.Context, s Server) (address string, wait func() error, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/standin/watch.go
+++ b/standin/watch.go
@@ -12,8 +12,9 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// wait waits for a change in slices of watchCharge and charges one read for
-// each further slice.
+// wait waits for a change and charges one read for each watchChargeInterval that
+// passes without one, also if the last of them is shorter. The charge may exceed
+// the rate limit, at the expense of later reads.
 func (a *ObjectAPI) wait(r *http.Request, prefix string, after uint64, wait time.Duration) ([]objectstore.Object, error) {
 	end := time.Now().Add(wait)
 	for {
@@ -21,7 +22,7 @@
 		if left <= 0 {
 			return nil, nil
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), min(left, watchCharge))
+		ctx, cancel := context.WithTimeout(r.Context(), min(left, watchChargeInterval))
 		objects, err := a.store.Watch(ctx, prefix, after)
 		cancel()
 		if err == nil && len(objects) > 0 {
@@ -36,12 +37,13 @@
 }
 
 const (
-	// maxListed and maxListedBytes bound one answer of list or watch.
+	// maxListed and maxListedBytes bound one list or watch response.
 	maxListed      = 1000
 	maxListedBytes = 16 << 20
 )
 
-// writeObjects answers the objects, as many as fit into one answer.
+// writeObjects responds with as many of the objects as fit into one response, and
+// says whether there are more.
 func writeObjects(w http.ResponseWriter, objects []objectstore.Object) {
 	found := &bronzeturnv1.StoredObjects{}
 	size := 0
@@ -59,5 +61,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/protobuf")
-	_, _ = w.Write(body) // A caller that is gone needs no answer.
+	_, _ = w.Write(body) // A write error means that the caller has disconnected.
 }
--- a/standin/watch_test.go
+++ b/standin/watch_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestWaitingWatchCountsAsOneCallASecond(t *testing.T) {
+func TestWaitingWatchIsChargedOneReadPerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := NewObjectAPI(ObjectAPIConfig{ReadsPerSecond: 2, WatchWait: 3 * time.Second})
@@ -23,7 +23,7 @@
 	})
 }
 
-func TestManyWaitingWatchesUseUpTheReads(t *testing.T) {
+func TestWaitingWatchesConsumeReadLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		a := NewObjectAPI(ObjectAPIConfig{ReadsPerSecond: 4, WatchWait: 10 * time.Second})
@@ -32,17 +32,17 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		synctest.Wait()
-		// Four watches take the four reads of each second.
+		// Four watches consume the four reads of each second.
 		time.Sleep(4 * time.Second)
 		synctest.Wait()
-		c.Check(status(a, "/v1/objects/k"), qt.Equals, http.StatusNotFound) // The tokens of half a second.
+		c.Check(status(a, "/v1/objects/k"), qt.Equals, http.StatusNotFound) // The reads that became available in half a second.
 		c.Check(status(a, "/v1/objects/k"), qt.Equals, http.StatusNotFound)
 		c.Check(status(a, "/v1/objects/k"), qt.Equals, http.StatusTooManyRequests)
 		time.Sleep(10 * time.Second) // Let the watches end.
 	})
 }
 
-// status makes a GET call in process and returns its status.
+// status makes a GET request in process and returns the status of the response.
 func status(h http.Handler, target string) int {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, target, nil))
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -15,16 +15,16 @@
 
 // WeightStoreConfig configures a WeightStore.
 type WeightStoreConfig struct {
-	// Versions gives the size in bytes of each version held.
+	// Versions maps each version to its size in bytes.
 	Versions map[string]int64
-	// CallsPerSecond limits the calls. Zero means no limit.
+	// CallsPerSecond limits the rate of calls. Zero means no limit.
 	CallsPerSecond float64
-	// BytesPerSecond is the rate of a transfer. Zero means at once.
+	// BytesPerSecond is the rate of a transfer. Zero means unlimited.
 	BytesPerSecond int64
 }
 
-// WeightStore stands in for the platform's weight store. It moves no weights,
-// but says how long the transfer takes.
+// WeightStore is a stand-in for the platform's weight store. It transfers no
+// weights, but reports how long the transfer would take.
 type WeightStore struct {
 	server
 	cfg   WeightStoreConfig
@@ -42,10 +42,11 @@
 	return s
 }
 
-// find returns the weights a path names, or answers a refusal.
+// find returns the weights that the path names. If there are none, or the rate
+// limit is reached, it responds with an error and returns false.
 func (s *WeightStore) find(w http.ResponseWriter, escaped string) (weightstore.Weights, bool) {
 	if !s.limit.Allow() {
-		tooMany(w, s.limit)
+		writeRateLimited(w, s.limit)
 		return weightstore.Weights{}, false
 	}
 	version, err := url.PathUnescape(strings.TrimPrefix(escaped, weightstore.PathWeights))
