--- a/soak/checks.go
+++ b/soak/checks.go
@@ -15,53 +15,56 @@
 )
 
 const (
-	// streamEvents is the length of every stream.
+	// streamEvents is the number of events in every stream.
 	streamEvents = 12
-	// callTimeout is how long a caller waits, and grace how much later than the
-	// route allows an answer may come.
+	// callTimeout is the time after which a caller cancels its request.
 	callTimeout = 6 * time.Second
-	// recoveryTime bounds the return of service after the last failure.
+	// recoveryTime is the time within which all daemons must serve again after
+	// the last fault has ended.
 	recoveryTime = 12 * time.Second
 )
 
-// checks are the callers of a run, and what they found.
+// checks sends the requests of a run and records the results and the violations of
+// guarantees.
 type checks struct {
 	run *run
 
-	mu       sync.Mutex
-	next     int
-	requests int
-	good     int
-	refused  int
-	failed   int
-	broken   []string
-	// notRun are the ids of requests that may not repeat and were answered as
-	// not run, once those that may run once at most.
-	notRun, once []string
+	mu         sync.Mutex
+	next       int
+	requests   int
+	succeeded  int
+	refused    int
+	failed     int
+	violations []string
+	// notRun are the ids of requests that were answered as not run and must not
+	// have run, atMostOnce those of requests that may run at most once.
+	notRun, atMostOnce []string
 }
 
 func newChecks(r *run) *checks { return &checks{run: r} }
 
-// broke notes a broken promise.
-func (c *checks) broke(format string, args ...any) {
+// reportViolation records the violation of a guarantee, with the time since the
+// start of the run.
+func (c *checks) reportViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = append(c.broken, fmt.Sprintf("%.3f ", time.Since(c.run.started).Seconds())+fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf("%.3f ", time.Since(c.run.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// kinds are what callers ask for.
-var kinds = []string{"/once/x", "/safe/x", "/stream/x"}
+// targets are the paths that callers request. Requests under /once may run at most
+// once.
+var targets = []string{"/once/x", "/safe/x", "/stream/x"}
 
-// call sends requests until ctx ends.
-func (c *checks) call(ctx context.Context, random *rand.Rand) {
+// sendRequests sends random requests, one after the other, until ctx ends.
+func (c *checks) sendRequests(ctx context.Context, random *rand.Rand) {
 	for ctx.Err() == nil {
 		d := c.run.daemons[random.IntN(len(c.run.daemons))]
-		c.one(d, kinds[random.IntN(len(kinds))], random.IntN(8) == 0)
+		c.send(d, targets[random.IntN(len(targets))], random.IntN(8) == 0)
 		time.Sleep(time.Duration(random.IntN(40)) * time.Millisecond)
 	}
 }
 
-// newID returns an id that no other request has.
+// newID returns a unique request id and counts the request.
 func (c *checks) newID() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,11 +73,12 @@
 	return fmt.Sprintf("s%d-%d", c.run.Seed, c.next)
 }
 
-// one makes one request and checks what comes back. Some callers leave early.
-func (c *checks) one(d *daemon, target string, leaves bool) bool {
+// send sends one request, checks the answer, and reports whether it was complete
+// and correct. With cancelsEarly, the caller cancels after 50 ms.
+func (c *checks) send(d *daemon, target string, cancelsEarly bool) bool {
 	id := c.newID()
 	wait := callTimeout
-	if leaves {
+	if cancelsEarly {
 		wait = 50 * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -83,25 +87,25 @@
 	if err != nil {
 		return false
 	}
-	once := strings.HasPrefix(target, "/once")
-	if once {
-		c.noteOnce(id)
+	atMostOnce := strings.HasPrefix(target, "/once")
+	if atMostOnce {
+		c.recordAtMostOnce(id)
 	}
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		c.count(&c.failed)
 		return false
 	}
-	defer func() { _ = resp.Body.Close() }() // The body is read to its end, or has failed.
+	defer func() { _ = resp.Body.Close() }() // An error changes nothing once the body is read or reading it has failed.
 	body, err := io.ReadAll(resp.Body)
-	return c.check(id, target, once, resp.StatusCode, string(body), err)
+	return c.checkAnswer(id, target, atMostOnce, resp.StatusCode, string(body), err)
 }
 
 // request builds one request.
 func (c *checks) request(ctx context.Context, d *daemon, id, target, body string) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.Front+target, strings.NewReader(body))
 	if err != nil {
-		c.broke("request not made: %v", err)
+		c.reportViolation("building the request failed: %v", err)
 		return nil, err
 	}
 	req.Host, req.Close = emulator.Host, true
@@ -113,8 +117,9 @@
 	return req, nil
 }
 
-// check compares an answer with what the engines send.
-func (c *checks) check(id, target string, once bool, status int, body string, err error) bool {
+// checkAnswer compares an answer with the one that the engines give to the request,
+// counts the result, and reports whether the answer was complete and correct.
+func (c *checks) checkAnswer(id, target string, atMostOnce bool, status int, body string, err error) bool {
 	want := emulator.Body(id, []byte("body"))
 	if strings.HasPrefix(target, "/stream") {
 		want = ""
@@ -126,22 +131,22 @@
 	case status == http.StatusOK && err != nil:
 		c.count(&c.failed)
 		if !strings.HasPrefix(want, body) {
-			c.broke("%s: a part of an answer that is not its own: %q", id, body)
+			c.reportViolation("%s: partial answer does not match the request: %q", id, body)
 		}
 		return false
 	case status == http.StatusOK && body != want:
-		c.broke("%s: a whole answer that is not its own: %q", id, body)
+		c.reportViolation("%s: answer does not match the request: %q", id, body)
 		return false
 	case status == http.StatusOK:
-		c.count(&c.good)
+		c.count(&c.succeeded)
 		return true
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		c.count(&c.refused)
-		if once {
-			c.noteNotRun(id)
+		if atMostOnce {
+			c.recordNotRun(id)
 		}
 	case status == http.StatusUnauthorized || status == http.StatusNotFound || status == http.StatusForbidden:
-		c.broke("%s: denied with %d though every configuration allows it", id, status)
+		c.reportViolation("%s: denied with status %d although every configuration allows it", id, status)
 	default:
 		c.count(&c.failed)
 	}
@@ -154,26 +159,26 @@
 	*n++
 }
 
-func (c *checks) noteOnce(id string) {
+func (c *checks) recordAtMostOnce(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.once = append(c.once, id)
+	c.atMostOnce = append(c.atMostOnce, id)
 }
 
-func (c *checks) noteNotRun(id string) {
+func (c *checks) recordNotRun(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notRun = append(c.notRun, id)
 }
 
-// recovery checks that every daemon serves every kind again.
-func (c *checks) recovery() {
+// checkRecovery checks that every daemon serves every target again.
+func (c *checks) checkRecovery() {
 	deadline := time.Now().Add(recoveryTime)
 	for _, d := range c.run.daemons {
-		for _, target := range kinds {
-			for !c.one(d, target, false) {
+		for _, target := range targets {
+			for !c.send(d, target, false) {
 				if time.Now().After(deadline) {
-					c.broke("%s does not serve %s again within %v", d.Name, target, recoveryTime)
+					c.reportViolation("%s does not serve %s again within %v", d.Name, target, recoveryTime)
 					break
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -182,29 +187,31 @@
 	}
 }
 
-// result sums up, and checks what can be told only at the end.
+// result runs the checks that need the complete record of the run, and returns the
+// result.
 func (c *checks) result() Result {
 	c.mu.Lock()
-	once, notRun := c.once, c.notRun
+	atMostOnce, notRun := c.atMostOnce, c.notRun
 	c.mu.Unlock()
-	for _, id := range once {
+	for _, id := range atMostOnce {
 		if runs := c.run.record.Runs(id); len(runs) > 1 {
-			c.broke("%s ran %d times", id, len(runs))
+			c.reportViolation("%s ran %d times", id, len(runs))
 		}
 	}
 	for _, id := range notRun {
 		if len(c.run.record.Runs(id)) > 0 {
-			c.broke("%s was said not to have run, and ran", id)
+			c.reportViolation("%s was answered as not run, but ran", id)
 		}
 	}
-	c.checkBudget()
+	c.checkRetryBudget()
 	c.checkColdEngines()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Result{Requests: c.requests, Succeeded: c.good, Refused: c.refused, Failed: c.failed, Violations: c.broken}
+	return Result{Requests: c.requests, Succeeded: c.succeeded, Refused: c.refused, Failed: c.failed, Violations: c.violations}
 }
 
-// checkColdEngines counts what cold engines got within any second, from all daemons.
+// checkColdEngines checks the number of requests that each cold engine got from all
+// daemons together within any second.
 func (c *checks) checkColdEngines() {
 	runs := make(map[string][]time.Time)
 	for _, run := range c.run.record.Runs("") {
@@ -218,16 +225,17 @@
 				first++
 			}
 			if got := i - first + 1; got > bounds.MostCold() {
-				c.broke("%s got %d requests within a second while it was cold", e.Spec.ID, got)
+				c.reportViolation("%s got %d requests within a second while it was cold", e.Spec.ID, got)
 				break
 			}
 		}
 	}
 }
 
-// checkBudget adds up the second runs in every window. Runs that were refused
-// unseen are not on record, so this is the lower bound.
-func (c *checks) checkBudget() {
+// checkRetryBudget checks the number of repeated runs in every window. Attempts
+// that an engine rejected before running them are not recorded, so the number is a
+// lower bound of the retries.
+func (c *checks) checkRetryBudget() {
 	seen := make(map[string]bool)
 	var firsts, repeats []time.Time
 	for _, run := range c.run.record.Runs("") {
@@ -250,7 +258,7 @@
 	for _, from := range repeats {
 		base := max(within(firsts, from), within(firsts, from.Add(-window)), within(firsts, from.Add(-window/2)))
 		if got := within(repeats, from); got > bounds.RetryRatio*base+bounds.RetrySlack {
-			c.broke("%v second runs in a window of %v requests", got, base)
+			c.reportViolation("%v repeated runs in a window with %v requests exceed the retry budget", got, base)
 			return
 		}
 	}
--- a/soak/crashing.go
+++ b/soak/crashing.go
@@ -11,47 +11,52 @@
 )
 
 const (
-	// crashBody begins the bodies of requests that crash engines.
+	// crashBody is the prefix of the bodies of requests that crash engines.
 	crashBody = "crash"
-	// insistEvery is the time between two repeats of such a request by its caller.
-	insistEvery = 200 * time.Millisecond
-	// contactTime is how long after all failures have ended the daemons may take to know
-	// what the others know, mostCrashes how many engines convict a request, mostRetries how
-	// many more it may reach ever after.
-	contactTime = 3 * time.Second
-	mostCrashes = 3
-	mostRetries = 3
-	// calmRepeats is how often each daemon gets such a request once all is calm.
-	calmRepeats = 3
+	// crashRequestInterval is the time after which the caller repeats such a
+	// request.
+	crashRequestInterval = 200 * time.Millisecond
+	// settleTime is the time that daemons have, after all faults have ended, to
+	// exchange what they know about such requests.
+	settleTime = 3 * time.Second
+	// quarantineThreshold is the number of engines after whose crashes a request
+	// must be in quarantine, maxLateArrivals the number of times that it may
+	// still reach an engine after settleTime.
+	quarantineThreshold = 3
+	maxLateArrivals     = 3
+	// repeatsAfterFaults is the number of times that each daemon gets each such
+	// request after settleTime.
+	repeatsAfterFaults = 3
 )
 
-// crashes makes engines end by such requests and come back.
-var crashes = emulator.CrashSpec{
+// crashSpec makes engines crash under such requests and restart.
+var crashSpec = emulator.CrashSpec{
 	Body: crashBody, After: 30 * time.Millisecond, Back: time.Second, Lapse: 1500 * time.Millisecond,
 }
 
-// insist has a caller repeat a request that crashes engines, at any daemon. It returns how
-// to end that.
-func (r *run) insist() (end func()) {
-	body := fmt.Sprintf("%s %d", crashBody, len(r.crashing))
-	r.crashing = append(r.crashing, body)
+// startCrashRequests starts a caller that repeats a new request that crashes engines,
+// at each daemon in turn. The returned function stops it.
+func (r *run) startCrashRequests() (end func()) {
+	body := fmt.Sprintf("%s %d", crashBody, len(r.crashBodies))
+	r.crashBodies = append(r.crashBodies, body)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() {
 		for n := 0; ctx.Err() == nil; n++ {
 			d := r.daemons[n%len(r.daemons)]
-			all.Go(func() { r.checks.crash(d, body) })
+			all.Go(func() { r.checks.sendCrashRequest(d, body) })
 			select {
 			case <-ctx.Done():
-			case <-time.After(insistEvery):
+			case <-time.After(crashRequestInterval):
 			}
 		}
 	})
 	return func() { cancel(); all.Wait() }
 }
 
-// crash makes one request that crashes engines. Whatever is answered is right but success.
-func (c *checks) crash(d *daemon, body string) {
+// sendCrashRequest sends one request that crashes engines. It accepts any answer;
+// after a status of 503, the request must not have run.
+func (c *checks) sendCrashRequest(d *daemon, body string) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	id := c.newID()
@@ -65,35 +70,36 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		c.noteNotRun(id)
+		c.recordNotRun(id)
 	}
 }
 
-// quarantine checks, once all failures have ended, that requests which crashed enough
-// engines reach hardly any more.
-func (c *checks) quarantine() {
-	time.Sleep(contactTime)
+// checkQuarantine checks, after all faults have ended, that requests that crashed
+// quarantineThreshold engines or more are in quarantine: they hardly reach engines
+// any more.
+func (c *checks) checkQuarantine() {
+	time.Sleep(settleTime)
 	from := time.Now()
-	for range calmRepeats {
-		for _, body := range c.run.crashing {
+	for range repeatsAfterFaults {
+		for _, body := range c.run.crashBodies {
 			for _, d := range c.run.daemons {
-				c.crash(d, body)
+				c.sendCrashRequest(d, body)
 			}
 		}
 	}
-	ended := make(map[string]int)
+	crashCounts := make(map[string]int)
 	for _, crash := range c.run.record.Crashes() {
 		if crash.At.Before(from) {
-			ended[crash.Body]++
+			crashCounts[crash.Body]++
 		}
 	}
-	for body, count := range ended {
-		if count < mostCrashes {
+	for body, count := range crashCounts {
+		if count < quarantineThreshold {
 			continue
 		}
 		late := c.run.record.Arrivals(func(a emulator.Arrival) bool { return a.Body == body && a.At.After(from) })
-		if len(late) > mostRetries {
-			c.broke("%q had crashed %d engines and reached engines %d times more", body, count, len(late))
+		if len(late) > maxLateArrivals {
+			c.reportViolation("%q crashed %d engines and still reached engines %d times afterwards", body, count, len(late))
 		}
 	}
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -9,33 +9,34 @@
 	"github.com/bronzeturn/bronzeturn/platform/emulator"
 )
 
-// fault brings about one failure and returns how to end it, nil when it ends by
-// itself.
+// fault is a kind of fault. inject returns a function that ends the fault, or nil
+// if the fault needs no end.
 type fault struct {
-	name string
-	make func(r *run) (end func())
+	name   string
+	inject func(r *run) (end func())
 }
 
-// pauseBetween bounds the time between two failures; each lasts lasting at most.
+// maxFaultPause is the longest time between two faults, maxFaultDuration the longest
+// time after which the end of a fault is due.
 const (
-	pauseBetween = 1200 * time.Millisecond
-	lasting      = 2500 * time.Millisecond
+	maxFaultPause    = 1200 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// faults are all failures that a run draws from. They may overlap.
+// faults are the faults from which a run selects at random. They may overlap.
 var faults = []fault{
-	{"daemon killed", func(r *run) func() { return r.restart(r.daemon(), syscall.SIGKILL) }},
-	{"daemon stopped", func(r *run) func() { return r.restart(r.daemon(), syscall.SIGTERM) }},
+	{"daemon killed", func(r *run) func() { return r.restart(r.randomDaemon(), syscall.SIGKILL) }},
+	{"daemon stopped", func(r *run) func() { return r.restart(r.randomDaemon(), syscall.SIGTERM) }},
 	{"daemon frozen", func(r *run) func() {
-		d := r.daemon()
+		d := r.randomDaemon()
 		d.signal(syscall.SIGSTOP)
 		return func() { d.signal(syscall.SIGCONT) }
 	}},
-	{"settings signal", func(r *run) func() { r.daemon().signal(syscall.SIGHUP); return nil }},
+	{"settings signal", func(r *run) func() { r.randomDaemon().signal(syscall.SIGHUP); return nil }},
 	{"link to the store changed", func(r *run) func() {
 		link := r.relays[r.random.IntN(len(r.relays))]
-		link.set(mode(1 + r.random.IntN(int(modes)-1)))
-		return func() { link.set(pass); link.reset() }
+		link.set(mode(1 + r.random.IntN(int(modeCount)-1)))
+		return func() { link.set(passThrough); link.reset() }
 	}},
 	{"links to the store reset", func(r *run) func() {
 		for _, link := range r.relays {
@@ -53,8 +54,8 @@
 	}},
 	{"history forgotten", func(r *run) func() { r.store.Forget(); return nil }},
 	{"configuration changed", func(r *run) func() {
-		r.version++
-		_, _ = r.store.Put("config", "main", emulator.Config(r.version)) // The emulated store takes every document.
+		r.configVersion++
+		_, _ = r.store.Put("config", "main", emulator.Config(r.configVersion)) // The emulated store accepts every document.
 		return nil
 	}},
 	{"engine fails", engineFault(emulator.EngineFaults{Fail: true})},
@@ -63,41 +64,42 @@
 	{"engine gives foreign answers", engineFault(emulator.EngineFaults{Foreign: true})},
 	{"engine breaks streams", engineFault(emulator.EngineFaults{BreakAfter: 3, Short: true})},
 	{"engine full", engineFault(emulator.EngineFaults{Full: true})},
-	{"engine crashes", func(r *run) func() { r.engine().CrashAndReturn(); return nil }},
-	{"request crashes engines", func(r *run) func() { return r.insist() }},
+	{"engine crashes", func(r *run) func() { r.randomEngine().CrashAndReturn(); return nil }},
+	{"request crashes engines", func(r *run) func() { return r.startCrashRequests() }},
 	{"engine replaced", func(r *run) func() {
-		e := r.engine()
-		if r.addEngine(e.Spec.Service, coldFor) != nil {
+		e := r.randomEngine()
+		if r.addEngine(e.Spec.Service, coldDuration) != nil {
 			return nil
 		}
 		e.Vanish()
 		return func() { e.Crash() }
 	}},
 	{"data centre evacuated", func(r *run) func() {
-		zone := r.engine().Spec.Zone
+		zone := r.randomEngine().Spec.Zone
 		if err := r.store.Evacuate(zone); err != nil {
-			r.checks.broke("evacuation of %s not written: %v", zone, err)
+			r.checks.reportViolation("writing the evacuation of %s failed: %v", zone, err)
 		}
 		return func() { r.store.TakeBack(zone) }
 	}},
 }
 
-// daemon picks a random daemon.
-func (r *run) daemon() *daemon { return r.daemons[r.random.IntN(len(r.daemons))] }
+// randomDaemon returns a random daemon.
+func (r *run) randomDaemon() *daemon { return r.daemons[r.random.IntN(len(r.daemons))] }
 
-// engine picks a random engine.
-func (r *run) engine() *emulator.Engine { return r.engines[r.random.IntN(len(r.engines))] }
+// randomEngine returns a random engine.
+func (r *run) randomEngine() *emulator.Engine { return r.engines[r.random.IntN(len(r.engines))] }
 
-// engineFault sets the faults of a random engine.
+// engineFault returns an inject function that sets the faults of a random engine.
 func engineFault(f emulator.EngineFaults) func(r *run) func() {
 	return func(r *run) func() {
-		e := r.engine()
+		e := r.randomEngine()
 		e.SetFaults(f)
 		return func() { e.SetFaults(emulator.EngineFaults{}) }
 	}
 }
 
-// restart ends a daemon with a signal; its end starts it again.
+// restart stops a daemon with a signal. The returned function starts it again; it is
+// nil if the daemon was already stopped.
 func (r *run) restart(d *daemon, s syscall.Signal) func() {
 	d.mu.Lock()
 	already := d.stopped
@@ -109,16 +111,17 @@
 	d.signal(syscall.SIGCONT)
 	d.signal(s)
 	return func() {
-		d.signal(syscall.SIGCONT) // It may have been frozen while it stopped.
+		d.signal(syscall.SIGCONT) // It may have been frozen while it was stopping.
 		<-d.ended
-		if err := r.launch(d); err != nil {
-			r.checks.broke("daemon %s does not start again: %v", d.Name, err)
+		if err := r.startDaemon(d); err != nil {
+			r.checks.reportViolation("restarting daemon %s failed: %v", d.Name, err)
 		}
 	}
 }
 
-// disturb brings about failures until ctx ends, and ends all of them.
-func (r *run) disturb(ctx context.Context) int {
+// injectFaults injects random faults until ctx ends, then ends all of them. It
+// returns the number of faults.
+func (r *run) injectFaults(ctx context.Context) int {
 	type ending struct {
 		at  time.Time
 		end func()
@@ -126,15 +129,15 @@
 	var open []ending
 	count := 0
 	for ctx.Err() == nil {
-		pause := time.Duration(r.random.Int64N(int64(pauseBetween)))
+		pause := time.Duration(r.random.Int64N(int64(maxFaultPause)))
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 			f := faults[r.random.IntN(len(faults))]
 			count++
 			_, _ = fmt.Fprintf(r.FaultLog, "%8.3f %s\n", time.Since(r.started).Seconds(), f.name)
-			if end := f.make(r); end != nil {
-				open = append(open, ending{time.Now().Add(time.Duration(r.random.Int64N(int64(lasting)))), end})
+			if end := f.inject(r); end != nil {
+				open = append(open, ending{time.Now().Add(time.Duration(r.random.Int64N(int64(maxFaultDuration)))), end})
 			}
 		}
 		kept := open[:0]
@@ -153,10 +156,11 @@
 	return count
 }
 
-// heal ends whatever is still wrong.
-func (r *run) heal() {
+// clearFaults resets the relays, the store and the engines, and resumes frozen
+// daemons, whatever overlapping faults have left.
+func (r *run) clearFaults() {
 	for _, link := range r.relays {
-		link.set(pass)
+		link.set(passThrough)
 		link.reset()
 	}
 	r.store.SetFaults(emulator.StoreFaults{})
--- a/soak/relay.go
+++ b/soak/relay.go
@@ -7,35 +7,37 @@
 	"time"
 )
 
-// mode is what a relay does to the bytes that pass.
+// mode is how a relay treats the bytes that it receives.
 type mode int
 
 const (
-	// pass carries bytes unchanged, slow carries them late.
-	pass mode = iota
-	slow
-	// silent takes bytes and carries none, in both directions; mute only those
-	// towards the caller.
-	silent
-	mute
-	modes
+	// passThrough forwards bytes at once, delayed after relayDelay.
+	passThrough mode = iota
+	delayed
+	// dropAll receives and discards the bytes of both directions, dropReplies
+	// only those from the target. The connections stay open.
+	dropAll
+	dropReplies
+	// modeCount is the number of modes.
+	modeCount
 )
 
-// slowTime is how late a slow relay carries bytes.
-const slowTime = 60 * time.Millisecond
+// relayDelay is the time by which a relay in delayed mode delays bytes.
+const relayDelay = 60 * time.Millisecond
 
-// relay is a TCP proxy on loopback that stands between two processes.
+// relay is a TCP proxy on the loopback interface, for faults on the network between
+// two processes.
 type relay struct {
 	listener net.Listener
 	target   string
 
-	mu    sync.Mutex
-	now   mode
-	conns map[net.Conn]struct{}
-	done  bool
+	mu      sync.Mutex
+	current mode
+	conns   map[net.Conn]struct{}
+	closed  bool
 }
 
-// newRelay starts a relay to a target.
+// newRelay starts a relay to the target address.
 func newRelay(target string) (*relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,14 +48,14 @@
 	return r, nil
 }
 
-// address is where the relay listens.
+// address returns the address on which the relay listens.
 func (r *relay) address() string { return r.listener.Addr().String() }
 
-// set changes what happens to the bytes.
+// set sets the mode, also for open connections.
 func (r *relay) set(m mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now = m
+	r.current = m
 }
 
 // reset closes every open connection.
@@ -65,10 +67,10 @@
 	}
 }
 
-// close ends the relay.
+// close stops the relay.
 func (r *relay) close() {
 	r.mu.Lock()
-	r.done = true
+	r.closed = true
 	r.mu.Unlock()
 	_ = r.listener.Close()
 	r.reset()
@@ -80,42 +82,45 @@
 		if err != nil {
 			return
 		}
-		go r.carry(c)
+		go r.proxy(c)
 	}
 }
 
-// carry joins one connection with the target.
-func (r *relay) carry(c net.Conn) {
+// proxy connects to the target and forwards bytes in both directions until one of
+// the connections ends.
+func (r *relay) proxy(c net.Conn) {
 	t, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	if !r.keep(c, t) {
+	if !r.track(c, t) {
 		return
 	}
-	defer r.drop(c, t)
+	defer r.closeAndUntrack(c, t)
 	ended := make(chan struct{}, 2)
-	go r.copy(t, c, false, ended)
-	go r.copy(c, t, true, ended)
+	go r.forward(t, c, false, ended)
+	go r.forward(c, t, true, ended)
 	<-ended
 }
 
-// keep notes the connections, unless the relay has ended.
-func (r *relay) keep(conns ...net.Conn) bool {
+// track records open connections. If the relay is closed, it closes them and returns
+// false.
+func (r *relay) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
-		if r.done {
+		if r.closed {
 			_ = c.Close()
 			continue
 		}
 		r.conns[c] = struct{}{}
 	}
-	return !r.done
+	return !r.closed
 }
 
-func (r *relay) drop(conns ...net.Conn) {
+// closeAndUntrack closes connections and removes them from the record.
+func (r *relay) closeAndUntrack(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
@@ -124,8 +129,9 @@
 	}
 }
 
-// copy carries bytes one way as the mode of the moment says.
-func (r *relay) copy(to io.Writer, from io.Reader, back bool, ended chan<- struct{}) {
+// forward copies bytes in one direction, subject to the current mode. back is true
+// for the direction from the target.
+func (r *relay) forward(to io.Writer, from io.Reader, back bool, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
 	buffer := make([]byte, 16<<10)
 	for {
@@ -134,12 +140,12 @@
 			return
 		}
 		r.mu.Lock()
-		now := r.now
+		now := r.current
 		r.mu.Unlock()
 		switch {
-		case now == slow:
-			time.Sleep(slowTime)
-		case now == silent, now == mute && back:
+		case now == delayed:
+			time.Sleep(relayDelay)
+		case now == dropAll, now == dropReplies && back:
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs entry daemons as processes before the emulated platform,
-// brings about failures from outside at random, and checks the promises to
-// callers while it runs, by what callers got and engines ran. A run is given by
-// its seed, except for the machine's timing.
+// Package soak runs entry daemons as processes against the emulated platform,
+// injects random faults from outside, and checks the guarantees to callers by the
+// answers that callers got and the requests that engines ran. The seed determines
+// a run, except for the timing of the processes.
 package soak
 
 import (
@@ -19,49 +19,50 @@
 	"github.com/bronzeturn/bronzeturn/platform/emulator"
 )
 
-// Options describe a run.
+// Options configures a run.
 type Options struct {
-	// Program is the path of the daemon's program.
+	// Program is the path of the daemon's executable.
 	Program string
-	// Folder keeps settings and logs.
+	// Folder is the folder for settings and logs.
 	Folder   string
 	Seed     uint64
 	Duration time.Duration
-	// Daemons, PlainServices and Engines are how many of each there are.
+	// Daemons, PlainServices and Engines are the numbers of daemons, of engines of
+	// the plain service and of model engines.
 	Daemons, PlainServices, Engines int
-	// Callers send one request after the other.
+	// Callers is the number of callers. Each sends one request at a time.
 	Callers int
-	// FaultLog takes a line for each failure that is brought about.
+	// FaultLog gets a line for each injected fault.
 	FaultLog io.Writer
 }
 
-// bounds are those of the emulated deployment.
+// bounds are the bounds in the settings of the daemons.
 var bounds = emulator.Bounds{
 	GraceS: 4, RetryRatio: 0.9, RetryWindowS: 10, RetrySlack: 60, ExposureShare: 0.15, SessionS: 3, TTLMaxS: 2,
 	ColdOverage: 1.5, ColdSlack: 5,
 }
 
-// coldFor is how long an engine that replaces another one is cold.
-const coldFor = 2 * time.Second
+// coldDuration is the time for which an engine that replaces another one is cold.
+const coldDuration = 2 * time.Second
 
-// run is one run in progress.
+// run is a run in progress.
 type run struct {
 	Options
-	random  *rand.Rand
-	store   *emulator.Store
-	record  *emulator.Record
-	relays  []*relay
-	engines []*emulator.Engine
-	daemons []*daemon
-	checks  *checks
-	version int
-	started time.Time
-	nextID  int
-	// crashing are the bodies of requests that crash engines.
-	crashing []string
+	random        *rand.Rand
+	store         *emulator.Store
+	record        *emulator.Record
+	relays        []*relay
+	engines       []*emulator.Engine
+	daemons       []*daemon
+	checks        *checks
+	configVersion int
+	started       time.Time
+	nextID        int
+	// crashBodies are the bodies of the requests that crash engines.
+	crashBodies []string
 }
 
-// daemon is one process under test.
+// daemon is a daemon process under test.
 type daemon struct {
 	emulator.Daemon
 	mu      sync.Mutex
@@ -71,7 +72,7 @@
 	log     *os.File
 }
 
-// Result sums up a run.
+// Result is the result of a run.
 type Result struct {
 	Seed                uint64
 	Requests, Succeeded int
@@ -80,12 +81,12 @@
 	Refused, Failed     int
 }
 
-// Run carries out one run. An error means that the run itself could not be
-// carried out; broken promises are in the result.
+// Run performs a run. It returns an error if it could not start the platform and the
+// daemons; violated guarantees are in the result.
 func Run(ctx context.Context, o Options) (Result, error) {
 	r := &run{
 		Options: o, random: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: emulator.NewStore(), record: &emulator.Record{},
-		version: 1, started: time.Now(),
+		configVersion: 1, started: time.Now(),
 	}
 	defer r.close()
 	if err := r.start(); err != nil {
@@ -96,25 +97,25 @@
 	defer cancel()
 	var callers sync.WaitGroup
 	for i := range o.Callers {
-		callers.Go(func() { r.checks.call(ctx, rand.New(rand.NewPCG(o.Seed, uint64(i)+1))) })
+		callers.Go(func() { r.checks.sendRequests(ctx, rand.New(rand.NewPCG(o.Seed, uint64(i)+1))) })
 	}
-	faults := r.disturb(ctx)
+	faults := r.injectFaults(ctx)
 	callers.Wait()
-	r.heal()
-	r.checks.recovery()
-	r.checks.quarantine()
+	r.clearFaults()
+	r.checks.checkRecovery()
+	r.checks.checkQuarantine()
 	result := r.checks.result()
 	result.Seed, result.Faults = o.Seed, faults
 	return result, nil
 }
 
-// start brings up the platform and the daemons.
+// start starts the platform and the daemons and waits until the daemons are ready.
 func (r *run) start() error {
 	address, err := r.store.Start()
 	if err != nil {
 		return err
 	}
-	if _, err := r.store.Put("config", "main", emulator.Config(r.version)); err != nil {
+	if _, err := r.store.Put("config", "main", emulator.Config(r.configVersion)); err != nil {
 		return err
 	}
 	for range r.PlainServices {
@@ -148,14 +149,14 @@
 		if err := d.WriteSettings(path, r.relays[i].address(), seeds, bounds); err != nil {
 			return err
 		}
-		if err := r.launch(d); err != nil {
+		if err := r.startDaemon(d); err != nil {
 			return err
 		}
 	}
 	return r.waitReady()
 }
 
-// addEngine starts one engine of a service, which is cold for so long.
+// addEngine starts an engine of a service, which is cold for the given time.
 func (r *run) addEngine(service string, cold time.Duration) error {
 	r.nextID++
 	spec := emulator.EngineSpec{
@@ -163,7 +164,7 @@
 	}
 	if service == "llm" {
 		spec.Slots, spec.Events, spec.EventGap = 64, streamEvents, 30*time.Millisecond
-		spec.Crashes = crashes
+		spec.Crashes = crashSpec
 	}
 	e, err := emulator.StartEngine(r.store, r.record, spec)
 	if err == nil {
@@ -172,8 +173,8 @@
 	return err
 }
 
-// launch starts the process of a daemon.
-func (r *run) launch(d *daemon) error {
+// startDaemon starts the process of a daemon.
+func (r *run) startDaemon(d *daemon) error {
 	log, err := os.OpenFile(filepath.Join(r.Folder, d.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -187,7 +188,7 @@
 	defer d.mu.Unlock()
 	d.cmd, d.ended, d.stopped, d.log = cmd, make(chan struct{}), false, log
 	go func(ended chan struct{}) {
-		_ = cmd.Wait() // How it ended is what the run is about.
+		_ = cmd.Wait() // Faults end daemons, so any exit status is expected.
 		_ = log.Close()
 		close(ended)
 	}(d.ended)
@@ -198,19 +199,19 @@
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_ = d.cmd.Process.Signal(s) // A process that has ended needs none.
+	_ = d.cmd.Process.Signal(s) // An error means that the process has already exited.
 }
 
-// readyWait bounds the start of all daemons.
-const readyWait = 30 * time.Second
+// readyTimeout is the time within which all daemons must become ready.
+const readyTimeout = 30 * time.Second
 
-// waitReady waits until all daemons take requests.
+// waitReady waits until all daemons are ready for requests.
 func (r *run) waitReady() error {
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for _, d := range r.daemons {
 		for !emulator.IsReady(d.Ready) {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("daemon %s is not ready within %v", d.Name, readyWait)
+				return fmt.Errorf("daemon %s is not ready within %v", d.Name, readyTimeout)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -218,7 +219,7 @@
 	return nil
 }
 
-// close ends all processes that the run started.
+// close kills the daemons and stops relays, engines, record and store.
 func (r *run) close() {
 	for _, d := range r.daemons {
 		if d.cmd != nil {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,12 +14,12 @@
 	"github.com/bronzeturn/bronzeturn/platform/emulator"
 )
 
-// program is the daemon under test.
+// program is the path of the executable of the daemon under test.
 var program string
 
 func TestMain(m *testing.M) { os.Exit(runAll(m)) }
 
-// runAll builds the program and runs the tests.
+// runAll builds the daemon and runs the tests.
 func runAll(m *testing.M) int {
 	folder, err := os.MkdirTemp("", "bronzeturn-soak-")
 	if err != nil {
@@ -35,10 +35,10 @@
 	return m.Run()
 }
 
-// seeds are run in CI, among them every one that ever showed a fault.
+// seeds are the seeds that CI runs, including every seed that has exposed a defect.
 var seeds = []uint64{1}
 
-func TestPromisesHoldUnderFaults(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	for _, seed := range seeds {
 		r, err := Run(t.Context(), Options{
 			Program: program, Folder: t.TempDir(), Seed: seed, Duration: 6 * time.Second,
@@ -51,12 +51,12 @@
 	}
 }
 
-// TestDaemonFrozenWhileItStopsIsWoken: a run once waited for ever for the end of a
-// daemon that it had frozen after SIGTERM.
-func TestDaemonFrozenWhileItStopsIsWoken(t *testing.T) {
+// TestDaemonFrozenWhileStoppingIsResumed guards against a run that waits for ever for
+// the exit of a daemon that was frozen with SIGSTOP after it got SIGTERM.
+func TestDaemonFrozenWhileStoppingIsResumed(t *testing.T) {
 	r := &run{
 		Options: Options{Program: program, Folder: t.TempDir(), Seed: 311, Daemons: 1, PlainServices: 1, Engines: 1, FaultLog: os.Stderr},
-		random:  rand.New(rand.NewPCG(311, 311)), store: emulator.NewStore(), record: &emulator.Record{}, version: 1, started: time.Now(),
+		random:  rand.New(rand.NewPCG(311, 311)), store: emulator.NewStore(), record: &emulator.Record{}, configVersion: 1, started: time.Now(),
 	}
 	defer r.close()
 	qt.Assert(t, r.start(), qt.IsNil)
@@ -71,22 +71,23 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(readyWait):
-		t.Fatal("the run waits for a daemon that is frozen")
+	case <-time.After(readyTimeout):
+		t.Fatal("the run waits for the exit of a frozen daemon")
 	}
-	qt.Check(t, r.checks.broken, qt.HasLen, 0)
+	qt.Check(t, r.checks.violations, qt.HasLen, 0)
 }
 
-// TestChecksNoticeBrokenPromises feeds answers that must not be.
-func TestChecksNoticeBrokenPromises(t *testing.T) {
+// TestChecksReportViolations checks that answers which violate a guarantee are
+// reported.
+func TestChecksReportViolations(t *testing.T) {
 	c := qt.New(t)
 	k := newChecks(&run{started: time.Now()})
-	c.Check(k.check("a", "/safe/x", false, 200, "answer to b, 4 bytes", nil), qt.IsFalse)
-	c.Check(k.broken, qt.HasLen, 1)
-	k.check("a", "/stream/x", false, 200, "id: 2\n", nil)
-	c.Check(k.broken, qt.HasLen, 2)
-	k.check("a", "/safe/x", false, 404, "", nil)
-	c.Check(k.broken, qt.HasLen, 3)
-	c.Check(k.check("a", "/safe/x", false, 200, "answer to a, 4 bytes", nil), qt.IsTrue)
-	c.Check(k.broken, qt.HasLen, 3)
+	c.Check(k.checkAnswer("a", "/safe/x", false, 200, "answer to b, 4 bytes", nil), qt.IsFalse)
+	c.Check(k.violations, qt.HasLen, 1)
+	k.checkAnswer("a", "/stream/x", false, 200, "id: 2\n", nil)
+	c.Check(k.violations, qt.HasLen, 2)
+	k.checkAnswer("a", "/safe/x", false, 404, "", nil)
+	c.Check(k.violations, qt.HasLen, 3)
+	c.Check(k.checkAnswer("a", "/safe/x", false, 200, "answer to a, 4 bytes", nil), qt.IsTrue)
+	c.Check(k.violations, qt.HasLen, 3)
 }
