--- a/standin/ratings.go
+++ b/standin/ratings.go
@@ -48,7 +48,7 @@
 	ratingsPage = 1000
 )
 
-// RatingService stands in for the platform's rating service.
+// RatingService is a stand-in for the platform's rating service.
 type RatingService struct {
 	server
 	cfg RatingServiceConfig
