--- a/standin/ratings.go
+++ b/standin/ratings.go
@@ -26,7 +26,7 @@
 	Quality float64 `json:"quality"`
 }
 
-// RatingServiceConfig configures a Rating service.
+// RatingServiceConfig configures a RatingService.
 type RatingServiceConfig struct {
 	Quality []Quality
 	// DefaultQuality is the quality of versions without an entry.
@@ -66,7 +66,7 @@
 	at time.Time
 }
 
-// NewRatingService returns a Rating service.
+// NewRatingService returns a RatingService.
 func NewRatingService(cfg RatingServiceConfig) *RatingService {
 	r := &RatingService{cfg: cfg, quality: make(map[[2]string]float64), seen: newCounter(ratingsKept)}
 	r.SetQuality(cfg.Quality...)
--- a/standin/server.go
+++ b/standin/server.go
@@ -34,7 +34,8 @@
 	s.faults.apply(s.handler, w, r)
 }
 
-// SetFaults replaces the faults, like a PUT to PathFaults.
+// SetFaults replaces the faults, like a PUT to PathFaults. A PUT does not silence
+// its own connection.
 func (s *server) SetFaults(f Faults) {
 	s.faults.set(f)
 	if f.SilenceConnections {
