--- a/cmd/bronzeturn-soak/main.go
+++ b/cmd/bronzeturn-soak/main.go
@@ -57,18 +57,18 @@
 	defer func() { _ = report.Close() }() // Nothing is written after the run.
 	r, err := soak.Run(context.Background(), soak.Options{
 		Program: o.Program, Folder: folder, Seed: seed, Duration: o.Duration, Daemons: o.Daemons,
-		Engines: o.Engines, Plain: o.Plain, Callers: o.Callers, Report: report,
+		Engines: o.Engines, PlainServices: o.Plain, Callers: o.Callers, FaultLog: report,
 	})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
 		return false
 	}
 	fmt.Printf("seed %d: %d failures, %d requests: %d answered, %d refused, %d failed; %d guarantees broken\n",
-		seed, r.Faults, r.Requests, r.Good, r.Refused, r.Failed, len(r.Broken))
-	for _, line := range r.Broken {
+		seed, r.Faults, r.Requests, r.Succeeded, r.Refused, r.Failed, len(r.Violations))
+	for _, line := range r.Violations {
 		fmt.Printf("  %s\n", line)
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		fmt.Printf("  logs in %s\n", folder)
 		return false
 	}
--- a/ledger/bounds_test.go
+++ b/ledger/bounds_test.go
@@ -21,9 +21,9 @@
 // storeLatency is the simulated duration of a store call.
 const storeLatency = 3 * time.Millisecond
 
-func delayed(context.Context, memstore.Op, string) memstore.Verdict {
+func delayed(context.Context, memstore.Op, string) memstore.FaultEffect {
 	time.Sleep(storeLatency)
-	return memstore.Pass
+	return memstore.NoFault
 }
 
 // The rate of store calls must stay within the fleet's limit at any request
