--- a/ledger/append.go
+++ b/ledger/append.go
@@ -14,7 +14,7 @@
 )
 
 // ownerRetryDelay is how long a preferred writer that did not answer is not
-// asked again.
+// called again.
 const ownerRetryDelay = 2 * time.Second
 
 // errVerdictMismatch reports an answer that does not fit the records it was
@@ -126,7 +126,7 @@
 }
 
 // loadingRetryDelay is the mean delay before a preferred writer that is loading
-// its shard is asked again.
+// its shard is called again.
 const loadingRetryDelay = 200 * time.Millisecond
 
 // askOwner sends records to a preferred writer, and repeats the call while that
@@ -162,11 +162,11 @@
 	key := shardKey(shard)
 	name, self := l.cfg.Owners.Owner(key)
 	writers, more := l.addWriter(writers, name, self)
-	seconds, ok := l.cfg.Owners.(SecondOwners)
+	second, ok := l.cfg.Owners.(SecondOwners)
 	if !ok || !more {
 		return writers
 	}
-	name, self = seconds.SecondOwner(key)
+	name, self = second.SecondOwner(key)
 	writers, _ = l.addWriter(writers, name, self)
 	return writers
 }
--- a/ledger/report.go
+++ b/ledger/report.go
@@ -12,8 +12,8 @@
 	"github.com/bronzeturn/bronzeturn/objectstore"
 )
 
-// reportAttempts is how often a shard is read again because its slots were
-// overwritten between two calls.
+// reportAttempts is the maximum number of attempts to read a shard. An attempt
+// fails if slots were overwritten between two of its store calls.
 const reportAttempts = 5
 
 // ErrBusy reports that a shard's log changed faster than it could be read.
--- a/ledger/segment.go
+++ b/ledger/segment.go
@@ -18,8 +18,8 @@
 	maxTailBytes    = 500 << 10
 )
 
-// compactionSlotQuarters is the number of quarters of the ring at whose use
-// compaction starts.
+// Compaction starts when compactionSlotQuarters quarters of the ring of slots are
+// in use.
 const compactionSlotQuarters = 3
 
 // segmentInfo is the part of a segment that is kept in memory.
--- a/ledger/slots.go
+++ b/ledger/slots.go
@@ -20,8 +20,8 @@
 // batch. The log must be loaded again from its segments.
 var errOverwritten = errors.New("log has gone on past the reader")
 
-// loadSlots reads all slots, applies the batches after the segments, and keeps
-// those that are not yet archived.
+// loadSlots reads all slots. It puts the batches that are not yet both compacted
+// and archived into the tail, and applies those after the segments to the state.
 func (g *shardLog) loadSlots(ctx context.Context) error {
 	g.revisions = make([]uint64, g.layout.slots)
 	objects, err := listAll(ctx, g.store, slotPrefix(g.shard), slotPageSize)
@@ -41,7 +41,8 @@
 	return g.applyBatches(batches)
 }
 
-// applyBatches applies the listed batches in order. It returns errOverwritten
+// applyBatches processes the listed batches in order: those that the segments
+// cover go into the tail only, later ones are applied. It returns errOverwritten
 // if a batch that is still needed was overwritten after the segments were read.
 func (g *shardLog) applyBatches(batches []*bronzeturnv1.LedgerBatch) error {
 	want := min(g.compacted, g.archived) + 1
