--- a/membership/entries.go
+++ b/membership/entries.go
@@ -74,8 +74,8 @@
 	if changes == 0 {
 		return maxEntriesTTL
 	}
-	keep := time.Duration(maxChangedShare * float64(members) * float64(changeWindow) / float64(changes))
-	return min(max(keep, minEntriesTTL), maxEntriesTTL)
+	ttl := time.Duration(maxChangedShare * float64(members) * float64(changeWindow) / float64(changes))
+	return min(max(ttl, minEntriesTTL), maxEntriesTTL)
 }
 
 // Entries returns the caller addresses of up to three live daemons, in the order of preference,
@@ -83,7 +83,7 @@
 // has enough live daemons. The last is in another data centre, as a fallback when the caller's
 // own fails, or also in the caller's if no other has live daemons. Daemons are drawn at random,
 // weighted by free capacity. random is not used after the call returns.
-func (m *Membership) Entries(callerDataCentre string, random *rand.Rand) (addresses []string, keep time.Duration) {
+func (m *Membership) Entries(callerDataCentre string, random *rand.Rand) (addresses []string, ttl time.Duration) {
 	v := m.view.Load()
 	return v.Entries(callerDataCentre, random), v.EntriesTTL
 }
--- a/membership/loopback_test.go
+++ b/membership/loopback_test.go
@@ -37,10 +37,10 @@
 	c.Check(owners, qt.Equals, 1)
 
 	random := rand.New(rand.NewPCG(1, 1))
-	addresses, keep := d.Entries("hall-porto", random)
+	addresses, ttl := d.Entries("hall-porto", random)
 	c.Check(addresses[0], qt.Equals, "caller-b")
 	c.Check(addresses, qt.HasLen, 3)
-	c.Check(keep > 0, qt.IsTrue)
+	c.Check(ttl > 0, qt.IsTrue)
 
 	b.Leave()
 	for _, m := range all {
--- a/membership/schedule_test.go
+++ b/membership/schedule_test.go
@@ -99,14 +99,14 @@
 	version uint64
 	random  *rand.Rand
 
-	mu     sync.Mutex
-	faults []string
+	mu         sync.Mutex
+	violations []string
 }
 
-func (w *scheduleRun) fault(format string, args ...any) {
+func (w *scheduleRun) addViolation(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 func (w *scheduleRun) name(i int) string { return fmt.Sprintf("entry-%d", i) }
@@ -118,7 +118,7 @@
 	seen := make(map[string]uint64)
 	m.Table().Subscribe("", func(key string, version uint64, _ []byte) {
 		if version < seen[key] && version != 0 {
-			w.fault("%s saw %s go back from %d to %d", w.name(i), key, seen[key], version)
+			w.addViolation("%s saw %s go back from %d to %d", w.name(i), key, seen[key], version)
 		}
 		seen[key] = max(seen[key], version)
 	})
@@ -207,17 +207,17 @@
 		if m == nil || !w.up(w.name(i)) {
 			continue
 		}
-		addresses, keep := m.Entries("hall-centro", w.random)
-		if keep < minEntriesTTL || keep > maxEntriesTTL {
-			w.fault("entries may be kept for %v", keep)
+		addresses, ttl := m.Entries("hall-centro", w.random)
+		if ttl < minEntriesTTL || ttl > maxEntriesTTL {
+			w.addViolation("entry addresses may be cached for %v", ttl)
 		}
 		for _, address := range addresses {
 			member, _ := m.View().Member(address)
 			if member.State != Live {
-				w.fault("%s names %s, which is %v", w.name(i), address, member.State)
+				w.addViolation("%s names %s, which is %v", w.name(i), address, member.State)
 			}
 			if address == w.name(i) && w.left[address] {
-				w.fault("%s names itself while leaving", address)
+				w.addViolation("%s names itself while leaving", address)
 			}
 		}
 	}
@@ -258,10 +258,10 @@
 			first = m
 		}
 		if m.Table().Digest() != first.Table().Digest() {
-			w.fault("%s and %s hold different tables", name, first.options.Self.Name)
+			w.addViolation("%s and %s hold different tables", name, first.options.Self.Name)
 		}
 		if m.View().Live() != live {
-			w.fault("%s sees %d live of %d: %+v", name, m.View().Live(), live, m.View().Members)
+			w.addViolation("%s sees %d live of %d: %+v", name, m.View().Live(), live, m.View().Members)
 		}
 		if live > 0 {
 			w.checkHosts(m, newest)
@@ -275,13 +275,13 @@
 		listed := hostIndex(newest.Hosts, name)
 		want := listed < 0 || newest.Hosts[listed].Leaving
 		if got := m.BackendLeaving(name); got != want {
-			w.fault("%s says leaving=%v of %s, the list %v", m.options.Self.Name, got, name, want)
+			w.addViolation("%s says leaving=%v of %s, the list %v", m.options.Self.Name, got, name, want)
 		}
 	}
 }
 
 func runSchedule(t *testing.T, steps []step) []string {
-	var faults []string
+	var violations []string
 	synctest.Test(t, func(t *testing.T) {
 		w := &scheduleRun{
 			t:      t,
@@ -303,16 +303,16 @@
 		w.settle()
 		w.checkSettled()
 		w.net.stopAll()
-		faults = w.faults
+		violations = w.violations
 	})
-	return faults
+	return violations
 }
 
 func TestFleetConvergesAfterAnySchedule(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
-		if faults := runSchedule(t, drawSchedule(r)); len(faults) > 0 {
-			r.Fatalf("%d faults, the first: %v", len(faults), faults[0])
+		if violations := runSchedule(t, drawSchedule(r)); len(violations) > 0 {
+			r.Fatalf("%d violations, the first: %v", len(violations), violations[0])
 		}
 	})
 }
--- a/membership/targets.go
+++ b/membership/targets.go
@@ -97,8 +97,8 @@
 	m.setTargets()
 }
 
-// probeDue reports whether probeInterval has passed, and if so selects another suspected daemon
-// at random.
+// probeDue reports whether probeInterval has passed, and if so selects the suspected daemon to
+// probe at random.
 func (m *Membership) probeDue(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -93,10 +93,10 @@
 
 func TestApplySuspicions(t *testing.T) {
 	tests := []struct {
-		name   string
-		n      int
-		claims [][2]string // reporter, target
-		out    []string
+		name       string
+		n          int
+		suspicions [][2]string // reporter, target
+		out        []string
 	}{
 		{"one of two others", 3, [][2]string{{"1", "2"}}, nil},
 		{"both others", 3, [][2]string{{"0", "2"}, {"1", "2"}}, []string{"2"}},
@@ -114,7 +114,7 @@
 	full := func(s string) string { return "entry-00" + s }
 	for _, test := range tests {
 		r := fleetRecords(test.n, 1)
-		for _, c := range test.claims {
+		for _, c := range test.suspicions {
 			target := full(c[1])
 			if r.suspicions[target] == nil {
 				r.suspicions[target] = make(map[string]suspicion)
