--- a/gossip/keeper.go
+++ b/gossip/keeper.go
@@ -25,9 +25,9 @@
 		names[t.Name] = struct{}{}
 		n.addConnectorLocked(t)
 	}
-	for t, k := range n.connectors {
+	for t, c := range n.connectors {
 		if _, ok := wanted[t]; !ok {
-			k.cancel()
+			c.cancel()
 			delete(n.connectors, t)
 		}
 	}
@@ -47,50 +47,50 @@
 	if _, ok := n.connectors[t]; ok {
 		return
 	}
-	k := &connector{target: t}
-	k.ctx, k.cancel = context.WithCancel(n.tomb.Context(context.Background()))
-	if !n.spawnLocked(func() error { return n.maintainLink(k) }) {
-		k.cancel()
+	c := &connector{target: t}
+	c.ctx, c.cancel = context.WithCancel(n.tomb.Context(context.Background()))
+	if !n.spawnLocked(func() error { return n.maintainLink(c) }) {
+		c.cancel()
 		return
 	}
-	n.connectors[t] = k
+	n.connectors[t] = c
 }
 
 // maintainLink opens a link to the target whenever there is none, until the target is removed.
-func (n *Node) maintainLink(k *connector) error {
+func (n *Node) maintainLink(c *connector) error {
 	failures := 0
-	if n.options.Name > k.target.Name && k.target.Name != "" {
+	if n.options.Name > c.target.Name && c.target.Name != "" {
 		// The daemon with the smaller name dials first, so that two neighbours rarely dial each
 		// other at the same time.
-		k.sleep(HeartbeatInterval)
+		c.sleep(HeartbeatInterval)
 	}
-	for k.ctx.Err() == nil {
-		if k.target.Name != "" && n.hasLink(k.target.Name) {
+	for c.ctx.Err() == nil {
+		if c.target.Name != "" && n.hasLink(c.target.Name) {
 			failures = 0
-			k.sleep(HeartbeatInterval)
+			c.sleep(HeartbeatInterval)
 			continue
 		}
-		name, err := n.dialAndRun(k)
-		if k.ctx.Err() != nil {
+		name, err := n.dialAndRun(c)
+		if c.ctx.Err() != nil {
 			break
 		}
 		if name != "" {
 			failures = 0
 		}
-		n.options.Observer.LinkLost(Target{Name: orElse(k.target.Name, name), Address: k.target.Address}, err)
+		n.options.Observer.LinkLost(Target{Name: orElse(c.target.Name, name), Address: c.target.Address}, err)
 		failures++
-		k.sleep(n.backoff(failures))
+		c.sleep(n.backoff(failures))
 	}
 	return nil
 }
 
 // dialAndRun dials the target and runs the link until it ends.
-func (n *Node) dialAndRun(k *connector) (name string, err error) {
-	stream, err := n.options.Dialer.DialLink(n.tomb.Context(context.Background()), k.target)
+func (n *Node) dialAndRun(c *connector) (name string, err error) {
+	stream, err := n.options.Dialer.DialLink(n.tomb.Context(context.Background()), c.target)
 	if err != nil {
 		return "", err
 	}
-	return n.run(stream, &k.target)
+	return n.run(stream, &c.target)
 }
 
 // Accept runs a link opened by a neighbour until it ends.
@@ -110,11 +110,11 @@
 }
 
 // sleep waits for d, or until the target is removed.
-func (k *connector) sleep(d time.Duration) {
+func (c *connector) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
-	case <-k.ctx.Done():
+	case <-c.ctx.Done():
 	case <-timer.C:
 	}
 }
--- a/gossip/node_test.go
+++ b/gossip/node_test.go
@@ -31,11 +31,11 @@
 
 // memLink is one side of a link.
 type memLink struct {
-	wire *memNetwork
-	in   chan *bronzeturnv1.Frame
-	out  chan *bronzeturnv1.Frame
-	done chan struct{}
-	once *sync.Once
+	network *memNetwork
+	in      chan *bronzeturnv1.Frame
+	out     chan *bronzeturnv1.Frame
+	done    chan struct{}
+	once    *sync.Once
 	// acceptor is set on the side that did not dial.
 	acceptor bool
 }
@@ -43,7 +43,7 @@
 var errClosed = errors.New("closed")
 
 func (l *memLink) Send(frame *bronzeturnv1.Frame) error {
-	if !l.wire.count(frame, l.acceptor) {
+	if !l.network.count(frame, l.acceptor) {
 		return nil
 	}
 	select {
@@ -95,9 +95,9 @@
 	there, back := make(chan *bronzeturnv1.Frame, 100), make(chan *bronzeturnv1.Frame, 100)
 	done, once := make(chan struct{}), &sync.Once{}
 	go func() {
-		_ = node.Accept(&memLink{wire: w, in: there, out: back, done: done, once: once, acceptor: true})
+		_ = node.Accept(&memLink{network: w, in: there, out: back, done: done, once: once, acceptor: true})
 	}()
-	return &memLink{wire: w, in: back, out: there, done: done, once: once}, nil
+	return &memLink{network: w, in: back, out: there, done: done, once: once}, nil
 }
 
 type lossRecorder struct {
--- a/gossip/options.go
+++ b/gossip/options.go
@@ -52,8 +52,8 @@
 	// exchanges while the table is stable and while it is changing.
 	pullInterval     = 1 * time.Second
 	busyPullInterval = 10 * time.Second
-	// manyMissingEntries is the number of missing entries from which on the table counts as
-	// stable for the choice of the interval, even while it is changing.
+	// manyMissingEntries is the number of missing entries from which pullInterval applies even
+	// while the table is changing, and from which a larger table can be pulled without waiting.
 	manyMissingEntries = 8
 	// largerTableFactor is the minimum ratio of a neighbour's table size to that of the
 	// neighbour of the last pull at which the next pull starts without waiting.
