--- a/follow/follow.go
+++ b/follow/follow.go
@@ -100,14 +100,16 @@
 	// cost it as much as successful ones.
 	rejectedRetryMax = 2 * time.Second
 	// orphanRetryPerDaemon, multiplied by the number of live daemons, is the longest pause of
-	// an orphan: a daemon that does not watch and that no other daemon answers. There may be
-	// many orphans, and rejected calls cost the store as much as successful ones. With 150 ms,
-	// one of 66 daemons received a change only 3.3 s after an outage.
+	// an orphan, unless retryMax is longer. An orphan is a daemon that does not watch and that
+	// no other daemon answers. There may be many orphans, and rejected calls cost the store as
+	// much as successful ones. With 150 ms, one of 66 daemons received a change only 3.3 s
+	// after an outage.
 	orphanRetryPerDaemon = 40 * time.Millisecond
-	// standbyRetryPerDaemon is the equivalent for a daemon that does not watch and that other
-	// daemons answer without having heard from the store: the watchers and their substitutes
-	// call the store and pass on its responses. It limits the calls of all such daemons to
-	// ten per second in an outage, whatever the size of the fleet.
+	// standbyRetryPerDaemon is the equivalent for a daemon that does not watch, and that other
+	// daemons answer although they have not heard from the store either. Such a daemon can
+	// pause for longer, because the watchers and their substitutes call the store and pass on
+	// its responses. It limits the calls of all such daemons to ten per second in an outage,
+	// whatever the size of the fleet.
 	standbyRetryPerDaemon = 100 * time.Millisecond
 	// recentAnswerWindow is how long an answer of another daemon, or a confirmation of the
 	// copy, counts as recent when the pause between store calls is chosen.
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -1093,8 +1093,8 @@
 	c.Check(behind.Snapshot().Len(), qt.Equals, after.Len()+1)
 }
 
-// TestWaitsForChangesEndTogether guards against separate wake-ups for calls to Await that start
-// at different times.
+// TestWaitsForChangesEndTogether guards against separate wake-ups for calls to AwaitChanges
+// that start at different times.
 func TestWaitsForChangesEndTogether(t *testing.T) {
 	run(t, func(c *qt.C, ctx context.Context) {
 		s := newStore()
