--- a/provider/freshness.go
+++ b/provider/freshness.go
@@ -58,19 +58,19 @@
 // resumed, has confirmed that nothing newer exists. If neither can, most of the live peers
 // must have reported no newer head in response to queries. Otherwise, the daemon waits for
 // resumeGracePeriod and then relies on the heartbeats of the majority.
-func DecideFreshness(n FreshnessInput, bound time.Duration) (bool, Reason) {
-	heard := majority(n.PeersHeard, n.PeersKnown)
-	answered := heard && n.PeersAnswered > 0 && majority(n.PeersAnswered, n.PeersLive)
+func DecideFreshness(in FreshnessInput, bound time.Duration) (bool, Reason) {
+	heard := majority(in.PeersHeard, in.PeersKnown)
+	answered := heard && in.PeersAnswered > 0 && majority(in.PeersAnswered, in.PeersLive)
 	switch {
-	case !n.HasConfiguration:
+	case !in.HasConfiguration:
 		return false, ReasonNone
-	case n.UnconfirmedSinceResume > 0 && (n.Behind > 0 || n.UnconfirmedSinceResume < resumeGracePeriod && !answered):
+	case in.UnconfirmedSinceResume > 0 && (in.Behind > 0 || in.UnconfirmedSinceResume < resumeGracePeriod && !answered):
 		return false, ReasonResumed
-	case n.Behind > bound:
+	case in.Behind > bound:
 		return false, ReasonBehind
-	case n.Behind > 0:
+	case in.Behind > 0:
 		return true, ReasonCatchingUp
-	case n.Age <= bound && n.UnconfirmedSinceResume == 0:
+	case in.Age <= bound && in.UnconfirmedSinceResume == 0:
 		return true, ReasonConfirmed
 	case heard:
 		return true, ReasonMajority
--- a/provider/freshness_test.go
+++ b/provider/freshness_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestDecide(t *testing.T) {
+func TestDecideFreshness(t *testing.T) {
 	const bound = 10 * time.Second
 	const old = time.Minute
 	for _, tt := range []struct {
--- a/provider/install.go
+++ b/provider/install.go
@@ -114,7 +114,7 @@
 	return p.upToDate()
 }
 
-// settled reports whether a head is in force and the daemon knows of no newer valid one.
+// upToDate reports whether a head is in force and the daemon knows of no newer valid one.
 func (p *Provider) upToDate() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/provider/provider.go
+++ b/provider/provider.go
@@ -197,7 +197,7 @@
 }
 
 // RecordHeartbeat processes a peer's heartbeat, which contains the peer's generation in
-// force and the time since the peer knew that no newer head existed.
+// force and the time since that was last known to be the newest.
 func (p *Provider) RecordHeartbeat(generation uint64, newsAge time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
