--- a/bootstrap/bootstrap.go
+++ b/bootstrap/bootstrap.go
@@ -143,7 +143,8 @@
 }
 
 // review reads the object and passes the listed addresses to OnAddresses. It adds this daemon
-// to the front of the list if register is set or too few of the listed daemons are live.
+// to the front of the list if register is set, or if too few of the listed daemons are live and
+// this daemon is not at the front already.
 func (r *Registrar) review(ctx context.Context, register bool) error {
 	seeds, revision, err := r.read(ctx)
 	if err != nil {
--- a/bootstrap/bootstrap_test.go
+++ b/bootstrap/bootstrap_test.go
@@ -89,7 +89,7 @@
 				c.Check(late.has(d.name+":1"), qt.IsTrue, qt.Commentf("%d faulty calls, %s", calls, d.name))
 				d.stop()
 			}
-			// Of any two daemons, at least one knows the other.
+			// Of any two daemons, the one that registered later has read the address of the other.
 			for i, one := range all {
 				for _, other := range all[i+1:] {
 					c.Check(one.has(other.name+":1") || other.has(one.name+":1"), qt.IsTrue)
