--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -99,9 +99,9 @@
 	go func() { _ = d.RunWrites(ctx) }() // Ends with the daemon.
 	go d.follow(ctx)
 	f.mu.Lock()
-	heard := slices.Clone(f.flooded)
+	reports := slices.Clone(f.flooded)
 	f.mu.Unlock()
-	for _, m := range heard {
+	for _, m := range reports {
 		d.ApplyReport(m, time.Now())
 	}
 	return d
@@ -599,11 +599,11 @@
 // TestCrashesOfManyEnginesCostFewMessages covers the loss of power of a data centre in a large
 // fleet.
 func TestCrashesOfManyEnginesCostFewMessages(t *testing.T) {
-	const daemons, engines, cutEach = 300, 50, 24
+	const daemons, engines, requestsPerEngine = 300, 50, 24
 	runFleet(t, daemons, func(f *testFleet) {
 		for i := range engines {
 			interrupted := make(map[*testDaemon][]Hash)
-			for j := range cutEach {
+			for j := range requestsPerEngine {
 				d := f.daemons[f.random.IntN(daemons)]
 				interrupted[d] = append(interrupted[d], Hash{byte(i), byte(i >> 8), byte(j), 9})
 			}
@@ -614,7 +614,7 @@
 		f.mu.Lock()
 		reports := f.messages / (daemons - 1)
 		f.mu.Unlock()
-		f.t.Logf("%d reports for %d engines and %d requests", reports, engines, engines*cutEach)
+		f.t.Logf("%d reports for %d engines and %d requests", reports, engines, engines*requestsPerEngine)
 		f.c.Check(reports <= 3*daemons, qt.IsTrue, qt.Commentf("%d reports", reports))
 		f.c.Check(f.records(), qt.HasLen, 0)
 	})
--- a/quarantine/handler_test.go
+++ b/quarantine/handler_test.go
@@ -17,14 +17,14 @@
 	runFleet(t, 2, func(f *testFleet) {
 		f.crashThreeEngines(crasher)
 		time.Sleep(2 * time.Second)
-		ask := func(method, path string) (int, string) {
+		call := func(method, path string) (int, string) {
 			w := httptest.NewRecorder()
 			f.daemons[0].Handler().ServeHTTP(w, httptest.NewRequest(method, path, nil))
 			data, err := io.ReadAll(w.Result().Body)
 			f.c.Assert(err, qt.IsNil)
 			return w.Code, string(data)
 		}
-		code, text := ask(http.MethodGet, Path)
+		code, text := call(http.MethodGet, Path)
 		f.c.Check(code, qt.Equals, http.StatusOK)
 		var list bronzeturnv1.QuarantineList
 		f.c.Assert(protojson.Unmarshal([]byte(text), &list), qt.IsNil)
@@ -35,15 +35,15 @@
 		f.c.Check(entry.GetRetriesLeft(), qt.Equals, uint32(maxRetries))
 		f.c.Check(entry.GetFirstAgeMs() >= 2000, qt.IsTrue)
 
-		code, _ = ask(http.MethodDelete, Path+"/none")
+		code, _ = call(http.MethodDelete, Path+"/none")
 		f.c.Check(code, qt.Equals, http.StatusBadRequest)
-		code, _ = ask(http.MethodDelete, Path+"/"+a.String())
+		code, _ = call(http.MethodDelete, Path+"/"+a.String())
 		f.c.Check(code, qt.Equals, http.StatusNotFound)
-		code, _ = ask(http.MethodDelete, Path+"/"+crasher.String())
+		code, _ = call(http.MethodDelete, Path+"/"+crasher.String())
 		f.c.Check(code, qt.Equals, http.StatusNoContent)
 		time.Sleep(2 * time.Second)
 		f.c.Check(f.held(crasher), qt.HasLen, 0)
-		_, text = ask(http.MethodGet, Path)
+		_, text = call(http.MethodGet, Path)
 		f.c.Check(text, qt.Equals, "{}")
 	})
 }
--- a/quarantine/starts.go
+++ b/quarantine/starts.go
@@ -14,7 +14,7 @@
 	// engine loads its weights and crashes again.
 	sameCrashWindow = time.Second
 	// maxTrackedEngines is the number of tracked engines from which entries older than
-	// evidenceFor are removed.
+	// evidenceTTL are removed.
 	maxTrackedEngines = 4096
 )
 
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -181,7 +181,8 @@
 	return s.since.Add(minSuspectAge)
 }
 
-// hasPending reports whether a verdict waits for daemons that saw its request complete.
+// hasPending reports whether a verdict is delayed by minSuspectAge, so that daemons that saw its
+// request complete can report that first.
 func (e *Evidence) hasPending(now time.Time) bool {
 	if !e.hasSuspects.Load() {
 		return false
--- a/quarantine/ways_test.go
+++ b/quarantine/ways_test.go
@@ -302,8 +302,8 @@
 
 // TestStrategies compares the strategies by crashed engines and lost harmless requests, over
 // several seeds. The bounds on the implemented strategy come from what operators ask for: a
-// request may crash three engines and three more, and popular requests are never refused where
-// engines crash for unrelated reasons.
+// request may crash three engines before its verdict and three more after it, and popular requests
+// are never refused where engines crash for unrelated reasons.
 func TestStrategies(t *testing.T) {
 	c := qt.New(t)
 	const seeds = 2
