--- a/canary/canary_test.go
+++ b/canary/canary_test.go
@@ -387,7 +387,7 @@
 		o.ExposureSlack = rapid.SampledFrom([]float64{0, 30}).Draw(t, "slack")
 		length := time.Duration(rapid.IntRange(12, 60).Draw(t, "seconds")) * time.Second
 		perSecond := rapid.SampledFrom([]int{20, 100, 500}).Draw(t, "rate")
-		pinned := rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "held")
+		pinned := rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "pinned")
 		i := New(o, Order{Service: "s", Target: "v2", ID: 1, Duration: length}, Running, start)
 		const tick = 100 * time.Millisecond
 		exposed, all, finished := 0.0, 0.0, false
--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -97,16 +97,16 @@
 			store.applyDue(at)
 			for rank, d := range daemons {
 				if at < undisturbedFrom {
-					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "freeze") == 0 {
+					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "pause") == 0 {
 						d.paused = rapid.IntRange(1, 40).Draw(t, "steps")
 					}
-					d.dead = d.dead || rank != survivor && rapid.IntRange(0, 199).Draw(t, "die") == 0
+					d.dead = d.dead || rank != survivor && rapid.IntRange(0, 199).Draw(t, "crash") == 0
 				}
 				if d.paused > 0 || d.dead {
 					d.paused = max(d.paused-1, 0)
 					continue
 				}
-				if rapid.IntRange(0, 3).Draw(t, "news") == 0 || at >= undisturbedFrom {
+				if rapid.IntRange(0, 3).Draw(t, "learns_state") == 0 || at >= undisturbedFrom {
 					d.SetState(store.state)
 					d.revision = store.revision
 				}
--- a/canary/judge.go
+++ b/canary/judge.go
@@ -63,11 +63,11 @@
 		return false
 	}
 	mean, deviation := baseline.logStats()
-	times := slowAnswerFactor
+	factor := slowAnswerFactor
 	if i.trialOver {
-		times = loadedSlowAnswerFactor
+		factor = loadedSlowAnswerFactor
 	}
-	return value > mean+max(math.Log(times), slowAnswerDeviations*deviation)
+	return value > mean+max(math.Log(factor), slowAnswerDeviations*deviation)
 }
 
 // rollbackReason returns the reason for rolling the version back, or "".
@@ -106,8 +106,8 @@
 	if m == 0 {
 		return share > max(margin, deviations*math.Sqrt(share*(1-share)/float64(n)))
 	}
-	both := float64(hits+baseline) / float64(n+m)
-	deviation := math.Sqrt(both * (1 - both) * (1/float64(n) + 1/float64(m)))
+	pooled := float64(hits+baseline) / float64(n+m)
+	deviation := math.Sqrt(pooled * (1 - pooled) * (1/float64(n) + 1/float64(m)))
 	return share-float64(baseline)/float64(m) > max(margin, deviations*deviation)
 }
 
