--- a/entry/canaryreports.go
+++ b/entry/canaryreports.go
@@ -70,7 +70,7 @@
 	return i.byService[service]
 }
 
-// maxReportSessions is the maximum number of held and of stopped sessions in a report.
+// maxReportSessions is the maximum number of pinned and of stopped sessions in a report.
 const maxReportSessions = 1024
 
 // encodeReport converts a report to its wire format.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -138,11 +138,11 @@
 	slowStarts    *slowstart.Pacer
 	gateway       *gateway.Gateway
 	quarantine    *quarantine.Quarantine
-	// shared is the balancer that takes the work of all daemons into account, book the counts
-	// that this daemon keeps for the others.
-	shared  *sharedBalancer
-	book    *occupancy.Store
-	servers *servers
+	// shared is the balancer that takes the work of all daemons into account, occupancyStore the
+	// counts that this daemon keeps for the others.
+	shared         *sharedBalancer
+	occupancyStore *occupancy.Store
+	servers        *servers
 
 	tables atomic.Pointer[gateway.Tables]
 	// compileMu serialises the compilation of the engines. The set of engines triggers a
@@ -162,7 +162,7 @@
 
 // New creates a daemon and opens its listeners. Requests are served only after Run is called.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{Options: o, registry: prometheus.NewRegistry(), seed: process.Seed(), started: time.Now(), book: occupancy.NewStore()}
+	d := &Daemon{Options: o, registry: prometheus.NewRegistry(), seed: process.Seed(), started: time.Now(), occupancyStore: occupancy.NewStore()}
 	backoff.SetPhase(time.Duration(rand.New(rand.NewPCG(d.seed, randTickPhase)).Int64N(int64(time.Second))))
 	d.Store = newCountedStore(o.Store, d.registry)
 	d.current.Store(&o.Settings)
@@ -250,7 +250,7 @@
 	d.goLoop("heap", d.adjustHeapGrowth)
 	d.goLoop("quarantine", d.quarantine.Run)
 	d.goLoop("quarantine records", d.quarantine.RunWrites)
-	d.goLoop("occupancy", d.shared.sharer.Run)
+	d.goLoop("occupancy", d.shared.occupancy.Run)
 	select {
 	case <-ctx.Done():
 	case <-d.tomb.Dying():
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -106,7 +106,7 @@
 	c.Check(trial, qt.Equals, 1)
 }
 
-func TestSessionsBeforeAnOrderAreHeld(t *testing.T) {
+func TestSessionsBeforeAnOrderArePinned(t *testing.T) {
 	c := qt.New(t)
 	i := newTestIntroductions(engineOf("a", "v1"))
 	session := uint64(0)
@@ -134,10 +134,10 @@
 	c.Check(i.byService["s"].Review(time.Now()).State, qt.Equals, canary.RolledBack)
 }
 
-// TestAnswersOfAnEarlierTrialDoNotCondemnTheNextVersion guards against the rollback of a good
+// TestAnswersOfAnEarlierTrialDoNotRollBackTheNextVersion guards against the rollback of a good
 // version because of streams of the previous version, which began in the trial of the previous
 // order and outlasted it.
-func TestAnswersOfAnEarlierTrialDoNotCondemnTheNextVersion(t *testing.T) {
+func TestAnswersOfAnEarlierTrialDoNotRollBackTheNextVersion(t *testing.T) {
 	c := qt.New(t)
 	next := order
 	next.ID, next.Target = order.ID+1, "v3"
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -118,7 +118,7 @@
 	mux.Handle(gossip.NewHandler(f.members.Table()))
 	mux.Handle(bronzeturnv1connect.NewFollowServiceHandler(pullServer{f.daemon}, peer.HandlerOptions()...))
 	mux.Handle(bronzeturnv1connect.NewTallyServiceHandler(tallyServer{f.daemon}, peer.HandlerOptions()...))
-	mux.Handle(bronzeturnv1connect.NewOccupancyServiceHandler(occupancy.Server{Store: f.daemon.book}, peer.HandlerOptions()...))
+	mux.Handle(bronzeturnv1connect.NewOccupancyServiceHandler(occupancy.Server{Store: f.daemon.occupancyStore}, peer.HandlerOptions()...))
 	return mux
 }
 
@@ -137,7 +137,7 @@
 			member, ok := f.members.View().Member(name)
 			return ok && member.State == membership.Live
 		},
-		SkipRegistration: f.registrationSpared, HasJoined: func() bool { return f.members.View().Live() > 1 },
+		SkipRegistration: f.othersRegister, HasJoined: func() bool { return f.members.View().Live() > 1 },
 		Random: d.rand(randBootstrap), Log: logging.Part(d.log, "bootstrap"),
 	})
 	d.goLoop("bootstrap", registrar.Run)
@@ -149,10 +149,10 @@
 // that find none of their configured seeds. It allows for the loss of a few of them.
 const registeredDaemons = 8
 
-// registrationSpared reports whether other daemons of the fleet register in the store, so that
+// othersRegister reports whether other daemons of the fleet register in the store, so that
 // this one need not. All daemons compute the same ranking. If two parts of a fleet do not know
 // each other, some daemons of each part read the list in the store and find the other part.
-func (f *fleet) registrationSpared() bool {
+func (f *fleet) othersRegister() bool {
 	view := f.members.View()
 	return view.Live() > registeredDaemons && !slices.Contains(view.Top(bootstrap.Key, registeredDaemons), view.Self)
 }
--- a/entry/introductions.go
+++ b/entry/introductions.go
@@ -200,8 +200,8 @@
 			keys = append(keys, e.Key())
 		}
 	}
-	for place, key := range rendezvous.Top(service+"/"+version, keys, len(keys)) {
-		i.ranks[key] = place
+	for rank, key := range rendezvous.Top(service+"/"+version, keys, len(keys)) {
+		i.ranks[key] = rank
 	}
 }
 
@@ -232,14 +232,14 @@
 type assignment struct {
 	// groups is empty for a version that receives no requests.
 	groups []string
-	// limited restricts the groups to the engines with a rank below width.
-	limited bool
-	width   int
+	// limited restricts the groups to the engines with a rank below engineCount.
+	limited     bool
+	engineCount int
 }
 
 // groupsOf returns the groups that the engine with the key serves.
 func (a assignment) groupsOf(key string, ranks map[string]int) []string {
-	if a.limited && ranks[key] >= a.width {
+	if a.limited && ranks[key] >= a.engineCount {
 		return nil
 	}
 	return a.groups
@@ -273,7 +273,7 @@
 	case !isTarget && !i.isRetired(service, version):
 		return base
 	case isTarget:
-		return assignment{groups: []string{gateway.Group(service, true)}, limited: true, width: intro.engines}
+		return assignment{groups: []string{gateway.Group(service, true)}, limited: true, engineCount: intro.engines}
 	}
 	return assignment{}
 }
--- a/entry/load.go
+++ b/entry/load.go
@@ -23,18 +23,18 @@
 // sharedBalancer chooses engines by the requests that all daemons have in progress there.
 type sharedBalancer struct {
 	*balance.State
-	sharer *occupancy.Client
-	daemon *Daemon
+	occupancy *occupancy.Client
+	daemon    *Daemon
 }
 
 // newSharedBalancer returns a balancer that shares the work in progress of this daemon with the
 // others.
 func newSharedBalancer(d *Daemon) *sharedBalancer {
 	keepers := &keepers{view: d.fleet.members.View}
-	return &sharedBalancer{daemon: d, State: d.balancer, sharer: occupancy.New(occupancy.Options{
+	return &sharedBalancer{daemon: d, State: d.balancer, occupancy: occupancy.New(occupancy.Options{
 		Self: d.Settings.Name, Keeper: keepers.of, Client: d.fleet.occupancyClient,
 		InFlight: d.balancer.OwnLoad, EachInFlight: d.balancer.InFlight,
-		Store: d.book, Log: d.logger("occupancy"), Registerer: d.registry,
+		Store: d.occupancyStore, Log: d.logger("occupancy"), Registerer: d.registry,
 	})}
 }
 
@@ -49,7 +49,7 @@
 		return decision, ok
 	}
 	engines := decision.Compared(maxQueriedEngines)
-	answers := b.sharer.QueryLoads(context.Background(), engines)
+	answers := b.occupancy.QueryLoads(context.Background(), engines)
 	if len(answers) == 0 {
 		return decision, ok
 	}
@@ -74,7 +74,7 @@
 func (b *sharedBalancer) Dispatched(ev balance.Dispatched) {
 	b.State.Dispatched(ev)
 	if ev.Work.PromptTokens > 0 {
-		b.sharer.RequestSent(context.Background(), ev.Engine)
+		b.occupancy.RequestSent(context.Background(), ev.Engine)
 	}
 }
 
@@ -103,7 +103,7 @@
 // prompt are not counted there.
 func (b *sharedBalancer) workChanged(engine string, w balance.Work) {
 	if w.PromptTokens > 0 {
-		b.sharer.LoadChanged(engine)
+		b.occupancy.LoadChanged(engine)
 	}
 }
 
--- a/entry/servers.go
+++ b/entry/servers.go
@@ -27,8 +27,8 @@
 )
 
 // engineDial holds the time-outs of connections to engines. A host that is down does not answer
-// connection attempts; the kernel retransmits a lost packet of an attempt after one second, which
-// is later than Connect.
+// connection attempts. The kernel retransmits a lost packet of an attempt after one second, which
+// is later than Connect, so an attempt that loses a packet fails as well.
 var engineDial = attempt.DialOptions{
 	Connect: 350 * time.Millisecond, Unacked: 1500 * time.Millisecond,
 	ProbeAfter: time.Second, ProbeEvery: 500 * time.Millisecond, ProbeCount: 2,
@@ -61,7 +61,7 @@
 		Stale:       func(now time.Time) bool { return d.copies.config.Stale(now) },
 		Outage:      func() bool { return d.copies.config.Failing() },
 		TimeToReady: func() time.Duration { return timeToReady(d.fleet.Depth(), time.Since(d.started)) },
-		Daemons:     d.fleet.Live, Misdirected: d.engines.Exclude, Delayed: d.shared.sharer.DelayObserved,
+		Daemons:     d.fleet.Live, Misdirected: d.engines.Exclude, Delayed: d.shared.occupancy.DelayObserved,
 		Engines: d.shared, SlowStarts: d.slowStarts, Introductions: d.introductions, Quarantine: d.quarantine, Models: gateway.NewModelChoice(d.Models),
 		Transport: attempt.NewUnpooledTransport(engineDial), Budget: d.Settings.Budget,
 		Seed: d.seed, Log: d.logger("gateway"), Registerer: d.registry,
