--- a/occupancy/book.go
+++ b/occupancy/book.go
@@ -3,8 +3,8 @@
 // keeper, which stores the load that every daemon reports for the engine. A daemon
 // that is about to choose an engine queries the keeper for the load of the others. So
 // a choice uses counts that are milliseconds old, whatever the size of the fleet, and
-// no daemon is sent counts that it does not need. The counts are advisory: without an answer in time a
-// daemon uses its own estimate.
+// no daemon is sent counts that it does not need. The counts are advisory: a daemon
+// that gets no answer in time uses its own estimate.
 package occupancy
 
 import (
@@ -55,81 +55,81 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	b := &Store{}
-	for i := range b.shards {
-		b.shards[i].engines = make(map[uint32]*engineState)
+	s := &Store{}
+	for i := range s.shards {
+		s.shards[i].engines = make(map[uint32]*engineState)
 	}
-	return b
+	return s
 }
 
-func (b *Store) shard(engine uint32) *shard { return &b.shards[engine%storeShards] }
+func (s *Store) shard(engine uint32) *shard { return &s.shards[engine%storeShards] }
 
 // Record stores a daemon's load at an engine, unless a report with a higher
 // sequence number has been stored. The delay counts in either case.
-func (b *Store) Record(daemon string, sequence uint64, engine uint32, w Load, now time.Time) {
-	s := b.shard(engine)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.engines[engine]
-	if a == nil {
-		a = &engineState{byDaemon: make(map[string]report)}
-		s.engines[engine] = a
+func (s *Store) Record(daemon string, sequence uint64, engine uint32, load Load, now time.Time) {
+	shard := s.shard(engine)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	state := shard.engines[engine]
+	if state == nil {
+		state = &engineState{byDaemon: make(map[string]report)}
+		shard.engines[engine] = state
 	}
-	if w.Delay > a.remainingDelay(now) {
-		a.delay, a.delayAt = w.Delay, now
+	if load.Delay > state.remainingDelay(now) {
+		state.delay, state.delayAt = load.Delay, now
 	}
-	if a.byDaemon[daemon].sequence > sequence {
+	if state.byDaemon[daemon].sequence > sequence {
 		return
 	}
-	a.byDaemon[daemon] = report{load: w, sequence: sequence, at: now}
+	state.byDaemon[daemon] = report{load: load, sequence: sequence, at: now}
 }
 
 // LoadOfOthers returns the load of all daemons but the given one at an engine.
-func (b *Store) LoadOfOthers(daemon string, engine uint32, now time.Time) Load {
-	s := b.shard(engine)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.engines[engine]
-	if a == nil {
+func (s *Store) LoadOfOthers(daemon string, engine uint32, now time.Time) Load {
+	shard := s.shard(engine)
+	shard.mu.Lock()
+	defer shard.mu.Unlock()
+	state := shard.engines[engine]
+	if state == nil {
 		return Load{}
 	}
-	sum := Load{Delay: a.remainingDelay(now)}
-	for name, e := range a.byDaemon {
-		if name == daemon || now.Sub(e.at) > reportTTL {
+	sum := Load{Delay: state.remainingDelay(now)}
+	for name, r := range state.byDaemon {
+		if name == daemon || now.Sub(r.at) > reportTTL {
 			continue
 		}
-		sum.Requests += e.load.Requests
-		sum.Tokens += e.load.Tokens
+		sum.Requests += r.load.Requests
+		sum.Tokens += r.load.Tokens
 	}
 	return sum
 }
 
 // remainingDelay returns the part of the engine's delay that still counts.
-func (a *engineState) remainingDelay(now time.Time) time.Duration {
-	age := now.Sub(a.delayAt)
+func (e *engineState) remainingDelay(now time.Time) time.Duration {
+	age := now.Sub(e.delayAt)
 	if age >= delayTTL {
 		return 0
 	}
-	return time.Duration(float64(a.delay) * (1 - age.Seconds()/delayTTL.Seconds()))
+	return time.Duration(float64(e.delay) * (1 - age.Seconds()/delayTTL.Seconds()))
 }
 
 // Expire removes reports that are older than reportTTL.
-func (b *Store) Expire(now time.Time) {
-	for i := range b.shards {
-		b.shards[i].expire(now)
+func (s *Store) Expire(now time.Time) {
+	for i := range s.shards {
+		s.shards[i].expire(now)
 	}
 }
 
 func (s *shard) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for engine, a := range s.engines {
-		for name, e := range a.byDaemon {
-			if now.Sub(e.at) > reportTTL {
-				delete(a.byDaemon, name)
+	for engine, state := range s.engines {
+		for name, r := range state.byDaemon {
+			if now.Sub(r.at) > reportTTL {
+				delete(state.byDaemon, name)
 			}
 		}
-		if len(a.byDaemon) == 0 {
+		if len(state.byDaemon) == 0 {
 			delete(s.engines, engine)
 		}
 	}
--- a/occupancy/server.go
+++ b/occupancy/server.go
@@ -19,15 +19,15 @@
 
 // exchange stores a daemon's load and returns that of the other daemons at the
 // requested engines.
-func (b *Store) exchange(m *bronzeturnv1.ShareRequest, now time.Time) []*bronzeturnv1.EngineLoad {
+func (s *Store) exchange(m *bronzeturnv1.ShareRequest, now time.Time) []*bronzeturnv1.EngineLoad {
 	for _, own := range m.GetOwn() {
-		b.Record(m.GetDaemon(), m.GetSequence(), own.GetEngine(), loadOf(own), now)
+		s.Record(m.GetDaemon(), m.GetSequence(), own.GetEngine(), loadOf(own), now)
 	}
 	others := make([]*bronzeturnv1.EngineLoad, 0, len(m.GetAsked()))
 	for _, engine := range m.GetAsked() {
-		w := b.LoadOfOthers(m.GetDaemon(), engine, now)
+		load := s.LoadOfOthers(m.GetDaemon(), engine, now)
 		others = append(others, &bronzeturnv1.EngineLoad{
-			Engine: engine, Requests: uint32(w.Requests), Tokens: uint32(w.Tokens), LateMs: uint32(w.Delay.Milliseconds()),
+			Engine: engine, Requests: uint32(load.Requests), Tokens: uint32(load.Tokens), LateMs: uint32(load.Delay.Milliseconds()),
 		})
 	}
 	return others
--- a/occupancy/sharer.go
+++ b/occupancy/sharer.go
@@ -79,10 +79,10 @@
 
 // New returns a Client. Periodic reports begin with Run.
 func New(o Options) *Client {
-	s := &Client{Options: o, metrics: newMetrics(o.Registerer), wake: make(chan struct{}, 1), changed: make(map[string]map[string]time.Duration), failing: make(map[string]failing)}
+	c := &Client{Options: o, metrics: newMetrics(o.Registerer), wake: make(chan struct{}, 1), changed: make(map[string]map[string]time.Duration), failing: make(map[string]failing)}
 	// Sequence numbers of a daemon keep increasing across its restarts.
-	s.sequence.Store(uint64(time.Now().UnixMilli()) << 20)
-	return s
+	c.sequence.Store(uint64(time.Now().UnixMilli()) << 20)
+	return c
 }
 
 // hash returns the identifier of an engine in messages between daemons.
@@ -90,29 +90,29 @@
 
 // LoadChanged records that this daemon's load at an engine has changed, to be
 // reported in the next round.
-func (s *Client) LoadChanged(engine string) { s.markChanged(engine, 0) }
+func (c *Client) LoadChanged(engine string) { c.markChanged(engine, 0) }
 
 // DelayObserved records how much later than expected an engine began an answer, to
 // be reported in the next round.
-func (s *Client) DelayObserved(engine string, delay time.Duration) { s.markChanged(engine, delay) }
+func (c *Client) DelayObserved(engine string, delay time.Duration) { c.markChanged(engine, delay) }
 
 // markChanged marks the load of an engine to be reported. It returns the engine's
 // keeper, "" when there is none.
-func (s *Client) markChanged(engine string, delay time.Duration) string {
-	keeper := s.Keeper(engine)
+func (c *Client) markChanged(engine string, delay time.Duration) string {
+	keeper := c.Keeper(engine)
 	if keeper == "" {
 		return ""
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	engines := s.changed[keeper]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	engines := c.changed[keeper]
 	if engines == nil {
 		engines = make(map[string]time.Duration)
-		s.changed[keeper] = engines
+		c.changed[keeper] = engines
 	}
 	engines[engine] = max(engines[engine], delay)
 	select {
-	case s.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 	return keeper
@@ -120,20 +120,20 @@
 
 // RequestSent records that a request was sent to an engine, and reports it to the
 // keeper at once.
-func (s *Client) RequestSent(ctx context.Context, engine string) {
-	switch keeper := s.markChanged(engine, 0); keeper {
+func (c *Client) RequestSent(ctx context.Context, engine string) {
+	switch keeper := c.markChanged(engine, 0); keeper {
 	case "":
-	case s.Self:
-		s.report(ctx, keeper)
+	case c.Self:
+		c.report(ctx, keeper)
 	default:
-		go s.report(ctx, keeper)
+		go c.report(ctx, keeper)
 	}
 }
 
 // Run reports changes to the keepers until ctx ends. It blocks while there are none:
 // a daemon of a large fleet gets a few requests per second, and polling every
 // reportInterval would wake it three times as often.
-func (s *Client) Run(ctx context.Context) error {
+func (c *Client) Run(ctx context.Context) error {
 	refresh := time.NewTimer(backoff.UntilTick(refreshInterval))
 	defer refresh.Stop()
 	for {
@@ -142,53 +142,53 @@
 			return nil
 		case <-refresh.C:
 			refresh.Reset(backoff.UntilTick(refreshInterval))
-			s.EachInFlight(func(engine string, _, _ int64) { s.LoadChanged(engine) })
-			s.Store.Expire(time.Now())
+			c.EachInFlight(func(engine string, _, _ int64) { c.LoadChanged(engine) })
+			c.Store.Expire(time.Now())
 			continue
-		case <-s.wake:
+		case <-c.wake:
 		}
 		if backoff.Sleep(ctx, reportInterval) != nil {
 			return nil
 		}
 		var round sync.WaitGroup
-		for _, keeper := range s.due() {
-			round.Go(func() { s.report(ctx, keeper) })
+		for _, keeper := range c.due() {
+			round.Go(func() { c.report(ctx, keeper) })
 		}
 		round.Wait()
 	}
 }
 
 // due returns the keepers that have load to be reported.
-func (s *Client) due() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	keepers := make([]string, 0, len(s.changed))
-	for keeper := range s.changed {
+func (c *Client) due() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	keepers := make([]string, 0, len(c.changed))
+	for keeper := range c.changed {
 		keepers = append(keepers, keeper)
 	}
 	return keepers
 }
 
 // report reports the changed load to one keeper.
-func (s *Client) report(ctx context.Context, keeper string) {
-	m := s.message(keeper)
+func (c *Client) report(ctx context.Context, keeper string) {
+	m := c.message(keeper)
 	if len(m.GetOwn()) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	s.exchange(ctx, keeper, m)
+	c.exchange(ctx, keeper, m)
 }
 
 // message returns the report for a keeper and clears its changes.
-func (s *Client) message(keeper string) *bronzeturnv1.ShareRequest {
-	s.mu.Lock()
-	engines := s.changed[keeper]
-	delete(s.changed, keeper)
-	s.mu.Unlock()
-	m := &bronzeturnv1.ShareRequest{Daemon: s.Self, Sequence: s.sequence.Add(1)}
+func (c *Client) message(keeper string) *bronzeturnv1.ShareRequest {
+	c.mu.Lock()
+	engines := c.changed[keeper]
+	delete(c.changed, keeper)
+	c.mu.Unlock()
+	m := &bronzeturnv1.ShareRequest{Daemon: c.Self, Sequence: c.sequence.Add(1)}
 	for engine, delay := range engines {
-		requests, tokens := s.InFlight(engine)
+		requests, tokens := c.InFlight(engine)
 		m.Own = append(m.Own, &bronzeturnv1.EngineLoad{
 			Engine: hash(engine), Requests: uint32(requests), Tokens: uint32(tokens), LateMs: uint32(delay.Milliseconds()),
 		})
@@ -199,55 +199,55 @@
 // exchange calls a keeper, or the own store when this daemon is the keeper, and
 // returns the answer. A failing keeper is avoided for a while; the load that it was
 // not sent follows with the next refresh.
-func (s *Client) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
-	if keeper == s.Self {
-		return s.Store.exchange(m, time.Now())
+func (c *Client) exchange(ctx context.Context, keeper string, m *bronzeturnv1.ShareRequest) []*bronzeturnv1.EngineLoad {
+	if keeper == c.Self {
+		return c.Store.exchange(m, time.Now())
 	}
-	client := s.Client(keeper)
-	if client == nil || s.isAvoided(keeper) {
-		s.metrics.calls.WithLabelValues(outcomeLeftOut).Inc()
+	client := c.Client(keeper)
+	if client == nil || c.isAvoided(keeper) {
+		c.metrics.calls.WithLabelValues(outcomeLeftOut).Inc()
 		return nil
 	}
 	began := time.Now()
 	answer, err := client.Share(ctx, connect.NewRequest(m))
-	s.metrics.seconds.Observe(time.Since(began).Seconds())
+	c.metrics.seconds.Observe(time.Since(began).Seconds())
 	if err != nil {
-		s.failed(keeper, err)
+		c.failed(keeper, err)
 		return nil
 	}
-	s.answered(keeper)
+	c.answered(keeper)
 	return answer.Msg.GetOthers()
 }
 
 // isAvoided reports whether a keeper gets no calls because the last ones failed.
-func (s *Client) isAvoided(keeper string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f := s.failing[keeper]
+func (c *Client) isAvoided(keeper string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f := c.failing[keeper]
 	return f.times >= maxFailures && time.Since(f.at) <= avoidFor
 }
 
 // failed records that a call to a keeper failed.
-func (s *Client) failed(keeper string, err error) {
-	s.metrics.calls.WithLabelValues(outcomeFailed).Inc()
-	s.mu.Lock()
-	times := s.failing[keeper].times + 1
-	s.failing[keeper] = failing{times: times, at: time.Now()}
-	s.mu.Unlock()
+func (c *Client) failed(keeper string, err error) {
+	c.metrics.calls.WithLabelValues(outcomeFailed).Inc()
+	c.mu.Lock()
+	times := c.failing[keeper].times + 1
+	c.failing[keeper] = failing{times: times, at: time.Now()}
+	c.mu.Unlock()
 	if times == maxFailures {
-		s.Log.Info().Err(err).Str("keeper", keeper).Msg("keeper of engines does not answer")
+		c.Log.Info().Err(err).Str("keeper", keeper).Msg("keeper of engines does not answer")
 	}
 }
 
 // answered records that a keeper answered.
-func (s *Client) answered(keeper string) {
-	s.metrics.calls.WithLabelValues(outcomeAnswered).Inc()
-	s.mu.Lock()
-	times := s.failing[keeper].times
-	delete(s.failing, keeper)
-	s.mu.Unlock()
+func (c *Client) answered(keeper string) {
+	c.metrics.calls.WithLabelValues(outcomeAnswered).Inc()
+	c.mu.Lock()
+	times := c.failing[keeper].times
+	delete(c.failing, keeper)
+	c.mu.Unlock()
 	if times >= maxFailures {
-		s.Log.Info().Str("keeper", keeper).Msg("keeper of engines answers again")
+		c.Log.Info().Str("keeper", keeper).Msg("keeper of engines answers again")
 	}
 }
 
@@ -259,10 +259,10 @@
 
 // QueryLoads returns the load of the other daemons at those of the engines whose
 // keepers answer in time.
-func (s *Client) QueryLoads(ctx context.Context, engines []string) []EngineLoad {
+func (c *Client) QueryLoads(ctx context.Context, engines []string) []EngineLoad {
 	byKeeper := make(map[string][]string)
 	for _, engine := range engines {
-		if keeper := s.Keeper(engine); keeper != "" {
+		if keeper := c.Keeper(engine); keeper != "" {
 			byKeeper[keeper] = append(byKeeper[keeper], engine)
 		}
 	}
@@ -270,11 +270,11 @@
 	defer cancel()
 	answers := make(chan []EngineLoad, len(byKeeper))
 	for keeper, asked := range byKeeper {
-		if keeper == s.Self {
-			answers <- s.queryKeeper(ctx, keeper, asked)
+		if keeper == c.Self {
+			answers <- c.queryKeeper(ctx, keeper, asked)
 			continue
 		}
-		go func() { answers <- s.queryKeeper(ctx, keeper, asked) }()
+		go func() { answers <- c.queryKeeper(ctx, keeper, asked) }()
 	}
 	var all []EngineLoad
 	for range byKeeper {
@@ -284,12 +284,12 @@
 }
 
 // queryKeeper queries one keeper. The call also reports the changed load.
-func (s *Client) queryKeeper(ctx context.Context, keeper string, engines []string) []EngineLoad {
-	m := s.message(keeper)
+func (c *Client) queryKeeper(ctx context.Context, keeper string, engines []string) []EngineLoad {
+	m := c.message(keeper)
 	for _, engine := range engines {
 		m.Asked = append(m.Asked, hash(engine))
 	}
-	others := s.exchange(ctx, keeper, m)
+	others := c.exchange(ctx, keeper, m)
 	if len(others) != len(engines) {
 		return nil
 	}
--- a/tally/report.go
+++ b/tally/report.go
@@ -92,21 +92,21 @@
 // less than what is subtracted; the result is zero then.
 func addCount(counts map[countKey]*bronzeturnv1.CanaryCount, c *bronzeturnv1.CanaryCount, sign int) {
 	key := keyOf(c)
-	held := counts[key]
-	if held == nil {
-		held = &bronzeturnv1.CanaryCount{Route: key.route, Trial: key.trial, Pace: key.pace}
-		counts[key] = held
+	sum := counts[key]
+	if sum == nil {
+		sum = &bronzeturnv1.CanaryCount{Route: key.route, Trial: key.trial, Pace: key.pace}
+		counts[key] = sum
 	}
-	if sign < 0 && (held.Answers < c.Answers || held.Latencies < c.Latencies) {
+	if sign < 0 && (sum.Answers < c.Answers || sum.Latencies < c.Latencies) {
 		counts[key] = &bronzeturnv1.CanaryCount{Route: key.route, Trial: key.trial, Pace: key.pace}
 		return
 	}
-	held.Answers = addClamped(held.Answers, c.Answers, sign)
-	held.Bad = addClamped(held.Bad, c.Bad, sign)
-	held.Slow = addClamped(held.Slow, c.Slow, sign)
-	held.Latencies = addClamped(held.Latencies, c.Latencies, sign)
-	held.LogLatencySum += float64(sign) * c.LogLatencySum
-	held.LogLatencySquares += float64(sign) * c.LogLatencySquares
+	sum.Answers = addClamped(sum.Answers, c.Answers, sign)
+	sum.Bad = addClamped(sum.Bad, c.Bad, sign)
+	sum.Slow = addClamped(sum.Slow, c.Slow, sign)
+	sum.Latencies = addClamped(sum.Latencies, c.Latencies, sign)
+	sum.LogLatencySum += float64(sign) * c.LogLatencySum
+	sum.LogLatencySquares += float64(sign) * c.LogLatencySquares
 }
 
 // addClamped returns n plus or minus by, at least 0.
