--- a/cli/operators.go
+++ b/cli/operators.go
@@ -88,8 +88,8 @@
 }
 
 func printStatus(out printer, status *bronzeturnv1.StatusResponse) {
-	fleet := status.GetConfiguration()
-	out.printf("configuration: generation %d, %s", fleet.GetGeneration(), operator.ProgressText(fleet))
+	configuration := status.GetConfiguration()
+	out.printf("configuration: generation %d, %s", configuration.GetGeneration(), operator.ProgressText(configuration))
 	rows := make([][]string, 0, len(status.GetDaemons()))
 	for _, d := range status.GetDaemons() {
 		rows = append(rows, daemonRow(d))
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -32,69 +32,69 @@
 
 // NewAsyncWriter returns a writer that writes lines to w in a goroutine of its own.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
-	go b.run(w)
-	return b
+	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
+	go a.run(w)
+	return a
 }
 
 // Write implements io.Writer. It queues a copy of line, never blocks and never fails.
-func (b *AsyncWriter) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	queued := make([]byte, len(line))
 	copy(queued, line)
 	select {
-	case b.lines <- queued:
+	case a.lines <- queued:
 	default:
-		b.dropped.Add(1)
+		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of dropped lines that have not been logged yet.
-func (b *AsyncWriter) Dropped() uint64 { return b.dropped.Load() }
+func (a *AsyncWriter) Dropped() uint64 { return a.dropped.Load() }
 
 // Close writes the queued lines. It returns after closeTimeout even if the reader has not
 // taken them all.
-func (b *AsyncWriter) Close() {
-	b.once.Do(func() { close(b.closing) })
+func (a *AsyncWriter) Close() {
+	a.once.Do(func() { close(a.closing) })
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-b.done:
+	case <-a.done:
 	case <-timer.C:
 	}
 }
 
 // run writes lines in batches until Close is called.
-func (b *AsyncWriter) run(w io.Writer) {
-	defer close(b.done)
+func (a *AsyncWriter) run(w io.Writer) {
+	defer close(a.done)
 	for {
 		select {
-		case line := <-b.lines:
-			b.waitForBatch()
-			b.flush(w, line)
-		case <-b.closing:
-			b.flush(w, nil)
+		case line := <-a.lines:
+			a.waitForBatch()
+			a.flush(w, line)
+		case <-a.closing:
+			a.flush(w, nil)
 			return
 		}
 	}
 }
 
 // waitForBatch waits for batchDelay, or until Close is called, so that more lines are queued.
-func (b *AsyncWriter) waitForBatch() {
+func (a *AsyncWriter) waitForBatch() {
 	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-b.closing:
+	case <-a.closing:
 	}
 }
 
 // flush writes first and all queued lines, in batches.
-func (b *AsyncWriter) flush(w io.Writer, first []byte) {
+func (a *AsyncWriter) flush(w io.Writer, first []byte) {
 	batch := append([]byte(nil), first...)
 	for {
 		select {
-		case line := <-b.lines:
+		case line := <-a.lines:
 			batch = append(batch, line...)
 			if len(batch) < maxBatchBytes {
 				continue
@@ -103,13 +103,13 @@
 		}
 		break
 	}
-	if n := b.dropped.Swap(0); n > 0 {
+	if n := a.dropped.Swap(0); n > 0 {
 		batch = fmt.Appendf(batch, `{"level":"warn","part":"logging","dropped":%d,"message":"lines dropped, the reader was too slow"}`+"\n", n)
 	}
 	if len(batch) > 0 {
 		_, _ = w.Write(batch) // An error of the log itself can't be logged.
 	}
-	if len(b.lines) > 0 {
-		b.flush(w, nil)
+	if len(a.lines) > 0 {
+		a.flush(w, nil)
 	}
 }
