--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -14,7 +14,7 @@
 		Dial:    quarantine.DialWith(engineDial.Dialer()),
 		Publish: quarantine.PublishWith(d.Settings.Name, d.fleet.publish, d.log),
 		Store:   d.Store,
-		Place:   func(h quarantine.Hash) int { return d.fleet.members.View().Rank(quarantine.RankKey(h)) },
+		Rank:    func(h quarantine.Hash) int { return d.fleet.members.View().Rank(quarantine.RankKey(h)) },
 		Serving: d.versionsServing,
 		Log:     d.logger("quarantine"), Registerer: d.registry,
 	})
--- a/quarantine.go
+++ b/quarantine.go
@@ -47,7 +47,7 @@
 		Dial:    quarantine.DialWith(d.options.Dial),
 		Publish: quarantine.PublishWith(d.settings.GetName(), publish, log),
 		Store:   d.platform.store,
-		Place:   func(h quarantine.Hash) int { return d.fleet.members.View().Rank(quarantine.RankKey(h)) },
+		Rank:    func(h quarantine.Hash) int { return d.fleet.members.View().Rank(quarantine.RankKey(h)) },
 		Serving: func(string) []string { return d.versionsInUse() },
 		Starts:  quarantine.NewStartTracker(),
 		Log:     log, Registerer: d.options.Registry,
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -89,7 +89,7 @@
 func (f *testFleet) join(name string) *testDaemon {
 	d := &testDaemon{fleet: f, name: name}
 	d.Quarantine = New(Options{
-		Self: name, Dial: f.dial, Publish: d.publish, Store: d, Place: d.place,
+		Self: name, Dial: f.dial, Publish: d.publish, Store: d, Rank: d.place,
 		Serving: func(string) []string { f.mu.Lock(); defer f.mu.Unlock(); return f.versions },
 		Log:     zerolog.Nop(), Registerer: prometheus.NewRegistry(),
 	})
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -58,9 +58,9 @@
 	// Publish floods a report to the other daemons.
 	Publish func(*bronzeturnv1.CrashReport)
 	Store   Store
-	// Place returns this daemon's rank, from 0, in the order in which daemons write the record
+	// Rank returns this daemon's rank, from 0, in the order in which daemons write the record
 	// of a request.
-	Place func(h Hash) int
+	Rank func(h Hash) int
 	// Serving returns the versions of a service that accept work.
 	Serving func(service string) []string
 	// Starts tracks the starts of engines. It is nil where engines report their start time.
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for _, c := range q.staleRecords() {
-		if q.Place(c.Hash) != 0 {
+		if q.Rank(c.Hash) != 0 {
 			continue
 		}
 		more = true
@@ -48,7 +48,7 @@
 func (q *Quarantine) writeDue(h Hash, since, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if now.Sub(q.lastWriteAttempt[h]) < writeStagger || now.Sub(since) < time.Duration(max(q.Place(h), 0))*writeStagger {
+	if now.Sub(q.lastWriteAttempt[h]) < writeStagger || now.Sub(since) < time.Duration(max(q.Rank(h), 0))*writeStagger {
 		return false
 	}
 	q.lastWriteAttempt[h] = now
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -193,7 +193,7 @@
 	q := &fixtureQuarantine{}
 	q.Quarantine = quarantine.New(quarantine.Options{
 		Self: "daemon", Dial: n.dial, Store: memstore.New(), Starts: quarantine.NewStartTracker(),
-		Publish: func(*bronzeturnv1.CrashReport) {}, Place: func(quarantine.Hash) int { return 0 },
+		Publish: func(*bronzeturnv1.CrashReport) {}, Rank: func(quarantine.Hash) int { return 0 },
 		Serving: func(string) []string { return []string{cheap, strong, secret} },
 		Log:     zerolog.New(log), Registerer: prometheus.NewRegistry(),
 	})
