--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -89,7 +89,7 @@
 func (f *testFleet) join(name string) *testDaemon {
 	d := &testDaemon{fleet: f, name: name}
 	d.Quarantine = New(Options{
-		Self: name, Dial: f.dial, Publish: d.publish, Store: d, Rank: d.place,
+		Self: name, Dial: f.dial, Publish: d.publish, Store: d, Rank: d.rank,
 		Serving: func(string) []string { f.mu.Lock(); defer f.mu.Unlock(); return f.versions },
 		Log:     zerolog.Nop(), Registerer: prometheus.NewRegistry(),
 	})
@@ -138,7 +138,7 @@
 	}
 }
 
-func (d *testDaemon) place(h Hash) int {
+func (d *testDaemon) rank(h Hash) int {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	var names []string
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -98,9 +98,9 @@
 			held[h] = r
 		}
 	}
-	for h, c := range q.verdicts {
+	for h, v := range q.verdicts {
 		if _, recorded := held[h]; !recorded {
-			held[h] = Record{Verdict: c.Verdict}
+			held[h] = Record{Verdict: v.Verdict}
 		}
 	}
 	q.held.Store(&held)
--- a/quarantine/records.go
+++ b/quarantine/records.go
@@ -13,10 +13,10 @@
 // writeRecords brings the store's records in line with the verdicts, as far as it is this
 // daemon's turn, and reports whether there is more to do.
 func (q *Quarantine) writeRecords(ctx context.Context, now time.Time) (more bool) {
-	for _, c := range q.missingRecords() {
+	for _, v := range q.missingRecords() {
 		more = true
-		if q.writeDue(c.Hash, c.since, now) {
-			q.createRecord(ctx, c, now)
+		if q.writeDue(v.Hash, v.since, now) {
+			q.createRecord(ctx, v, now)
 		}
 	}
 	for _, c := range q.staleRecords() {
@@ -35,9 +35,9 @@
 func (q *Quarantine) missingRecords() (list []activeVerdict) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for h, c := range q.verdicts {
+	for h, v := range q.verdicts {
 		if _, ok := q.records[h]; !ok {
-			list = append(list, *c)
+			list = append(list, *v)
 		}
 	}
 	return list
@@ -57,8 +57,8 @@
 
 // createRecord writes a new record. If another daemon has written it already, it arrives with
 // the next list of the store's records.
-func (q *Quarantine) createRecord(ctx context.Context, c activeVerdict, now time.Time) {
-	r := Record{Verdict: c.Verdict, RetriesLeft: maxRetries, Daemon: q.Self}
+func (q *Quarantine) createRecord(ctx context.Context, v activeVerdict, now time.Time) {
+	r := Record{Verdict: v.Verdict, RetriesLeft: maxRetries, Daemon: q.Self}
 	data, err := r.encode()
 	if err != nil {
 		q.Log.Error().Err(err).Stringer("hash", r.Hash).Msg("record not encoded")
@@ -75,7 +75,7 @@
 		q.logWriteFailure(r.Hash, err)
 		return
 	}
-	q.Log.Info().Stringer("hash", r.Hash).Dur("after_ms", now.Sub(c.since)).Uint64("revision", object.Revision).Msg("record of a quarantine written")
+	q.Log.Info().Stringer("hash", r.Hash).Dur("after_ms", now.Sub(v.since)).Uint64("revision", object.Revision).Msg("record of a quarantine written")
 	r.Revision = object.Revision
 	q.applyWritten(r)
 }
@@ -109,12 +109,12 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for h, r := range q.records {
-		c := q.verdicts[h]
+		v := q.verdicts[h]
 		switch {
 		case q.released[h]:
 			list = append(list, recordChange{r, true})
-		case c != nil && len(c.Engines) > len(r.Engines), c != nil && r.Tied != c.Tied:
-			r.Verdict = c.Verdict
+		case v != nil && len(v.Engines) > len(r.Engines), v != nil && r.Tied != v.Tied:
+			r.Verdict = v.Verdict
 			list = append(list, recordChange{r, false})
 		}
 	}
