--- a/cli/document_test.go
+++ b/cli/document_test.go
@@ -109,7 +109,8 @@
 	return lines
 }
 
-// Lines that start stand-ins are checked by the test of cmd/bronzeturn-standin.
+// TestReadmeNamesFlagsOfTheCommandLineThatExist leaves out the lines that start stand-ins, which
+// the test of cmd/bronzeturn-standin checks.
 func TestReadmeNamesFlagsOfTheCommandLineThatExist(t *testing.T) {
 	model, err := kong.New(&grammar{})
 	qt.Assert(t, err, qt.IsNil)
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -38,35 +38,36 @@
 func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{}
-		b := NewAsyncWriter(r)
+		w := NewAsyncWriter(r)
 		for i := range 3 {
-			_, _ = fmt.Fprintf(b, "line %d\n", i)
+			_, _ = fmt.Fprintf(w, "line %d\n", i)
 		}
 		time.Sleep(2 * batchDelay)
 		qt.Check(t, r.text(), qt.Equals, "line 0\nline 1\nline 2\n")
-		_, _ = fmt.Fprintln(b, "last")
-		b.Close()
+		_, _ = fmt.Fprintln(w, "last")
+		w.Close()
 		synctest.Wait()
 		qt.Check(t, strings.HasSuffix(r.text(), "last\n"), qt.IsTrue)
 	})
 }
 
-// Writes three times as many lines as the queue holds while the reader is blocked.
+// TestBlockedReaderDoesNotBlockWrites writes three times as many lines as the queue holds while
+// the reader is blocked.
 func TestBlockedReaderDoesNotBlockWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &reader{stop: make(chan struct{})}
-		b := NewAsyncWriter(r)
-		_, _ = fmt.Fprintln(b, "first")
+		w := NewAsyncWriter(r)
+		_, _ = fmt.Fprintln(w, "first")
 		time.Sleep(2 * batchDelay)
 		start := time.Now()
 		for i := range 3 * maxQueuedLines {
-			_, _ = fmt.Fprintf(b, "line %d\n", i)
+			_, _ = fmt.Fprintf(w, "line %d\n", i)
 		}
 		qt.Check(t, time.Since(start), qt.Equals, time.Duration(0))
-		qt.Check(t, b.Dropped(), qt.Equals, uint64(2*maxQueuedLines))
+		qt.Check(t, w.Dropped(), qt.Equals, uint64(2*maxQueuedLines))
 		close(r.stop)
 		time.Sleep(2 * batchDelay)
-		b.Close()
+		w.Close()
 		synctest.Wait()
 		qt.Check(t, strings.Contains(r.text(), fmt.Sprintf(`"dropped":%d`, 2*maxQueuedLines)), qt.IsTrue)
 	})
--- a/logging/names_test.go
+++ b/logging/names_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against log lines that list thousands of names.
+// TestFirstNamesLimitsTheNames guards against log lines that list thousands of names.
 func TestFirstNamesLimitsTheNames(t *testing.T) {
 	c := qt.New(t)
 	c.Check(FirstNames(nil), qt.HasLen, 0)
--- a/occupancy/occupancy_test.go
+++ b/occupancy/occupancy_test.go
@@ -42,33 +42,33 @@
 		at       time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewStore()
+		store := NewStore()
 		last := map[string]stored{}
 		now := start
-		for range rapid.IntRange(1, 60).Draw(t, "words") {
+		for range rapid.IntRange(1, 60).Draw(t, "reports") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			daemon := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "daemon")
-			w := stored{uint64(rapid.IntRange(1, 40).Draw(t, "sequence")), Load{Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests")), Tokens: 7}, now}
-			b.Record(daemon, w.sequence, 5, w.load, now)
-			if w.sequence >= last[daemon].sequence {
-				last[daemon] = w
+			r := stored{uint64(rapid.IntRange(1, 40).Draw(t, "sequence")), Load{Requests: int64(rapid.IntRange(0, 9).Draw(t, "requests")), Tokens: 7}, now}
+			store.Record(daemon, r.sequence, 5, r.load, now)
+			if r.sequence >= last[daemon].sequence {
+				last[daemon] = r
 			}
 			if rapid.Bool().Draw(t, "expire") {
-				b.Expire(now)
-				for daemon, w := range last {
-					if now.Sub(w.at) > reportTTL {
+				store.Expire(now)
+				for daemon, r := range last {
+					if now.Sub(r.at) > reportTTL {
 						delete(last, daemon)
 					}
 				}
 			}
 			want := Load{}
-			for daemon, w := range last {
-				if daemon != "a" && now.Sub(w.at) <= reportTTL {
-					want.Requests += w.load.Requests
-					want.Tokens += w.load.Tokens
+			for daemon, r := range last {
+				if daemon != "a" && now.Sub(r.at) <= reportTTL {
+					want.Requests += r.load.Requests
+					want.Tokens += r.load.Tokens
 				}
 			}
-			if got := b.LoadOfOthers("a", 5, now); got != want {
+			if got := store.LoadOfOthers("a", 5, now); got != want {
 				t.Fatalf("%+v, want %+v", got, want)
 			}
 		}
@@ -77,15 +77,15 @@
 
 func TestDelaysDecay(t *testing.T) {
 	c := qt.New(t)
-	b := NewStore()
-	b.Record("a", 1, 5, Load{Requests: 1, Delay: time.Second}, start)
-	c.Check(b.LoadOfOthers("b", 5, start).Delay, qt.Equals, time.Second)
-	c.Check(b.LoadOfOthers("b", 5, start.Add(delayTTL/2)).Delay, qt.Equals, 500*time.Millisecond)
-	b.Record("c", 2, 5, Load{Delay: 100 * time.Millisecond}, start.Add(delayTTL/2))
-	c.Check(b.LoadOfOthers("b", 5, start.Add(delayTTL/2)).Delay, qt.Equals, 500*time.Millisecond)
-	c.Check(b.LoadOfOthers("b", 5, start.Add(delayTTL)).Delay, qt.Equals, time.Duration(0))
-	b.Expire(start.Add(2 * reportTTL))
-	c.Check(b.shard(5).engines, qt.HasLen, 0)
+	store := NewStore()
+	store.Record("a", 1, 5, Load{Requests: 1, Delay: time.Second}, start)
+	c.Check(store.LoadOfOthers("b", 5, start).Delay, qt.Equals, time.Second)
+	c.Check(store.LoadOfOthers("b", 5, start.Add(delayTTL/2)).Delay, qt.Equals, 500*time.Millisecond)
+	store.Record("c", 2, 5, Load{Delay: 100 * time.Millisecond}, start.Add(delayTTL/2))
+	c.Check(store.LoadOfOthers("b", 5, start.Add(delayTTL/2)).Delay, qt.Equals, 500*time.Millisecond)
+	c.Check(store.LoadOfOthers("b", 5, start.Add(delayTTL)).Delay, qt.Equals, time.Duration(0))
+	store.Expire(start.Add(2 * reportTTL))
+	c.Check(store.shard(5).engines, qt.HasLen, 0)
 }
 
 // ownLoad is a daemon's load, as set by a test.
@@ -94,10 +94,10 @@
 	load map[string]Load
 }
 
-func (o *ownLoad) set(engine string, w Load) {
+func (o *ownLoad) set(engine string, load Load) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.load[engine] = w
+	o.load[engine] = load
 }
 
 // clear removes all load.
@@ -116,8 +116,8 @@
 func (o *ownLoad) each(f func(engine string, requests, tokens int64)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for engine, w := range o.load {
-		f(engine, w.Requests, w.Tokens)
+	for engine, load := range o.load {
+		f(engine, load.Requests, load.Tokens)
 	}
 }
 
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -113,7 +113,7 @@
 func TestRateLimitHoldsOverAllDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 300).Draw(t, "daemons")
-		perSecond := float64(rapid.IntRange(5, 60).Draw(t, "bound"))
+		perSecond := float64(rapid.IntRange(5, 60).Draw(t, "limit"))
 		partitioned := rapid.IntRange(0, size).Draw(t, "partitioned")
 		late := time.Duration(rapid.IntRange(0, 500).Draw(t, "late")) * time.Millisecond
 		busy := rapid.IntRange(1, size).Draw(t, "daemons with traffic")
