--- a/quarantine/flood.go
+++ b/quarantine/flood.go
@@ -14,17 +14,17 @@
 	"github.com/bronzeturn/bronzeturn/gossip"
 )
 
-// TablePrefix is the prefix of the keys of crash reports in the flooded table.
+// TablePrefix is the prefix of the keys of crash reports in the gossip table.
 const TablePrefix = "crash/"
 
-// Bounds of crash reports in the flooded table.
+// Bounds of crash reports in the gossip table.
 const (
 	maxTableReports     = 4096
 	maxTableReportBytes = 16 << 10
 	tableReportTTL      = 10 * time.Minute
 )
 
-// TableClass returns the class of crash reports in the flooded table.
+// TableClass returns the class of crash reports in the gossip table.
 func TableClass() gossip.Class {
 	return gossip.Class{Prefix: TablePrefix, MaxEntries: maxTableReports, MaxValueBytes: maxTableReportBytes, TTL: tableReportTTL}
 }
@@ -32,7 +32,7 @@
 // RankKey returns the key by which daemons are ranked for writing the record of a request.
 func RankKey(h Hash) string { return TablePrefix + h.String() }
 
-// PublishWith returns a function for Options.Publish that publishes reports in the flooded
+// PublishWith returns a function for Options.Publish that publishes reports in the gossip
 // table with publish. Keys are unique, so that a report does not replace an earlier one.
 func PublishWith(self string, publish func(key string, version uint64, value []byte), log zerolog.Logger) func(*bronzeturnv1.CrashReport) {
 	var reports atomic.Uint64
@@ -47,7 +47,7 @@
 	}
 }
 
-// ReceiveEntry applies a crash report from the flooded table. It ignores removed entries.
+// ReceiveEntry applies a crash report from the gossip table. It ignores removed entries.
 func (q *Quarantine) ReceiveEntry(key string, _ uint64, value []byte) {
 	if len(value) == 0 {
 		return
