--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -231,8 +231,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readyVersion = max(f.readyVersion+1, uint64(time.Now().UnixMilli()))
-	if held, _, ok := f.members.Table().Get(readyPrefix + f.daemon.Settings.Name); ok {
-		f.readyVersion = max(f.readyVersion, held+1)
+	if current, _, ok := f.members.Table().Get(readyPrefix + f.daemon.Settings.Name); ok {
+		f.readyVersion = max(f.readyVersion, current+1)
 	}
 	var value []byte
 	if f.daemon.Ready() == nil {
--- a/entry/watchers.go
+++ b/entry/watchers.go
@@ -183,10 +183,10 @@
 		return
 	}
 	w.published = now
-	held, _, _ := w.fleet.members.Table().Get(turnedAwayPrefix + self)
+	current, _, _ := w.fleet.members.Table().Get(turnedAwayPrefix + self)
 	var value []byte
 	if away {
 		value = []byte{1}
 	}
-	w.fleet.publish(turnedAwayPrefix+self, max(held+1, uint64(now.UnixMilli())), value)
+	w.fleet.publish(turnedAwayPrefix+self, max(current+1, uint64(now.UnixMilli())), value)
 }
