--- a/canary/driver.go
+++ b/canary/driver.go
@@ -25,7 +25,8 @@
 }
 
 // Due reports whether the daemon of the given rank should write the verdict now, if the store
-// has the state have. isNew is set if the verdict differs from that of the previous call.
+// has the state have. isNew is set if the verdict differs from the last one that the store did
+// not have.
 func (d *Driver) Due(have, verdict State, rank int, now time.Time) (due, isNew bool) {
 	if verdict == have {
 		return false, false
--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -67,10 +67,9 @@
 	*Introduction
 	driver   Driver
 	revision int
-	// paused is the number of further steps in which it does nothing. dead is set once it has
-	// crashed.
-	paused int
-	dead   bool
+	// paused is the number of further steps in which it does nothing. crashed is set for good.
+	paused  int
+	crashed bool
 }
 
 // TestDriversUnderPausesLateWritesAndCrashes lets several daemons drive one introduction while
@@ -100,9 +99,9 @@
 					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "pause") == 0 {
 						d.paused = rapid.IntRange(1, 40).Draw(t, "steps")
 					}
-					d.dead = d.dead || rank != survivor && rapid.IntRange(0, 199).Draw(t, "crash") == 0
+					d.crashed = d.crashed || rank != survivor && rapid.IntRange(0, 199).Draw(t, "crash") == 0
 				}
-				if d.paused > 0 || d.dead {
+				if d.paused > 0 || d.crashed {
 					d.paused = max(d.paused-1, 0)
 					continue
 				}
@@ -117,7 +116,7 @@
 					}
 				}
 				for other, o := range daemons {
-					if other != rank && o.paused == 0 && !o.dead {
+					if other != rank && o.paused == 0 && !o.crashed {
 						d.ApplyReport(string(rune('a'+other)), o.Report(now), now)
 					}
 				}
