--- a/canary/driver_test.go
+++ b/canary/driver_test.go
@@ -67,10 +67,9 @@
 	*Introduction
 	driver   Driver
 	revision int
-	// paused is the number of further steps in which it does nothing. dead is set once it has
-	// crashed.
-	paused int
-	dead   bool
+	// paused is the number of further steps in which it does nothing. crashed is set for good.
+	paused  int
+	crashed bool
 }
 
 // TestDriversUnderPausesLateWritesAndCrashes lets several daemons drive one introduction while
@@ -97,16 +96,16 @@
 			store.applyDue(at)
 			for rank, d := range daemons {
 				if at < undisturbedFrom {
-					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "freeze") == 0 {
+					if d.paused == 0 && rapid.IntRange(0, 39).Draw(t, "pause") == 0 {
 						d.paused = rapid.IntRange(1, 40).Draw(t, "steps")
 					}
-					d.dead = d.dead || rank != survivor && rapid.IntRange(0, 199).Draw(t, "die") == 0
+					d.crashed = d.crashed || rank != survivor && rapid.IntRange(0, 199).Draw(t, "crash") == 0
 				}
-				if d.paused > 0 || d.dead {
+				if d.paused > 0 || d.crashed {
 					d.paused = max(d.paused-1, 0)
 					continue
 				}
-				if rapid.IntRange(0, 3).Draw(t, "news") == 0 || at >= undisturbedFrom {
+				if rapid.IntRange(0, 3).Draw(t, "learns_state") == 0 || at >= undisturbedFrom {
 					d.SetState(store.state)
 					d.revision = store.revision
 				}
@@ -117,7 +116,7 @@
 					}
 				}
 				for other, o := range daemons {
-					if other != rank && o.paused == 0 && !o.dead {
+					if other != rank && o.paused == 0 && !o.crashed {
 						d.ApplyReport(string(rune('a'+other)), o.Report(now), now)
 					}
 				}
