--- a/balance/choose.go
+++ b/balance/choose.go
@@ -89,7 +89,7 @@
 // pick compares engines in the local data centre, then in the other data centres,
 // then all engines.
 func (c *choice) pick(served *candidates) estimate {
-	if best := c.compareNamed(served); best.index >= 0 {
+	if best := c.compareCandidates(served); best.index >= 0 {
 		return best
 	}
 	local, remote := served.split(c.req.DataCentre)
@@ -115,8 +115,8 @@
 	return c.scan(served)
 }
 
-// compareNamed compares the engines in Request.Candidates.
-func (c *choice) compareNamed(served *candidates) estimate {
+// compareCandidates compares the engines in Request.Candidates.
+func (c *choice) compareCandidates(served *candidates) estimate {
 	best := noEstimate
 	if c.req.Candidates[0] == "" {
 		return best
@@ -306,7 +306,7 @@
 }
 
 // excluded reports whether the engine must not get the request at all: its host
-// is leaving or gone, it was tried before, or the request skips it.
+// is leaving or gone, or Request.Exclude or Request.Skip rules it out.
 func (c *choice) excluded(e *engine, index int32) bool {
 	if e.closed.Load() || c.req.Skip != nil && c.req.Skip(e.name) {
 		return true
@@ -335,7 +335,8 @@
 }
 
 // skippedInWarmUp reports whether the engine is warming up and skipped for this
-// request. The probability of not being skipped grows linearly over the warm-up.
+// request. The probability of not being skipped grows linearly over the warm-up,
+// but is at least minWarmShare.
 func (c *choice) skippedInWarmUp(e *engine) bool {
 	from := e.warmFrom.Load()
 	if from == noWarmUp {
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -84,7 +84,7 @@
 	c.Assert(later.requests, qt.Equals, 7.0)
 }
 
-func TestRunningStateSurvivesAConfigurationSwap(t *testing.T) {
+func TestRuntimeStateSurvivesConfigurationChange(t *testing.T) {
 	c := qt.New(t)
 	s := newState(c)
 	s.Plan(newRegister(4), nil)
@@ -214,7 +214,8 @@
 	})
 }
 
-// checkChosen fails the test if the decision violates an exclusion of the request.
+// checkChosen fails the test if the chosen engine is excluded, is on a leaving host or
+// does not serve the version.
 func checkChosen(t *rapid.T, s *State, r *Request, d Decision) {
 	e := d.Engine
 	for _, name := range r.Exclude {
--- a/balance/decision.go
+++ b/balance/decision.go
@@ -31,7 +31,8 @@
 	// Candidates names the only engines to compare, unless none of them is usable. Empty
 	// names are ignored; if all are empty, random engines are compared.
 	Candidates [MaxCandidates]string
-	// Exclude names engines already tried. Empty names are ignored.
+	// Exclude names engines that must not be chosen, as the request was already sent
+	// to them. Empty names are ignored.
 	Exclude [MaxExclude]string
 	// Leaving reports whether a backend host must get no new work. Nil means that
 	// the hosts' states are known from MembershipChanged events alone.
--- a/balance/health.go
+++ b/balance/health.go
@@ -157,17 +157,17 @@
 	ns := now.UnixNano()
 	share := h.failureShare(ns, o.FailureHalfLife)
 	h.setFailure(share+failureGain*(1-share), ns)
-	row := h.consecutiveFailures.Add(1)
+	failures := h.consecutiveFailures.Add(1)
 	h.probeSuccesses = 0
 	if phase(h.phase.Load()) != admitted {
 		h.extend(ns, o)
 		return false
 	}
-	return int(row) >= o.EjectFailures && h.eject(failing, ns, o)
+	return int(failures) >= o.EjectFailures && h.eject(failing, ns, o)
 }
 
-// refused pauses an engine that is full, for at least retryAfter but no longer
-// than maxBusyPause. Refusals during the pause, of requests sent before it, are
+// refused pauses an engine that is full, for busyPause doubled with each consecutive
+// refusal, or for retryAfter if that is longer, and for maxBusyPause at most. Refusals during the pause, of requests sent before it, are
 // not counted.
 func (h *health) refused(now time.Time, retryAfter time.Duration) {
 	h.mu.Lock()
@@ -176,8 +176,8 @@
 		return
 	}
 	pause := maxBusyPause
-	if row := h.consecutiveRefusals.Add(1); busyPause<<(row-1) < maxBusyPause && row < 16 {
-		pause = busyPause << (row - 1)
+	if refusals := h.consecutiveRefusals.Add(1); busyPause<<(refusals-1) < maxBusyPause && refusals < 16 {
+		pause = busyPause << (refusals - 1)
 	}
 	pause = min(max(pause, retryAfter), maxBusyPause)
 	h.busyUntil.Store(now.Add(pause).UnixNano())
--- a/balance/history.go
+++ b/balance/history.go
@@ -33,20 +33,20 @@
 }
 
 // record appends a sample. Samples within historyStep share an entry.
-func (h *history) record(m loadSample) {
+func (h *history) record(s loadSample) {
 	if n := len(h.ring); n > 0 {
 		last := &h.ring[(h.next+n-1)%n]
-		if last.at != 0 && m.at-last.at < int64(historyStep) {
-			m.at = last.at
-			*last = m
+		if last.at != 0 && s.at-last.at < int64(historyStep) {
+			s.at = last.at
+			*last = s
 			return
 		}
 	}
-	if h.mustGrow(m.at) {
+	if h.mustGrow(s.at) {
 		h.grow()
 	}
 	h.overwritten = h.overwritten || h.ring[h.next].at != 0
-	h.ring[h.next] = m
+	h.ring[h.next] = s
 	h.next = (h.next + 1) % len(h.ring)
 }
 
@@ -76,14 +76,14 @@
 	var oldest loadSample
 	n := len(h.ring)
 	for i := 1; i <= n; i++ {
-		m := h.ring[(h.next+n-i)%n]
-		if m.at == 0 {
+		s := h.ring[(h.next+n-i)%n]
+		if s.at == 0 {
 			break
 		}
-		if m.at <= t {
-			return m
+		if s.at <= t {
+			return s
 		}
-		oldest = m
+		oldest = s
 	}
 	if !h.overwritten {
 		return loadSample{}
