--- a/selection/plan.go
+++ b/selection/plan.go
@@ -271,8 +271,8 @@
 
 func (v *version) price() int64 { return v.promptPrice + v.completionPrice }
 
-// duration returns how long the version takes to generate tokens at the rate that
-// the register gives, zero without one.
+// duration returns how long the version takes to generate tokens at the lowest rate
+// that the register gives for its engines, zero without one.
 func (v *version) duration(tokens int64) time.Duration {
 	if v.tokensPerSecond <= 0 {
 		return 0
--- a/selection/policy.go
+++ b/selection/policy.go
@@ -146,7 +146,7 @@
 		At:           now,
 	})
 	if change == rollout.Cleared {
-		b.forget(p, v)
+		b.clearRatings(p, v)
 	}
 	if change != rollout.Unchanged {
 		return change
@@ -160,8 +160,8 @@
 	return min(p.kinds[k].target, p.kinds[k].prior[v])
 }
 
-// forget discards the ratings of a version for all kinds.
-func (b *binding) forget(p *Plan, v int) {
+// clearRatings discards the ratings of a version for all kinds.
+func (b *binding) clearRatings(p *Plan, v int) {
 	n := len(p.versions)
 	for i := v; i < len(b.rows); i += n {
 		b.rows[i].cell.ClearRatings()
--- a/selection/selection_test.go
+++ b/selection/selection_test.go
@@ -120,11 +120,11 @@
 		request: selection.Request{Organisation: "workshop", Kind: "quick", Constraint: "small@1"},
 		version: "small@1", reason: selection.ReasonBestAvailable,
 	}, {
-		name:    "tried versions are passed over",
+		name:    "versions that the request failed on are not chosen",
 		request: selection.Request{Organisation: "workshop", Kind: "quick", FailedVersions: []string{"small@2"}},
 		version: "large@1",
 	}, {
-		name:    "nothing is left after all were tried",
+		name:    "no version is left after the request failed on all",
 		request: selection.Request{Organisation: "kiosk", Kind: "quick", FailedVersions: []string{"small@1"}},
 		code:    failure.CodeNoCapacity,
 	}, {
