--- a/quality/evidence.go
+++ b/quality/evidence.go
@@ -76,11 +76,11 @@
 // estimate furthest from mean in either direction.
 func (e *evidence) mostInfluential(mean float64) moments {
 	var most moments
-	pull := 0.0
+	influence := 0.0
 	for i := range e.records {
 		m := e.records[i].total()
-		if p := math.Abs(m.sum - mean*m.weight); p > pull {
-			most, pull = m, p
+		if p := math.Abs(m.sum - mean*m.weight); p > influence {
+			most, influence = m, p
 		}
 	}
 	return most
--- a/quality/exchange_test.go
+++ b/quality/exchange_test.go
@@ -26,7 +26,8 @@
 	owner       string
 	daemons     map[string]*member
 	subscribers []func(string, uint64, []byte)
-	requests    atomic.Int64 // bytes of request bodies
+	// requestBytes is the total size of the request bodies.
+	requestBytes atomic.Int64
 }
 
 type member struct {
@@ -87,7 +88,7 @@
 	if m.down.Load() {
 		return nil, connectError{}
 	}
-	m.network.requests.Add(r.ContentLength)
+	m.network.requestBytes.Add(r.ContentLength)
 	path, handler := m.exchange.Handler()
 	if !strings.HasPrefix(r.URL.Path, path) {
 		return nil, http.ErrNotSupported
@@ -153,11 +154,11 @@
 		time.Sleep(quality.DefaultSettleTime)
 		n.daemons["b"].rate(t, "organisation-with-a-name", 1, 5)
 		time.Sleep(time.Minute)
-		sent := n.requests.Load()
+		sent := n.requestBytes.Load()
 		t.Logf("%d bytes for one report", sent)
 		qt.Assert(t, sent > 0 && sent < 100, qt.IsTrue)
 		time.Sleep(time.Hour)
-		qt.Assert(t, n.requests.Load(), qt.Equals, sent)
+		qt.Assert(t, n.requestBytes.Load(), qt.Equals, sent)
 		for _, m := range n.daemons {
 			qt.Assert(t, m.exchange.Stop(), qt.IsNil)
 		}
@@ -177,7 +178,7 @@
 			}
 			return connect.CodeOf(err)
 		}
-		qt.Check(t, report("a", count), qt.Equals, connect.CodeFailedPrecondition, qt.Commentf("before it settled"))
+		qt.Check(t, report("a", count), qt.Equals, connect.CodeFailedPrecondition, qt.Commentf("during SettleTime"))
 		time.Sleep(quality.DefaultSettleTime)
 		qt.Check(t, report("a", count), qt.Equals, connect.Code(0))
 		qt.Check(t, report("b", count), qt.Equals, connect.CodeFailedPrecondition, qt.Commentf("not the aggregator"))
--- a/quality/handover.go
+++ b/quality/handover.go
@@ -132,11 +132,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.discount(now)
-	old := evidence{records: slices.Clone(c.ratings.records)}
-	for i := range old.records {
-		old.records[i].unsent, old.records[i].sent = moments{}, moments{}
+	merged := evidence{records: slices.Clone(c.ratings.records)}
+	for i := range merged.records {
+		merged.records[i].unsent, merged.records[i].sent = moments{}, moments{}
 	}
-	return c.effectiveEvidence(&old)
+	return c.effectiveEvidence(&merged)
 }
 
 func (c *Cell) adopt(base moments, now time.Time) {
--- a/quality/quality_test.go
+++ b/quality/quality_test.go
@@ -108,7 +108,7 @@
 	near(t, at(20*quality.DefaultHalfLife).Mean, prior, 1e-3)
 }
 
-func TestOldRatingsOfOneOrganisationAreForgotten(t *testing.T) {
+func TestOldRatingsOfOneOrganisationLoseWeight(t *testing.T) {
 	s := newStore(true)
 	rate(t, s, "a", 1, 10_000)
 	rate(t, s, "a", 0, 3*int(quality.DefaultMaxWeight))
@@ -210,7 +210,7 @@
 	})
 }
 
-func BenchmarkObserve(b *testing.B) {
+func BenchmarkAddRating(b *testing.B) {
 	for _, organisations := range []int{10, 400} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
 			s := newStore(false)
