--- a/orders/decide.go
+++ b/orders/decide.go
@@ -7,7 +7,7 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// Reason tells why an order is sent or held back.
+// Reason is why an order is sent or held back.
 type Reason string
 
 // Reasons. ReasonPending and those after it hold an order back.
@@ -59,22 +59,22 @@
 
 // update stores a load report, removes pending changes that it shows as applied
 // or that have timed out, and tracks the versions that are not desired.
-func (o *engineState) update(load engine.LoadReport, target Target, now time.Time) {
-	o.load = load
-	o.fresh = true
-	for c, until := range o.pending {
+func (e *engineState) update(load engine.LoadReport, target Target, now time.Time) {
+	e.load = load
+	e.fresh = true
+	for c, until := range e.pending {
 		if !now.Before(until) || c.appliedIn(load) {
-			delete(o.pending, c)
+			delete(e.pending, c)
 		}
 	}
-	for version := range o.unwantedSince {
+	for version := range e.unwantedSince {
 		if !slices.Contains(load.Versions, version) || slices.Contains(target.Versions, version) {
-			delete(o.unwantedSince, version)
+			delete(e.unwantedSince, version)
 		}
 	}
 	for _, version := range load.Versions {
-		if _, ok := o.unwantedSince[version]; !ok && !slices.Contains(target.Versions, version) {
-			o.unwantedSince[version] = now
+		if _, ok := e.unwantedSince[version]; !ok && !slices.Contains(target.Versions, version) {
+			e.unwantedSince[version] = now
 		}
 	}
 }
@@ -100,21 +100,21 @@
 
 // decide compares the desired state with the observed one and returns a decision
 // for each difference. It skips engines that were not read in this round.
-func decide(d DesiredState, engines map[string]*engineState, b loadLimits, now time.Time) []decision {
+func decide(d DesiredState, engines map[string]*engineState, limits loadLimits, now time.Time) []decision {
 	loading := 0
-	for _, o := range engines {
-		loading += o.pendingLoads()
+	for _, e := range engines {
+		loading += e.pendingLoads()
 	}
 	var decisions []decision
 	for _, target := range d.Engines {
-		o := engines[target.Name]
-		if o == nil || !o.fresh {
+		e := engines[target.Name]
+		if e == nil || !e.fresh {
 			continue
 		}
-		for _, c := range differences(target, o.load) {
-			dec := o.decideChange(target, c, d.Grace, now)
+		for _, c := range differences(target, e.load) {
+			dec := e.decideChange(target, c, d.Grace, now)
 			if c.op == engine.OpLoad && !dec.held {
-				dec = b.applyTo(dec, loading, now)
+				dec = limits.applyTo(dec, loading, now)
 			}
 			if c.op == engine.OpLoad && !dec.held {
 				loading++
@@ -126,9 +126,9 @@
 }
 
 // pendingLoads returns the number of loads ordered but not yet reported.
-func (o *engineState) pendingLoads() int {
+func (e *engineState) pendingLoads() int {
 	n := 0
-	for c := range o.pending {
+	for c := range e.pending {
 		if c.op == engine.OpLoad {
 			n++
 		}
@@ -157,9 +157,9 @@
 }
 
 // decideChange decides about one change without regard to the limits of the pool.
-func (o *engineState) decideChange(target Target, c change, grace time.Duration, now time.Time) decision {
+func (e *engineState) decideChange(target Target, c change, grace time.Duration, now time.Time) decision {
 	dec := decision{target: target, change: c}
-	if _, ok := o.pending[c]; ok {
+	if _, ok := e.pending[c]; ok {
 		dec.reason, dec.held = ReasonPending, true
 		return dec
 	}
@@ -170,7 +170,7 @@
 		dec.reason = ReasonRole
 	case engine.OpUnload:
 		dec.reason = ReasonNotDesired
-		if o.busy() && now.Sub(o.unwantedSince[c.version]) < grace {
+		if e.busy() && now.Sub(e.unwantedSince[c.version]) < grace {
 			dec.reason, dec.held = ReasonDraining, true
 		}
 	}
@@ -179,17 +179,17 @@
 
 // busy reports whether the engine has running or queued requests. Load reports
 // do not break these down by version.
-func (o *engineState) busy() bool {
-	return o.load.RunningRequests > 0 || o.load.QueuedRequests > 0
+func (e *engineState) busy() bool {
+	return e.load.RunningRequests > 0 || e.load.QueuedRequests > 0
 }
 
 // applyTo holds a load back while too many loads are in progress or the weight
 // store must not be asked yet.
-func (b loadLimits) applyTo(dec decision, loading int, now time.Time) decision {
+func (l loadLimits) applyTo(dec decision, loading int, now time.Time) decision {
 	switch {
-	case now.Before(b.weightsRetryAt):
+	case now.Before(l.weightsRetryAt):
 		dec.reason, dec.held = ReasonWeightLimit, true
-	case loading >= b.maxLoading:
+	case loading >= l.maxLoading:
 		dec.reason, dec.held = ReasonLoading, true
 	}
 	return dec
--- a/orders/fake_test.go
+++ b/orders/fake_test.go
@@ -40,8 +40,8 @@
 	running  int
 	fencing  uint64
 	ids      map[string]bool
-	// taken lists the orders that had an effect.
-	taken []engine.Order
+	// applied lists the orders that had an effect.
+	applied []engine.Order
 	// fences lists the fencing numbers of all orders that were not refused.
 	fences []uint64
 }
@@ -109,7 +109,7 @@
 		return
 	}
 	e.ids[o.ID] = true
-	e.taken = append(e.taken, o)
+	e.applied = append(e.applied, o)
 	switch o.Op {
 	case engine.OpLoad:
 		if !slices.Contains(e.versions, o.Version) {
@@ -129,10 +129,10 @@
 	return slices.Sorted(slices.Values(f.engines[address(i)].versions))
 }
 
-func (f *fakeEngines) taken(i int) []engine.Order {
+func (f *fakeEngines) applied(i int) []engine.Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.engines[address(i)].taken)
+	return slices.Clone(f.engines[address(i)].applied)
 }
 
 // fakeWeights refuses the first limit requests and grants all others.
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -22,7 +22,7 @@
 		stop(d)
 		for i := range 3 {
 			c.Assert(f.engines.versions(i), qt.DeepEquals, []string{"new@1", "new@2"})
-			c.Assert(f.engines.taken(i), qt.HasLen, 3, qt.Commentf("no order twice"))
+			c.Assert(f.engines.applied(i), qt.HasLen, 3, qt.Commentf("no order twice"))
 		}
 	})
 }
@@ -36,7 +36,7 @@
 		time.Sleep(time.Minute)
 		stop(a, b)
 		for i := range 3 {
-			c.Assert(f.engines.taken(i), qt.HasLen, 2)
+			c.Assert(f.engines.applied(i), qt.HasLen, 2)
 		}
 	})
 }
@@ -93,7 +93,7 @@
 		c := qt.New(t)
 		f := pausedHolder(c, true)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@3"})
-		for _, o := range f.engines.taken(0) {
+		for _, o := range f.engines.applied(0) {
 			c.Assert(o.Version, qt.Not(qt.Equals), "v@2")
 		}
 	})
@@ -105,12 +105,12 @@
 		f := pausedHolder(c, false)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@3"})
 		stale := 0
-		for _, o := range f.engines.taken(0) {
+		for _, o := range f.engines.applied(0) {
 			if o.Op == engine.OpLoad && o.Version == "v@2" {
 				stale++
 			}
 		}
-		c.Assert(stale, qt.Equals, 1, qt.Commentf("one order under way per pool is the most that can be stale"))
+		c.Assert(stale, qt.Equals, 1, qt.Commentf("at most the one order in flight per pool can be stale"))
 	})
 }
 
@@ -146,7 +146,7 @@
 		d := f.daemon("entry-a", f.store, newSource(1, 1, "v@1"), alwaysOwner)
 		time.Sleep(10 * time.Second)
 		c.Assert(lost.Load(), qt.IsTrue)
-		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"}, qt.Commentf("well before the lease could lapse"))
+		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"}, qt.Commentf("well before the lease could expire"))
 		stop(d)
 	})
 }
@@ -161,7 +161,7 @@
 		f.store.SetFault(func(context.Context, memstore.Op, string) memstore.Verdict { return memstore.Refuse })
 		source.set(2, 1, "v@1", "v@2")
 		time.Sleep(time.Hour)
-		c.Assert(f.engines.taken(0), qt.HasLen, 0)
+		c.Assert(f.engines.applied(0), qt.HasLen, 0)
 		f.store.SetFault(nil)
 		time.Sleep(10 * time.Second)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
@@ -233,7 +233,7 @@
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"}, qt.Commentf("busy"))
 		c.Assert(f.engines.versions(1), qt.DeepEquals, []string{"v@1"}, qt.Commentf("idle"))
 		time.Sleep(time.Minute)
-		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"}, qt.Commentf("the grace is over"))
+		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1"}, qt.Commentf("the grace period is over"))
 		stop(d)
 	})
 }
@@ -247,7 +247,7 @@
 		time.Sleep(10 * time.Minute)
 		stop(d)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
-		c.Assert(f.engines.taken(0), qt.HasLen, 2)
+		c.Assert(f.engines.applied(0), qt.HasLen, 2)
 	})
 }
 
@@ -265,7 +265,7 @@
 			takeLease(c, f.store, "entry-b")
 			source.set(1, 1, "v@1", "v@2")
 			time.Sleep(time.Minute)
-			c.Assert(f.engines.taken(0), qt.HasLen, 0)
+			c.Assert(f.engines.applied(0), qt.HasLen, 0)
 		})
 	}
 }
@@ -292,8 +292,8 @@
 		source.set(2, 1, "v@1", "v@2")
 		time.Sleep(30 * time.Second)
 		c.Assert(f.engines.versions(0), qt.DeepEquals, []string{"v@1", "v@2"})
-		taken := f.engines.taken(0)
-		c.Assert(taken[1].Fencing > taken[0].Fencing, qt.IsTrue)
+		applied := f.engines.applied(0)
+		c.Assert(applied[1].Fencing > applied[0].Fencing, qt.IsTrue)
 	})
 }
 
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -120,8 +120,8 @@
 func (p *pool) scheduleRead(desired []Target, settled bool, now time.Time) {
 	p.lastDesired = desired
 	p.nextRead = time.Time{}
-	for _, o := range p.engines {
-		settled = settled && o.fresh && len(o.pending) == 0 && len(o.unwantedSince) == 0
+	for _, e := range p.engines {
+		settled = settled && e.fresh && len(e.pending) == 0 && len(e.unwantedSince) == 0
 	}
 	if settled {
 		p.nextRead = now.Add(idleReadInterval)
@@ -215,15 +215,15 @@
 	old := p.engines
 	p.engines = make(map[string]*engineState, len(d.Engines))
 	for i, target := range d.Engines {
-		o := old[target.Name]
-		if o == nil {
-			o = newEngineState()
+		e := old[target.Name]
+		if e == nil {
+			e = newEngineState()
 		}
-		o.fresh = false
+		e.fresh = false
 		if loads[i] != nil {
-			o.update(*loads[i], target, now)
+			e.update(*loads[i], target, now)
 		}
-		p.engines[target.Name] = o
+		p.engines[target.Name] = e
 	}
 }
 
--- a/orders/schedule_test.go
+++ b/orders/schedule_test.go
@@ -143,7 +143,7 @@
 }
 
 // finish ends all faults, starts all daemons with the newest configuration, and
-// returns a description of the first fault in the resulting state, or "".
+// returns a description of a fault in the resulting state, or "" if there is none.
 func (s *schedule) finish() string {
 	s.heal()
 	s.generation++
@@ -159,11 +159,11 @@
 		if got := s.fleet.engines.versions(i); !slices.Equal(got, want) {
 			fault = fmt.Sprintf("engine %d serves %v, not %v", i, got, want)
 		}
-		orders += len(s.fleet.engines.taken(i))
+		orders += len(s.fleet.engines.applied(i))
 	}
 	time.Sleep(10 * time.Minute)
 	for i := range scheduleEngines {
-		orders -= len(s.fleet.engines.taken(i))
+		orders -= len(s.fleet.engines.applied(i))
 	}
 	if orders != 0 {
 		fault = "orders go on after the desired state is reached"
@@ -181,7 +181,7 @@
 func (s *schedule) sharedFence() string {
 	holders := make(map[uint64]string)
 	for i := range scheduleEngines {
-		for _, o := range s.fleet.engines.taken(i) {
+		for _, o := range s.fleet.engines.applied(i) {
 			holder := o.ID[:strings.LastIndex(o.ID, "/")]
 			if other, ok := holders[o.Fencing]; ok && other != holder {
 				return fmt.Sprintf("%s and %s sent orders with fencing number %d", holder, other, o.Fencing)
