--- a/config/decode.go
+++ b/config/decode.go
@@ -17,8 +17,8 @@
 // MaxFileBytes bounds a register or rules file.
 const MaxFileBytes = 8 << 20
 
-// maxDepth bounds the nesting of brackets in a file, and a quarter of the depth of its
-// syntax tree. The schema needs six levels.
+// maxDepth bounds the nesting of brackets in a file. Its syntax tree may be four times as
+// deep. The schema needs six levels.
 const maxDepth = 32
 
 // DecodeRegister decodes a YAML register and refuses unknown fields. The error is a
--- a/config/outcome_test.go
+++ b/config/outcome_test.go
@@ -13,8 +13,8 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/memstore"
 )
 
-// lostAnswerStore applies the first update after after was set, calls after, and
-// reports the update as unanswered.
+// lostAnswerStore loses the answer to one update. Once after is set, the next update is
+// applied, after is called and cleared, and the update is reported as unanswered.
 type lostAnswerStore struct {
 	*memstore.Store
 	after func()
--- a/config/validate_rules.go
+++ b/config/validate_rules.go
@@ -79,18 +79,18 @@
 func (v *validator) rollouts() {
 	const section = "rules.rollouts"
 	v.count(sectionPath(section), len(v.rules.GetRollouts()), maxVersions)
-	introduced := make(names)
+	inRollout := make(names)
 	for i, r := range v.rules.GetRollouts() {
-		v.unique(introduced, entryPath(section, i).at("version"), "version", r.GetVersion())
+		v.unique(inRollout, entryPath(section, i).at("version"), "version", r.GetVersion())
 	}
 	for i, r := range v.rules.GetRollouts() {
-		v.rollout(entryPath(section, i), r, introduced)
+		v.rollout(entryPath(section, i), r, inRollout)
 	}
 }
 
 // rollout checks one roll-out. The baseline must not be under roll-out itself, as the
 // share of a version would not be well defined then.
-func (v *validator) rollout(path fieldPath, r *bronzeturnv1.Rollout, introduced names) {
+func (v *validator) rollout(path fieldPath, r *bronzeturnv1.Rollout, inRollout names) {
 	v.version(path.at("version"), r.GetVersion())
 	v.version(path.at("baseline"), r.GetBaseline())
 	model, known := v.versionModels[r.GetVersion()]
@@ -98,7 +98,7 @@
 	if known && baselineKnown && model != baseline {
 		v.add(path.at("baseline"), "version belongs to model %q, but its baseline to model %q", clip(model), clip(baseline))
 	}
-	if introduced.has(r.GetBaseline()) {
+	if inRollout.has(r.GetBaseline()) {
 		v.add(path.at("baseline"), "baseline %q is itself under roll-out", clip(r.GetBaseline()))
 	}
 	v.ratio(path.at("max_share"), r.GetMaxShare())
--- a/config/validate_test.go
+++ b/config/validate_test.go
@@ -93,7 +93,7 @@
 			rules.Rollouts[0].Baseline = "diag-large@2"
 			rules.Rollouts[0].State = 0
 		}, []string{"rules.rollouts[0].baseline", "rules.rollouts[0].state"}},
-		{"version introduced over itself", func(_ *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
+		{"version is its own baseline", func(_ *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
 			rules.Rollouts[0].Baseline = rules.Rollouts[0].Version
 		}, []string{"rules.rollouts[0].baseline"}},
 	} {
