--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -49,8 +49,8 @@
 	hashes := hashAll(daemons)
 	for _, g := range groups(engines) {
 		g.size = groupSize(len(g.engines), len(engines), len(daemons), size)
-		for i, taken := range assign(hashes, g) {
-			for _, e := range taken {
+		for i, assigned := range assign(hashes, g) {
+			for _, e := range assigned {
 				seen[daemons[i]][g.engines[e].GetName()] = true
 			}
 		}
@@ -106,7 +106,7 @@
 	return float64(total) / float64(daemons), most
 }
 
-func TestEvennessAtTheTarget(t *testing.T) {
+func TestEvennessAtTargetSize(t *testing.T) {
 	for _, versionGroups := range []int{1, 12, 36} {
 		t.Run(fmt.Sprintf("groups=%d", versionGroups), func(t *testing.T) {
 			c := qt.New(t)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestChurnAtTheTarget(t *testing.T) {
+func TestChurnAtTargetSize(t *testing.T) {
 	daemons := newDaemons(targetDaemons)
 	rack := func(e []*bronzeturnv1.Engine) []*bronzeturnv1.Engine {
 		return slices.Delete(slices.Clone(e), 1000, 1040)
@@ -156,11 +156,11 @@
 		engines func([]*bronzeturnv1.Engine) []*bronzeturnv1.Engine
 		mean    float64 // bound on the mean number of engines newly seen
 	}{
-		{"a daemon goes", slices.Delete(slices.Clone(daemons), 200, 201), same, 1},
-		{"a daemon comes", append(newDaemons(targetDaemons), "entry-new"), same, 1},
-		{"an engine goes", daemons, one, 0.5},
-		{"a rack of 40 engines goes", daemons, rack, 4},
-		{"ten daemons go", slices.Delete(slices.Clone(daemons), 200, 210), same, 8},
+		{"a daemon leaves", slices.Delete(slices.Clone(daemons), 200, 201), same, 1},
+		{"a daemon joins", append(newDaemons(targetDaemons), "entry-new"), same, 1},
+		{"an engine is removed", daemons, one, 0.5},
+		{"a rack of 40 engines is removed", daemons, rack, 4},
+		{"ten daemons leave", slices.Delete(slices.Clone(daemons), 200, 210), same, 8},
 	}
 	for _, versionGroups := range []int{1, 36} {
 		engines := newEngines(targetEngines, versionGroups)
