--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -106,18 +106,18 @@
 	return f
 }
 
-// ask sends a status request to the first daemon, as an operator does.
-func (f *fleet) ask(t *testing.T, request *bronzeturnv1.StatusRequest) *bronzeturnv1.StatusResponse {
+// requestStatus sends a status request to the first daemon, as an operator does.
+func (f *fleet) requestStatus(t *testing.T, request *bronzeturnv1.StatusRequest) *bronzeturnv1.StatusResponse {
 	t.Helper()
 	answer, err := NewClient(f.daemons[0], "http://first").Status(t.Context(), connect.NewRequest(request))
 	qt.Assert(t, err, qt.IsNil)
 	return answer.Msg
 }
 
-func TestStatusAsksEveryDaemon(t *testing.T) {
+func TestStatusQueriesEveryDaemon(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(100)
-	answer := f.ask(t, &bronzeturnv1.StatusRequest{Engines: true})
+	answer := f.requestStatus(t, &bronzeturnv1.StatusRequest{Engines: true})
 	c.Assert(answer.GetDaemons(), qt.HasLen, 100)
 	for i, d := range answer.GetDaemons() {
 		c.Check(d.GetName(), qt.Equals, fmt.Sprintf("h%03d", i+1))
@@ -125,7 +125,7 @@
 	}
 	c.Check(ProgressText(answer.GetConfiguration()), qt.Equals, "in force")
 	c.Check(f.maxInFlight.Load() <= maxConcurrentQueries+1, qt.IsTrue, qt.Commentf("%d queries at once", f.maxInFlight.Load()))
-	local := f.ask(t, &bronzeturnv1.StatusRequest{LocalOnly: true})
+	local := f.requestStatus(t, &bronzeturnv1.StatusRequest{LocalOnly: true})
 	c.Assert(local.GetDaemons(), qt.HasLen, 1)
 	c.Check(local.GetDaemons()[0].GetEngines(), qt.HasLen, 0)
 }
@@ -137,7 +137,7 @@
 		f.daemons[2].silent = true // h002
 		f.daemons[1].status.Neighbours = []*bronzeturnv1.Sighting{{Observer: "h003", Name: "h002", Health: suspected}}
 		start := time.Now()
-		answer := f.ask(t, &bronzeturnv1.StatusRequest{})
+		answer := f.requestStatus(t, &bronzeturnv1.StatusRequest{})
 		c.Check(time.Since(start), qt.Equals, queryTimeout)
 		silent := answer.GetDaemons()[1]
 		c.Check(silent.GetName(), qt.Equals, "h002")
@@ -156,7 +156,7 @@
 			d.silent = true
 		}
 		start := time.Now()
-		answer := f.ask(t, &bronzeturnv1.StatusRequest{})
+		answer := f.requestStatus(t, &bronzeturnv1.StatusRequest{})
 		qt.Check(t, time.Since(start), qt.Equals, fleetTimeout)
 		qt.Check(t, answer.GetDaemons(), qt.HasLen, 410)
 		qt.Check(t, answer.GetConfiguration().GetInForceOn(), qt.Equals, uint32(1))
@@ -166,7 +166,7 @@
 func TestDaemonWithoutAddressIsUnreachable(t *testing.T) {
 	f := newFleet(2)
 	f.daemons[1].noAddress = true
-	answer := f.ask(t, &bronzeturnv1.StatusRequest{})
+	answer := f.requestStatus(t, &bronzeturnv1.StatusRequest{})
 	qt.Check(t, answer.GetDaemons()[0].GetFault(), qt.Equals, errNoAddress.Error())
 }
 
