--- a/engine/reports_test.go
+++ b/engine/reports_test.go
@@ -14,7 +14,7 @@
 	"github.com/bronzeturn/bronzeturn/standin"
 )
 
-func newReports(c *qt.C) *engine.ControlClient {
+func newControlClient(c *qt.C) *engine.ControlClient {
 	t := &http.Transport{}
 	c.Cleanup(t.CloseIdleConnections)
 	return engine.NewControlClient(t)
@@ -24,7 +24,7 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	address := serve(c, standin.NewEngine(standin.EngineConfig{Versions: []string{"a"}, CheckFencing: true}))
-	r := newReports(c)
+	r := newControlClient(c)
 
 	state, err := r.Order(ctx, address, engine.Order{ID: "1", Op: engine.OpLoad, Version: "b", Fencing: 5})
 	c.Assert(err, qt.IsNil)
@@ -49,7 +49,7 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	address := serve(c, standin.NewEngine(standin.EngineConfig{Versions: []string{"a"}}))
-	r := newReports(c)
+	r := newControlClient(c)
 	_, err := r.Order(ctx, address, engine.Order{ID: "1", Op: engine.OpSetRole, Role: "bulk", Fencing: 5})
 	c.Assert(err, qt.IsNil)
 	state, err := r.Order(ctx, address, engine.Order{ID: "2", Op: engine.OpSetRole, Role: "quick", Fencing: 4})
@@ -79,13 +79,13 @@
 	prefixes := engine.PromptPrefixes(text, 10)
 	c.Assert(prefixes, qt.HasLen, 4)
 
-	load, err := newReports(c).Load(ctx, address)
+	load, err := newControlClient(c).Load(ctx, address)
 	c.Assert(err, qt.IsNil)
 	c.Assert(load.CacheEvents, qt.DeepEquals, []engine.CacheEvent{
 		{Sequence: 1, Prefix: prefixes[0], Stored: true},
 		{Sequence: 3, Prefix: prefixes[2], Stored: true},
 	})
-	load, err = newReports(c).LoadSince(ctx, address, 1)
+	load, err = newControlClient(c).LoadSince(ctx, address, 1)
 	c.Assert(err, qt.IsNil)
 	c.Assert(load.CacheEvents, qt.HasLen, 1)
 }
@@ -102,7 +102,7 @@
 	defer s.Close()
 	_, err = s.Next()
 	c.Assert(err, qt.IsNil)
-	load, err := newReports(c).Load(ctx, address)
+	load, err := newControlClient(c).Load(ctx, address)
 	c.Assert(err, qt.IsNil)
 	c.Assert(load.RunningRequests, qt.Equals, 1)
 	c.Assert(load.FreeSlots, qt.Equals, 2)
@@ -112,7 +112,7 @@
 func TestUnreadableReportIsBroken(t *testing.T) {
 	c := qt.New(t)
 	address := serveRaw(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]")
-	_, err := newReports(c).Load(context.Background(), address)
+	_, err := newControlClient(c).Load(context.Background(), address)
 	var failed *engine.Error
 	c.Assert(errors.As(err, &failed), qt.IsTrue)
 	c.Assert(failed.Kind, qt.Equals, engine.KindBroken)
--- a/engine/stream_bench_test.go
+++ b/engine/stream_bench_test.go
@@ -74,7 +74,7 @@
 		client := engine.New(cannedAnswer(tokens))
 		return testing.AllocsPerRun(20, func() {
 			if events, _, err := readAll(client, r); err != nil || events != tokens+1 {
-				panic(errors.Join(err, errors.New("stream was not read whole")))
+				panic(errors.Join(err, errors.New("stream was not read to its end")))
 			}
 		})
 	}
