--- a/balance/choose.go
+++ b/balance/choose.go
@@ -145,8 +145,7 @@
 }
 
 // affinity considers the home engines of the prompt's prefix or, if none of them
-// is usable, a random holder. It considers none if the prefill is too short for a
-// cached prefix to matter.
+// is usable, a random holder. It considers none if affinityApplies is false.
 func (c *choice) affinity(served *candidates) estimate {
 	if !c.affinityApplies() {
 		return noEstimate
@@ -165,7 +164,8 @@
 	return c.considerHolder(index)
 }
 
-// affinityApplies reports whether to look for engines that hold the prefix.
+// affinityApplies reports whether to look for engines that hold the prefix: the
+// request has one, and it has a PrefixWorth or its prefill is long enough.
 func (c *choice) affinityApplies() bool {
 	return c.req.PrefixHash != 0 && (c.req.PrefixWorth > 0 || c.state.options.affinityApplies(c.req.Work.PromptTokens))
 }
--- a/balance/decision.go
+++ b/balance/decision.go
@@ -29,7 +29,7 @@
 	// preferred one first. They count as holders. Empty names are ignored.
 	Homes [MaxHomes]string
 	// Candidates names the only engines to compare, unless none of them is usable. Empty
-	// names are ignored; if all are empty, random engines are compared.
+	// names are ignored; if the first is empty, random engines are compared.
 	Candidates [MaxCandidates]string
 	// Exclude names engines that must not be chosen, as the request was already sent
 	// to them. Empty names are ignored.
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -117,8 +117,8 @@
 	return now.Sub(l.otherSeenAt) >= max(record.GetDuration().AsDuration(), l.duration)
 }
 
-// confirm reads the lease again right before an order is sent. It returns
-// ErrLeaseLost unless this daemon holds the lease for at least d more.
+// confirm reads the lease again right before an order is sent. It returns nil only if
+// this daemon holds the lease for at least d more, and ErrLeaseLost if it does not.
 func (l *lease) confirm(ctx context.Context, d time.Duration) error {
 	if !l.validFor(time.Now(), d) {
 		return ErrLeaseLost
--- a/selection/explore.go
+++ b/selection/explore.go
@@ -25,8 +25,9 @@
 type exploration struct {
 	version int
 	cascade bool
-	// cost is the expected cost, including escalations. gain is the priority of
-	// exploring it: the share times what a request would save.
+	// cost is the expected cost, including escalations. The exploration with the
+	// highest gain is chosen: its share times what a request would save, or the share
+	// alone when no version reaches the target.
 	cost, gain float64
 }
 
--- a/subset/assign.go
+++ b/subset/assign.go
@@ -40,7 +40,8 @@
 }
 
 // assign returns for each daemon the indexes of the engines of the group that it
-// sees.
+// sees. The first two passes keep the daemons per engine within one of the mean and
+// the data centres in proportion; the last one assigns what these limits leave open.
 func assign(daemons []uint64, g *group) [][]int32 {
 	a := newAssignment(len(daemons), g)
 	engines := make([]uint64, len(g.engines))
