--- a/config/validate.go
+++ b/config/validate.go
@@ -85,7 +85,7 @@
 	return ok
 }
 
-// add records a problem at the path, unless there are maxProblemsReported already.
+// add records a problem at the path, unless maxProblemsReported are recorded already.
 func (v *validator) add(path fieldPath, format string, args ...any) {
 	if len(v.problems) < maxProblemsReported {
 		v.problems = append(v.problems, Problem{Path: path.String(), Message: fmt.Sprintf(format, args...)})
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -252,13 +252,13 @@
 	return true
 }
 
-// recordResult processes the outcome of an order. An order whose answer was lost
-// counts as pending for SettleTime, like one that was accepted; later load
-// reports show whether it took effect.
+// recordResult processes the outcome of an order. An accepted load is pending for
+// LoadTimeout, any other accepted order for SettleTime. An order whose answer was
+// lost is pending for SettleTime, too; later load reports show whether it took effect.
 func (p *pool) recordResult(dec decision, order engine.Order, err error) {
-	settle := p.runner.options.SettleTime
+	pendingFor := p.runner.options.SettleTime
 	if order.Op == engine.OpLoad {
-		settle = p.runner.options.LoadTimeout
+		pendingFor = p.runner.options.LoadTimeout
 	}
 	var refused *engine.Error
 	switch {
@@ -271,10 +271,10 @@
 		p.logOutcome(dec, order, "refused", err)
 		return
 	default:
-		settle = p.runner.options.SettleTime
+		pendingFor = p.runner.options.SettleTime
 		p.logOutcome(dec, order, "unknown", err)
 	}
-	p.engines[dec.target.Name].pending[dec.change] = time.Now().Add(settle)
+	p.engines[dec.target.Name].pending[dec.change] = time.Now().Add(pendingFor)
 }
 
 // requestWeights asks the weight store for the transfer and reports whether it was
--- a/quality/collector.go
+++ b/quality/collector.go
@@ -280,11 +280,11 @@
 	return first
 }
 
-// dropReports removes reports and sets the sent evidence in the store to that of
-// the remaining reports.
-func (c *collector) dropReports(gone func(*report) bool) {
+// dropReports removes the reports for which remove returns true, and sets the sent
+// evidence in the store to that of the remaining reports.
+func (c *collector) dropReports(remove func(*report) bool) {
 	before := len(c.reports)
-	c.reports = slices.DeleteFunc(c.reports, gone)
+	c.reports = slices.DeleteFunc(c.reports, remove)
 	if len(c.reports) == before {
 		return
 	}
--- a/quality/quality_test.go
+++ b/quality/quality_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestOneOrganisationCannotMoveAnEstimateAlone(t *testing.T) {
-	t.Run("alone", func(t *testing.T) {
+	t.Run("alone, lowering it", func(t *testing.T) {
 		s := newStore(false)
 		rate(t, s, "hostile", 0, 1000)
 		near(t, s.Estimate("v", "quick", start).Mean, prior, 1e-4)
@@ -79,7 +79,7 @@
 		}
 		near(t, s.Estimate("v", "quick", start).Mean, prior, 0.03)
 	})
-	t.Run("nor praise it", func(t *testing.T) {
+	t.Run("alone, raising it", func(t *testing.T) {
 		s := quality.NewStore(quality.Options{})
 		s.Cell("v", "quick").SetPrior(0.3, false)
 		rate(t, s, "friend", 1, 1000)
@@ -108,6 +108,8 @@
 	near(t, at(20*quality.DefaultHalfLife).Mean, prior, 1e-3)
 }
 
+// Ratings of one organisation above MaxWeight scale its older ones down, so that an
+// estimate follows a change of quality however many ratings came before.
 func TestOldRatingsOfOneOrganisationLoseWeight(t *testing.T) {
 	s := newStore(true)
 	rate(t, s, "a", 1, 10_000)
