--- a/orders/pool.go
+++ b/orders/pool.go
@@ -120,8 +120,8 @@
 func (p *pool) scheduleRead(desired []Target, settled bool, now time.Time) {
 	p.lastDesired = desired
 	p.nextRead = time.Time{}
-	for _, o := range p.engines {
-		settled = settled && o.fresh && len(o.pending) == 0 && len(o.unwantedSince) == 0
+	for _, e := range p.engines {
+		settled = settled && e.fresh && len(e.pending) == 0 && len(e.unwantedSince) == 0
 	}
 	if settled {
 		p.nextRead = now.Add(idleReadInterval)
@@ -215,15 +215,15 @@
 	old := p.engines
 	p.engines = make(map[string]*engineState, len(d.Engines))
 	for i, target := range d.Engines {
-		o := old[target.Name]
-		if o == nil {
-			o = newEngineState()
+		e := old[target.Name]
+		if e == nil {
+			e = newEngineState()
 		}
-		o.fresh = false
+		e.fresh = false
 		if loads[i] != nil {
-			o.update(*loads[i], target, now)
+			e.update(*loads[i], target, now)
 		}
-		p.engines[target.Name] = o
+		p.engines[target.Name] = e
 	}
 }
 
@@ -252,13 +252,13 @@
 	return true
 }
 
-// recordResult processes the outcome of an order. An order whose answer was lost
-// counts as pending for SettleTime, like one that was accepted; later load
-// reports show whether it took effect.
+// recordResult processes the outcome of an order. An accepted load is pending for
+// LoadTimeout, any other accepted order for SettleTime. An order whose answer was
+// lost is pending for SettleTime, too; later load reports show whether it took effect.
 func (p *pool) recordResult(dec decision, order engine.Order, err error) {
-	settle := p.runner.options.SettleTime
+	pendingFor := p.runner.options.SettleTime
 	if order.Op == engine.OpLoad {
-		settle = p.runner.options.LoadTimeout
+		pendingFor = p.runner.options.LoadTimeout
 	}
 	var refused *engine.Error
 	switch {
@@ -271,10 +271,10 @@
 		p.logOutcome(dec, order, "refused", err)
 		return
 	default:
-		settle = p.runner.options.SettleTime
+		pendingFor = p.runner.options.SettleTime
 		p.logOutcome(dec, order, "unknown", err)
 	}
-	p.engines[dec.target.Name].pending[dec.change] = time.Now().Add(settle)
+	p.engines[dec.target.Name].pending[dec.change] = time.Now().Add(pendingFor)
 }
 
 // requestWeights asks the weight store for the transfer and reports whether it was
