--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -122,11 +122,11 @@
 		if g.SlowStarts.Throttled(engine, now) {
 			return true
 		}
-		if !t.homes.Limited {
+		if !t.regions.Limited {
 			return false
 		}
 		e, known := engines.View.Engine(engine)
-		return !known || !t.homes.Allows(g.Regions[e.DataCentre])
+		return !known || !t.regions.Allows(g.Regions[e.DataCentre])
 	}
 }
 
--- a/gateway/denials.go
+++ b/gateway/denials.go
@@ -40,33 +40,33 @@
 
 // recordMismatch records that an engine answered as another instance, and reports whether
 // the location has just become suspect.
-func (d *mismatches) recordMismatch(p location, now time.Time) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.any.Store(true)
-	engines := d.byLocation[p].engines + 1
-	d.byLocation[p] = mismatch{engines: engines, at: now}
+func (m *mismatches) recordMismatch(l location, now time.Time) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.any.Store(true)
+	engines := m.byLocation[l].engines + 1
+	m.byLocation[l] = mismatch{engines: engines, at: now}
 	return engines == mismatchThreshold
 }
 
 // recordMatch records that an engine answered as the expected instance.
-func (d *mismatches) recordMatch(p location) {
-	if !d.any.Load() {
+func (m *mismatches) recordMatch(l location) {
+	if !m.any.Load() {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.byLocation, p)
-	d.any.Store(len(d.byLocation) > 0)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.byLocation, l)
+	m.any.Store(len(m.byLocation) > 0)
 }
 
 // suspect reports whether engines at the location should be avoided while there are others.
-func (d *mismatches) suspect(p location, now time.Time) bool {
-	if !d.any.Load() {
+func (m *mismatches) suspect(l location, now time.Time) bool {
+	if !m.any.Load() {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	known := d.byLocation[p]
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	known := m.byLocation[l]
 	return known.engines >= mismatchThreshold && now.Sub(known.at) < suspectDuration
 }
--- a/gateway/engines.go
+++ b/gateway/engines.go
@@ -99,7 +99,7 @@
 
 // engineRate is the nominal rate of an engine in tokens of the largest model per second,
 // for all its streams together. The balancer measures work in these tokens. The absolute
-// value is of no account, as engines are compared with others of the same service.
+// value does not matter, as engines are compared with others of the same service only.
 const engineRate = 12800
 
 // WorkOf returns the work that an engine does in d, in tokens.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -85,8 +85,8 @@
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed records that a request was answered completely.
 	Completed(h quarantine.Hash, now time.Time)
-	// AnswerInterrupted records that the connection was lost after the request had been sent. It calls
-	// blame once it is known that no request in quarantine explains the loss.
+	// AnswerInterrupted records that the connection was lost after the request had been sent.
+	// It calls blame once it is known that no request in quarantine explains the loss.
 	AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
 	// Wait waits for a short time until it is known why an engine's connections were lost.
 	Wait(ctx context.Context, engine string)
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -76,7 +76,7 @@
 	// promptTokenPrice is the price of a prompt token relative to that of a generated one.
 	promptTokenPrice = 0.25
 	// Priors of the chance that an answer is right: priorChance for a model that is asked
-	// first, priorLargestChance for the largest one. For a size between, the confidence is
+	// first, priorLargestChance for the largest one. For a model in between, the confidence is
 	// assumed to exceed that of the smaller model by priorConfidenceGain points.
 	priorChance, priorLargestChance = 0.5, 0.95
 	priorConfidenceGain             = 15
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -44,8 +44,8 @@
 	// organisation is empty on anonymous routes.
 	organisation string
 	priority     int
-	// homes holds the regions in which the request may be processed.
-	homes   route.RegionSet
+	// regions holds the regions in which the request may be processed.
+	regions route.RegionSet
 	service string
 	// backend is the service's entry in the configuration, or nil. runsModels is set if
 	// its engines run language models.
@@ -156,7 +156,7 @@
 
 // authenticate looks up the organisation of the caller's key.
 func (g *Gateway) authenticate(q *request) *failure.Error {
-	q.homes = route.AllowedRegionsFor(q.route, nil)
+	q.regions = route.AllowedRegionsFor(q.route, nil)
 	if q.route.Anonymous || !q.tables.Routes.NeedsKeys() {
 		return nil
 	}
@@ -165,7 +165,7 @@
 		return g.refuseUnknown(failure.CodeUnauthenticated, "the key is missing or not valid")
 	}
 	q.organisation = org.Name
-	q.homes = route.AllowedRegionsFor(q.route, org)
+	q.regions = route.AllowedRegionsFor(q.route, org)
 	if org.HasPriority {
 		q.priority = org.Priority
 	}
--- a/gateway/worth.go
+++ b/gateway/worth.go
@@ -3,8 +3,8 @@
 import "github.com/bronzeturn/bronzeturn/route"
 
 const (
-	// outputTokenSize is the size of a generated token, in prompt tokens, in the size of a
-	// request by which the worth of its answer grows.
+	// outputTokenSize is the number of prompt tokens that a generated token counts for in the
+	// size of a request, with which the worth of its answer grows.
 	outputTokenSize = 10
 	// sizeSmoothing is the weight of one request in the moving average of the sizes of its
 	// route's requests.
@@ -23,7 +23,7 @@
 	worth float64
 }
 
-// size returns the size of the request by which the worth of its answer grows.
+// size returns the size of the request, with which the worth of its answer grows.
 func (r *sizedRequest) size() float64 { return float64(r.prompt + outputTokenSize*r.output) }
 
 // price returns the price of running the request on a model.
