--- a/router/outcome.go
+++ b/router/outcome.go
@@ -9,8 +9,8 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// busyRetryAfter is the least Retry-After sent to callers if an engine or a service
-// took no request.
+// busyRetryAfter is the minimum Retry-After sent to callers if no engine, or no
+// instance of a plain service, took the request.
 const busyRetryAfter = time.Second
 
 // worstRan combines what is known of two attempts: RanNo only if neither ran,
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -29,16 +29,16 @@
 	// the record of the request.
 	Held(h quarantine.Hash) bool
 	Refused(h quarantine.Hash) quarantine.Record
-	// Crashes returns the number of engines that ended while they processed a request, zero once
-	// it has completed since.
+	// Crashes returns the number of engines that ended while they processed a request, since
+	// the request last completed.
 	Crashes(h quarantine.Hash) int
 	// Sending registers a send. The returned context is canceled if the request is quarantined
 	// before the engine begins to answer.
 	Sending(ctx context.Context, h quarantine.Hash) (context.Context, *quarantine.Send)
 	// Completed records that a request completed.
 	Completed(h quarantine.Hash, now time.Time)
-	// AnswerInterrupted records a broken answer. It calls blame once it is known that no quarantined
-	// request explains it.
+	// AnswerInterrupted records that an answer broke off. It calls blame once it is known that
+	// no request in quarantine explains this.
 	AnswerInterrupted(e inventory.Engine, h quarantine.Hash, now time.Time, blame func())
 	// Wait waits, for a bounded time, until the cause of an engine's broken answer is known.
 	Wait(ctx context.Context, engine string)
--- a/router/service.go
+++ b/router/service.go
@@ -146,8 +146,8 @@
 	var usable []*bronzeturnv1.ServiceInstance
 	for _, local := range []bool{true, false} {
 		for _, i := range c.service.GetInstances() {
-			sameSide := (i.GetDataCentre() == r.DataCentre) == local
-			if sameSide && !r.Members.BackendLeaving(i.GetHost()) {
+			matches := (i.GetDataCentre() == r.DataCentre) == local
+			if matches && !r.Members.BackendLeaving(i.GetHost()) {
 				usable = append(usable, i)
 			}
 		}
