--- a/gateway/heat.go
+++ b/gateway/heat.go
@@ -35,8 +35,8 @@
 func newPrefixLoads() *prefixLoads { return &prefixLoads{byPrefix: make(map[uint64]prefixLoad)} }
 
 // decayed returns the work as of now.
-func (h prefixLoad) decayed(now time.Time) float64 {
-	return h.work * math.Exp2(-now.Sub(h.at).Seconds()/prefixLoadHalfLife.Seconds())
+func (l prefixLoad) decayed(now time.Time) float64 {
+	return l.work * math.Exp2(-now.Sub(l.at).Seconds()/prefixLoadHalfLife.Seconds())
 }
 
 // add records one request and returns the number of engines that should cache its prefix,
@@ -59,8 +59,8 @@
 	if len(s.byPrefix) < maxPrefixes {
 		return
 	}
-	for prefix, h := range s.byPrefix {
-		if h.decayed(now) < minPrefixWork {
+	for prefix, l := range s.byPrefix {
+		if l.decayed(now) < minPrefixWork {
 			delete(s.byPrefix, prefix)
 		}
 	}
--- a/gateway/heat_test.go
+++ b/gateway/heat_test.go
@@ -10,27 +10,27 @@
 
 func TestHotPrefixHasMoreHomes(t *testing.T) {
 	c := qt.New(t)
-	h := newPrefixLoads()
+	loads := newPrefixLoads()
 	now := time.Unix(1000, 0)
-	c.Check(h.add(1, 0.3, 6, now), qt.Equals, 1)
+	c.Check(loads.add(1, 0.3, 6, now), qt.Equals, 1)
 	most := 0
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
-		most = h.add(1, 0.3, 6, now)
+		most = loads.add(1, 0.3, 6, now)
 	}
 	// The load is 1.2 engine seconds per second at each of six daemons, and a home takes 0.35.
 	c.Check(most >= 15 && most <= 22, qt.IsTrue, qt.Commentf("%d", most))
-	c.Check(h.add(2, 0.3, 6, now), qt.Equals, 1)
-	c.Check(h.add(1, 0.3, 6, now.Add(time.Minute)), qt.Equals, 1)
+	c.Check(loads.add(2, 0.3, 6, now), qt.Equals, 1)
+	c.Check(loads.add(1, 0.3, 6, now.Add(time.Minute)), qt.Equals, 1)
 }
 
 func TestTrackedPrefixesAreBounded(t *testing.T) {
-	h := newPrefixLoads()
+	loads := newPrefixLoads()
 	now := time.Unix(1000, 0)
 	for i := range uint64(3 * maxPrefixes) {
-		h.add(i, 1, 6, now)
+		loads.add(i, 1, 6, now)
 	}
-	qt.Check(t, len(h.byPrefix) <= maxPrefixes, qt.IsTrue)
+	qt.Check(t, len(loads.byPrefix) <= maxPrefixes, qt.IsTrue)
 }
 
 // TestSingleRequestDoesNotMakePrefixHotInLargeFleet guards against prefixes having several
@@ -41,12 +41,12 @@
 	c := qt.New(t)
 	const daemons, prefixes, perSecond, work, seconds = 295, 1186, 249, 0.12, 30
 	random := rand.New(rand.NewPCG(1, 2))
-	h := newPrefixLoads()
+	loads := newPrefixLoads()
 	now, requests, several := time.Unix(1000, 0), 0, 0
 	for range seconds * perSecond / daemons {
 		now = now.Add(time.Second * daemons / perSecond)
 		requests++
-		if h.add(random.Uint64N(prefixes), work, daemons, now) > 1 {
+		if loads.add(random.Uint64N(prefixes), work, daemons, now) > 1 {
 			several++
 		}
 	}
@@ -55,7 +55,7 @@
 	homes := 1
 	for range seconds * perSecond / daemons {
 		now = now.Add(5 * time.Second * daemons / perSecond)
-		homes = max(homes, h.add(prefixes, work, daemons, now))
+		homes = max(homes, loads.add(prefixes, work, daemons, now))
 	}
 	c.Check(homes > 4, qt.IsTrue, qt.Commentf("%d homes", homes))
 }
--- a/gateway/models_test.go
+++ b/gateway/models_test.go
@@ -41,14 +41,14 @@
 		begins     float64
 		want       string
 	}{
-		{"sure", urgent, 80, 0, ""},
-		{"not told", urgent, -1, 0, ""},
-		{"hopeless", urgent, 5, 0, "large"},
-		{"doubtful", urgent, 45, 0, "large"},
-		{"rather sure, and little to lose", cheap, 62, 0, ""},
-		{"doubtful, and little to lose", cheap, 30, 0, "large"},
-		{"doubtful, but the larger one would be late", urgent, 45, 1, ""},
-		{"hopeless, but the larger one would be late", urgent, 5, 1, "large"},
+		{"high confidence", urgent, 80, 0, ""},
+		{"no confidence reported", urgent, -1, 0, ""},
+		{"very low confidence", urgent, 5, 0, "large"},
+		{"low confidence", urgent, 45, 0, "large"},
+		{"fairly high confidence, low worth", cheap, 62, 0, ""},
+		{"low confidence, low worth", cheap, 30, 0, "large"},
+		{"low confidence, but the larger model would be late", urgent, 45, 1, ""},
+		{"very low confidence, but the larger model would be late", urgent, 5, 1, "large"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -78,15 +78,15 @@
 	service, urgent, _ := sizes()
 	m := NewModelChoice(byPriority())
 	q := m.Sized(urgent, service, 9000, 400)
-	const doubt = 55
-	got, _ := m.Larger(q, "small", doubt, at(0), noExploration)
+	const smallConfidence = 55
+	got, _ := m.Larger(q, "small", smallConfidence, at(0), noExploration)
 	c.Check(got, qt.Equals, "middle")
 	for range 40 {
-		m.ObserveConfidence(q, "middle", 20, doubt)
+		m.ObserveConfidence(q, "middle", 20, smallConfidence)
 	}
-	got, _ = m.Larger(q, "small", doubt, at(0), noExploration)
+	got, _ = m.Larger(q, "small", smallConfidence, at(0), noExploration)
 	c.Check(got, qt.Equals, "large")
-	got, _ = m.Larger(q, "small", doubt, at(0), 0)
+	got, _ = m.Larger(q, "small", smallConfidence, at(0), 0)
 	c.Check(got, qt.Equals, "middle")
 	// The chance of another confidence band is unchanged.
 	sure := m.chance(q, "middle", band(68))
@@ -99,10 +99,10 @@
 	c := qt.New(t)
 	service, urgent, cheap := sizes()
 	m := NewModelChoice(byPriority())
-	dear, light := m.Sized(urgent, service, 9000, 400), m.Sized(cheap, service, 9000, 30)
-	c.Check(m.First(dear, false), qt.Equals, "small")
-	c.Check(m.First(dear, true), qt.Equals, "large")
-	c.Check(m.First(light, true), qt.Equals, "small")
+	highWorth, lowWorth := m.Sized(urgent, service, 9000, 400), m.Sized(cheap, service, 9000, 30)
+	c.Check(m.First(highWorth, false), qt.Equals, "small")
+	c.Check(m.First(highWorth, true), qt.Equals, "large")
+	c.Check(m.First(lowWorth, true), qt.Equals, "small")
 	c.Check(m.First(&sizedRequest{route: &route.Route{}}, true), qt.Equals, "")
 }
 
--- a/gateway/weight_test.go
+++ b/gateway/weight_test.go
@@ -59,10 +59,10 @@
 // simEvent is the arrival of a request, or the completion of its prompt by an engine.
 type simEvent struct {
 	at time.Time
-	// came is the time at which the caller sent the request.
-	came   time.Time
-	large  bool
-	tokens int
+	// arrived is the time at which the caller sent the request.
+	arrived time.Time
+	large   bool
+	tokens  int
 	// hardness is above simSkill if the smallest model's answer is wrong.
 	hardness float64
 	// engine is the engine that processed the prompt, "" for an arrival.
@@ -135,7 +135,7 @@
 		rate *= simBurst
 	}
 	at := after.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second)))
-	heap.Push(&s.queue, simEvent{at: at, came: at, tokens: int(simPrompt * (0.25 + 1.5*s.random.Float64())), hardness: s.random.Float64()})
+	heap.Push(&s.queue, simEvent{at: at, arrived: at, tokens: int(simPrompt * (0.25 + 1.5*s.random.Float64())), hardness: s.random.Float64()})
 }
 
 // ask returns the balancer's decision for a request to the smallest or the largest model,
@@ -171,27 +171,27 @@
 	s.state.FirstToken(balance.FirstToken{Engine: e.engine, Work: e.work, At: e.at})
 	s.state.Finished(balance.Finished{Engine: e.engine, Work: e.work, FirstTokenSeen: true, At: e.at})
 	right := e.large || e.hardness < simSkill
-	if !e.large && s.doubted(c, &e) {
-		s.send(c, simEvent{at: e.at, came: e.came, tokens: e.tokens, hardness: e.hardness, large: true})
+	if !e.large && s.escalates(c, &e) {
+		s.send(c, simEvent{at: e.at, arrived: e.arrived, tokens: e.tokens, hardness: e.hardness, large: true})
 		return
 	}
 	worth := 1.0
 	if !right {
 		worth = simWrong
 	}
-	if e.at.Sub(e.came) > simRoute.Target {
+	if e.at.Sub(e.arrived) > simRoute.Target {
 		worth *= simLate
 	}
 	s.worth += worth
 }
 
-// doubted reports whether the largest model should answer instead.
-func (s *simulation) doubted(c *qt.C, e *simEvent) bool {
+// escalates reports whether the largest model should answer instead.
+func (s *simulation) escalates(c *qt.C, e *simEvent) bool {
 	noise := simNoise * s.random.NormFloat64()
 	confidence := int(min(max(50+simSlope*(simSkill-e.hardness)+noise, 0), 100))
 	d, _ := s.ask(c, e, true)
 	begins := func(string) float64 {
-		return (e.at.Sub(e.came) + d.Backlog + d.ExpectedFirstToken).Seconds() / simRoute.Target.Seconds()
+		return (e.at.Sub(e.arrived) + d.Backlog + d.ExpectedFirstToken).Seconds() / simRoute.Target.Seconds()
 	}
 	q := s.models.Sized(&simRoute, &simService, e.tokens, 10)
 	_, larger := s.models.Larger(q, "small", confidence, begins, noExploration)
