--- a/router/answer_test.go
+++ b/router/answer_test.go
@@ -393,7 +393,7 @@
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
-	t.Run("before a retry of what may have run", func(t *testing.T) {
+	t.Run("before a retry of a request that may have run", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			s := newFixture(t)
@@ -419,7 +419,7 @@
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
-	t.Run("before a cascade's second step", func(t *testing.T) {
+	t.Run("before the escalation of a cascade", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			s := newFixture(t)
@@ -448,12 +448,12 @@
 		cost                uint64
 		accepted            bool
 	}{
-		{"a good answer stands", "80%", "stop", nil, cheap, 1, 10, 3, 2, true},
-		{"a flagged answer is given again, billed once with the sum", "80", "length",
+		{"a good answer is accepted", "80%", "stop", nil, cheap, 1, 10, 3, 2, true},
+		{"a flagged answer is escalated, and the sum is billed once", "80", "length",
 			func(w http.ResponseWriter, _ *http.Request) { reply(w, "80% full", "stop") }, strong, 2, 20, 6, 21, false},
-		{"a second flagged answer is not given again", "80", "length",
+		{"a second flagged answer is not escalated", "80", "length",
 			func(w http.ResponseWriter, _ *http.Request) { reply(w, "80", "length") }, strong, 2, 20, 6, 21, false},
-		{"the cheap answer stands when nobody gives the strong one", "80", "length", refusing, cheap, 4, 10, 3, 2, false},
+		{"the cheap answer is sent if no engine answers for the strong version", "80", "length", refusing, cheap, 4, 10, 3, 2, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/router/property_test.go
+++ b/router/property_test.go
@@ -128,7 +128,7 @@
 	return d
 }
 
-// send sends the request after its delay, with its disconnection.
+// send sends the request after its delay, and disconnects after d.leaves unless it is zero.
 func (d drawnRequest) send(s *fixture) callerResponse {
 	time.Sleep(d.start)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/router/refusal_test.go
+++ b/router/refusal_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRefusals checks that each refusal is sent immediately and in the common JSON format,
-// and that no request that is said not to have run reached an engine.
+// and that it is true that the request did not run: it reached no engine and has no bill.
 func TestRefusals(t *testing.T) {
 	tooLong := `{"messages":[{"role":"user","content":"` + strings.Repeat("x", maxBodyBytes) + `"}]}`
 	tests := []struct {
