--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -33,8 +33,8 @@
 		{"unknown and not idempotent", func(a *Attempt) { a.Ran = failure.RanUnknown }, false, ReasonMayHaveRun},
 		{"unset and not idempotent", func(a *Attempt) { a.Ran = "" }, false, ReasonMayHaveRun},
 		{"answer begun", func(a *Attempt) { a.Idempotent, a.BytesSent = true, 1 }, false, ReasonAnswerBegun},
-		{"request at fault", func(a *Attempt) { a.Kind = KindRejected }, false, ReasonRejected},
-		{"caller gone", func(a *Attempt) { a.Kind = KindCancelled }, false, ReasonCancelled},
+		{"request rejected", func(a *Attempt) { a.Kind = KindRejected }, false, ReasonRejected},
+		{"caller disconnected", func(a *Attempt) { a.Kind = KindCancelled }, false, ReasonCancelled},
 		{"attempts used", func(a *Attempt) { a.Number = 3 }, false, ReasonAttemptsUsed},
 		{"no time left", func(a *Attempt) { a.Left = 10 * time.Millisecond }, false, ReasonDeadline},
 	}
