--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,5 +1,5 @@
 // Package hedge decides whether a slow request is also sent to a second engine. The
-// first complete answer is used and the other attempt is cancelled. This is
+// answer that comes first is used and the other attempt is cancelled. This is
 // replication with d = 2 in the paper cited in docs/design/0006. It cuts the tail
 // latency because two engines are seldom slow at the same time. The paper's cheaper
 // alternative, coding across jobs, needs work that is linear in its input, which
