--- a/admission/account.go
+++ b/admission/account.go
@@ -74,8 +74,8 @@
 	a.offered[dimRequests].add(now, 1)
 	a.offered[dimTokens].add(now, c.tokens)
 	a.costs.add(now, c.cost)
-	may := a.allowance(now)
-	if err := a.check(now, c, &may); err != nil {
+	allowed := a.allowance(now)
+	if err := a.check(now, c, &allowed); err != nil {
 		a.refused = true
 		return err
 	}
@@ -88,19 +88,19 @@
 
 // check reports whether the request fits the allowance. The token balance only
 // has to be positive, since the size of an answer is an estimate.
-func (a *account) check(now time.Time, c charge, may *amounts) *failure.Error {
-	a.requests.refill(now, may[dimRequests], 1)
-	a.tokens.refill(now, may[dimTokens], 1)
-	if a.limit.limited(dimConcurrent) && float64(a.inUse+1) > may[dimConcurrent] {
+func (a *account) check(now time.Time, c charge, allowed *amounts) *failure.Error {
+	a.requests.refill(now, allowed[dimRequests], 1)
+	a.tokens.refill(now, allowed[dimTokens], 1)
+	if a.limit.limited(dimConcurrent) && float64(a.inUse+1) > allowed[dimConcurrent] {
 		return a.exceeded("requests in progress", concurrencyRetryAfter)
 	}
 	if a.limit.limited(dimRequests) && a.requests.balance < 1 {
-		return a.exceeded("requests per second", a.requests.waitFor(1, may[dimRequests]))
+		return a.exceeded("requests per second", a.requests.waitFor(1, allowed[dimRequests]))
 	}
 	if a.limit.limited(dimTokens) && a.tokens.balance <= 0 {
-		return a.exceeded("tokens per second", a.tokens.waitFor(0, may[dimTokens]))
+		return a.exceeded("tokens per second", a.tokens.waitFor(0, allowed[dimTokens]))
 	}
-	if a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved+c.cost > may[dimSpend] {
+	if a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved+c.cost > allowed[dimSpend] {
 		return a.spend.exceeded(now, a.limit[dimSpend], c.cost*float64(a.live))
 	}
 	return nil
@@ -147,17 +147,17 @@
 // equalCap returns what this daemon's own spend may reach without a share: the
 // spend that the coordinator acknowledged, and an equal part of what was left of
 // the limit at that time.
-func (b *daySpend) equalCap(limit float64, live int) float64 {
-	left := max(0, limit-b.fleetTotal)
-	return b.acknowledged + left/float64(max(live, 1))
+func (s *daySpend) equalCap(limit float64, live int) float64 {
+	left := max(0, limit-s.fleetTotal)
+	return s.acknowledged + left/float64(max(live, 1))
 }
 
 // exceeded returns the refusal. Retry-After is the next UTC day when less than
 // one such request per daemon is left of the limit, and short when only this
 // daemon's share is used up.
-func (b *daySpend) exceeded(now time.Time, limit, fleetCost float64) *failure.Error {
+func (s *daySpend) exceeded(now time.Time, limit, fleetCost float64) *failure.Error {
 	after := concurrencyRetryAfter
-	if b.fleetTotal+fleetCost > limit || b.spent+b.reserved >= limit {
+	if s.fleetTotal+fleetCost > limit || s.spent+s.reserved >= limit {
 		after = untilNextDay(now)
 	}
 	return failure.New(failure.CodeSpendExceeded, failure.RanNo, "daily spend limit reached").WithRetryAfter(after)
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -79,9 +79,9 @@
 // SetGroupLoad sets the load that the engines of a group last reported, which
 // bounds this daemon's bulk requests. Call it about once a second. Until the first
 // call, the bulk requests of a group are bounded by its slots alone.
-func (c *Controller) SetGroupLoad(groupName string, r GroupLoad) {
+func (c *Controller) SetGroupLoad(groupName string, l GroupLoad) {
 	if g, ok := c.groups.Load(groupName); ok {
-		g.(*group).setLoad(time.Now(), r)
+		g.(*group).setLoad(time.Now(), l)
 	}
 }
 
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -7,10 +7,10 @@
 
 // target returns the daemon's part of the limit: its max-min fair part, and up to
 // as much again as an equal part of half of the surplus.
-func (a *allocation) target(h *daemonState) amounts {
+func (a *allocation) target(s *daemonState) amounts {
 	var t amounts
 	for d := range t {
-		want := h.wanted[d]
+		want := s.wanted[d]
 		t[d] = min(want, a.levels[d])
 		if a.surplus[d] > 0 && a.active > 0 {
 			t[d] += min(want, a.surplus[d]/2/float64(a.active))
--- a/admission/bulk.go
+++ b/admission/bulk.go
@@ -15,12 +15,12 @@
 
 // Add adds the last report of one engine: its slots, and the requests of any
 // group and daemon that run or wait there.
-func (r *GroupLoad) Add(slots, busy int) {
+func (l *GroupLoad) Add(slots, busy int) {
 	left := slots - slots/urgentReserve - busy
 	if left >= 0 {
-		r.free += left
+		l.free += left
 	} else {
-		r.over -= left
+		l.over -= left
 	}
 }
 
@@ -33,14 +33,14 @@
 // request that finds all slots taken waits for a bulk request to end. Daemons
 // that each stay within the slots can still exceed them together; this bound
 // makes all of them back off in time without messages between them.
-func BulkLimit(own int, r GroupLoad) int {
-	part := bulkDamping * max(r.Daemons, 1)
-	if r.over > 0 {
-		return max(1, own-(r.over+part-1)/part)
+func BulkLimit(own int, l GroupLoad) int {
+	part := bulkDamping * max(l.Daemons, 1)
+	if l.over > 0 {
+		return max(1, own-(l.over+part-1)/part)
 	}
-	return max(1, own+(r.free+part-1)/part)
+	return max(1, own+(l.free+part-1)/part)
 }
 
 // SetBulkLimit bounds the bulk requests in progress by the load that the engines
 // reported. The caller then starts what Next returns.
-func (q *Queue) SetBulkLimit(r GroupLoad) { q.bulkLimit = BulkLimit(q.bulkInUse, r) }
+func (q *Queue) SetBulkLimit(l GroupLoad) { q.bulkLimit = BulkLimit(q.bulkInUse, l) }
--- a/admission/conservation_test.go
+++ b/admission/conservation_test.go
@@ -71,7 +71,7 @@
 	d := m.anyDaemon(t)
 	a := m.accounts[d]
 	if a.report.inFlight {
-		a.reportFailed(m.now) // its answer counts as lost
+		a.reportFailed(m.now) // the earlier report counts as unanswered
 	}
 	a.lastActive = m.now // never idle in this model
 	u := a.usage(m.now)
@@ -137,10 +137,10 @@
 			continue
 		}
 		a.advanceDay(m.now)
-		may := a.allowance(m.now)
-		may[dimSpend] = max(may[dimSpend], a.spend.spent)
+		allowed := a.allowance(m.now)
+		allowed[dimSpend] = max(allowed[dimSpend], a.spend.spent)
 		for d := range sum {
-			sum[d] += may[d]
+			sum[d] += allowed[d]
 		}
 	}
 	// Only after a change of the coordinator may a daemon use an equal part in
--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -39,95 +39,95 @@
 // a report that arrived after a later one.
 func (a *allocation) report(now time.Time, u usage, view fleetView) (grantResult, bool) {
 	a.advanceDay(now)
-	h := a.daemonState(u)
-	if u.report < h.report {
+	s := a.daemonState(u)
+	if u.report < s.report {
 		return grantResult{}, false
 	}
-	first := h.reportedAt.IsZero()
-	before := a.outstanding(now, u.daemon, h, view)
-	a.recordReport(now, h, u)
-	h.equalSpend = u.acknowledged + max(0, a.limit[dimSpend]-u.fleetSpent)/float64(max(view.live, 1)) - u.spent
-	h.ungranted = a.ungranted(h, u, view)
+	first := s.reportedAt.IsZero()
+	before := a.outstanding(now, u.daemon, s, view)
+	a.recordReport(now, s, u)
+	s.equalSpend = u.acknowledged + max(0, a.limit[dimSpend]-u.fleetSpent)/float64(max(view.live, 1)) - u.spent
+	s.ungranted = a.ungranted(s, u, view)
 	if first {
 		for d := range a.initialUse {
-			a.initialUse[d] += h.ungranted[d]
+			a.initialUse[d] += s.ungranted[d]
 		}
 	}
 	if now.Sub(a.refreshed) >= refreshInterval || a.refreshed.IsZero() {
 		a.refresh(now, view)
 	} else {
-		after := a.outstanding(now, u.daemon, h, view)
+		after := a.outstanding(now, u.daemon, s, view)
 		a.addCommitted(before, -1)
 		a.addCommitted(after, 1)
 	}
 	if u.idle {
 		return grantResult{day: a.day, fleetSpent: a.spent(), period: longestPeriod}, true
 	}
-	return a.grantShare(now, u, h, view), true
+	return a.grantShare(now, u, s, view), true
 }
 
 // daemonState returns the state of the reporting daemon. The first report of a
 // process carries the spend that earlier coordinators counted.
 func (a *allocation) daemonState(u usage) *daemonState {
-	h := a.daemons[u.daemon]
-	if h == nil {
-		h = &daemonState{validity: shortestValidity}
-		a.daemons[u.daemon] = h
+	s := a.daemons[u.daemon]
+	if s == nil {
+		s = &daemonState{validity: shortestValidity}
+		a.daemons[u.daemon] = s
 	}
-	if h.incarnation != u.incarnation || h.reportedAt.IsZero() {
-		h.incarnation = u.incarnation
-		h.spent, h.report = 0, 0
-		h.grants = nil
+	if s.incarnation != u.incarnation || s.reportedAt.IsZero() {
+		s.incarnation = u.incarnation
+		s.spent, s.report = 0, 0
+		s.grants = nil
 		if u.day == a.day {
-			h.spent = u.acknowledged
+			s.spent = u.acknowledged
 			a.earlierSpend = max(a.earlierSpend, u.fleetSpent)
 		}
 	}
-	return h
+	return s
 }
 
 // recordReport records a report. It names the newest share that the daemon has
 // received, so older ones are no longer in use.
-func (a *allocation) recordReport(now time.Time, h *daemonState, u usage) {
-	h.reportedAt = now
-	h.report = u.report
-	h.idle = u.idle
-	h.wanted = u.wanted
-	h.inUse = u.inUse
-	if u.day == a.day && u.spent > h.spent {
-		a.reportedSpend += u.spent - h.spent
-		h.spent = u.spent
+func (a *allocation) recordReport(now time.Time, s *daemonState, u usage) {
+	s.reportedAt = now
+	s.report = u.report
+	s.idle = u.idle
+	s.wanted = u.wanted
+	s.inUse = u.inUse
+	if u.day == a.day && u.spent > s.spent {
+		a.reportedSpend += u.spent - s.spent
+		s.spent = u.spent
 	}
-	kept := h.grants[:0]
-	for _, g := range h.grants {
+	kept := s.grants[:0]
+	for _, g := range s.grants {
 		current := u.coordinator != a.id || g.sequence >= u.sequence
 		if current && now.Before(g.expires) && !u.idle {
 			kept = append(kept, g)
 		}
 	}
-	h.grants = kept
+	s.grants = kept
 }
 
 // ungranted returns what a reporting daemon may use that this coordinator did not
 // grant.
-func (a *allocation) ungranted(h *daemonState, u usage, view fleetView) amounts {
+func (a *allocation) ungranted(s *daemonState, u usage, view fleetView) amounts {
 	switch {
 	case u.idle || (u.sequence != 0 && u.coordinator == a.id):
 		return amounts{}
 	case u.sequence != 0:
 		return u.held
 	}
-	return a.equalPart(h, view)
+	return a.equalPart(s, view)
 }
 
 // setLimit changes the limit. Grants are scaled in proportion, as the daemons do
 // with the shares that they hold.
 func (a *allocation) setLimit(limit amounts) {
-	for _, h := range a.daemons {
-		for i := range h.grants {
+	for _, s := range a.daemons {
+		for i := range s.grants {
 			for d := range limit {
 				if a.limit.limited(d) {
-					h.grants[i].amounts[d] *= limit[d] / a.limit[d]
+					s.grants[i].amounts[d] *= limit[d] / a.limit[d]
 				}
 			}
 		}
@@ -137,10 +137,10 @@
 }
 
 // grantShare grants a share to a daemon that has just reported.
-func (a *allocation) grantShare(now time.Time, u usage, h *daemonState, view fleetView) grantResult {
-	before := a.outstanding(now, u.daemon, h, view)
+func (a *allocation) grantShare(now time.Time, u usage, s *daemonState, view fleetView) grantResult {
+	before := a.outstanding(now, u.daemon, s, view)
 	budget := a.budget(now, view)
-	given := a.target(h)
+	given := a.target(s)
 	for d := range given {
 		free := max(0, budget[d]-(a.committed[d]-before[d]))
 		given[d] = min(given[d], free)
@@ -150,34 +150,34 @@
 	absolute := given
 	absolute[dimSpend] += u.spent
 	period := a.period()
-	h.validity = validityOf(period)
-	h.grants = append(h.grants, grant{amounts: absolute, sequence: a.sequence, expires: now.Add(h.validity)})
-	after := a.outstanding(now, u.daemon, h, view)
+	s.validity = validityOf(period)
+	s.grants = append(s.grants, grant{amounts: absolute, sequence: a.sequence, expires: now.Add(s.validity)})
+	after := a.outstanding(now, u.daemon, s, view)
 	a.addCommitted(before, -1)
 	a.addCommitted(after, 1)
 	return grantResult{
 		amounts: given, sequence: a.sequence, day: a.day, fleetSpent: a.spent(),
-		period: period, validity: h.validity,
+		period: period, validity: s.validity,
 	}
 }
 
 // equalPart returns what a daemon may use without a share. The spend depends on
 // the fleet's spend that the daemon was last sent.
-func (a *allocation) equalPart(h *daemonState, view fleetView) amounts {
+func (a *allocation) equalPart(s *daemonState, view fleetView) amounts {
 	part := a.limit.equalPart(view.live)
 	left := max(0, a.limit[dimSpend]-a.spent()) / float64(max(view.live, 1))
-	part[dimSpend] = max(left, h.equalSpend)
+	part[dimSpend] = max(left, s.equalSpend)
 	return part
 }
 
 // outstanding returns what the daemon may be using now.
-func (a *allocation) outstanding(now time.Time, name string, h *daemonState, view fleetView) amounts {
+func (a *allocation) outstanding(now time.Time, name string, s *daemonState, view fleetView) amounts {
 	var out amounts
-	if h.reportedAt.IsZero() || h.idle {
+	if s.reportedAt.IsZero() || s.idle {
 		return out
 	}
 	valid := false
-	for _, g := range h.grants {
+	for _, g := range s.grants {
 		if !now.Before(g.expires) {
 			continue
 		}
@@ -186,18 +186,18 @@
 			out[d] = max(out[d], g.amounts[d])
 		}
 	}
-	out[dimSpend] = max(0, out[dimSpend]-h.spent)
+	out[dimSpend] = max(0, out[dimSpend]-s.spent)
 	for d := range out {
-		out[d] = max(out[d], h.ungranted[d])
+		out[d] = max(out[d], s.ungranted[d])
 	}
-	silent := !now.Before(h.reportedAt.Add(h.validity))
+	silent := !now.Before(s.reportedAt.Add(s.validity))
 	if !valid && silent {
-		if now.After(h.reportedAt.Add(silentReserveTime)) || !view.isLive(name) {
+		if now.After(s.reportedAt.Add(silentReserveTime)) || !view.isLive(name) {
 			return amounts{}
 		}
-		out = a.equalPart(h, view)
+		out = a.equalPart(s, view)
 	}
-	out[dimConcurrent] = max(out[dimConcurrent], h.inUse)
+	out[dimConcurrent] = max(out[dimConcurrent], s.inUse)
 	return out
 }
 
@@ -208,10 +208,10 @@
 	var wants [dimensions][]float64
 	var wanted, reserved amounts
 	a.active = 0
-	for name, h := range a.daemons {
-		out := a.outstanding(now, name, h, view)
+	for name, s := range a.daemons {
+		out := a.outstanding(now, name, s, view)
 		a.addCommitted(out, 1)
-		if h.idle || !now.Before(h.reportedAt.Add(h.validity)) {
+		if s.idle || !now.Before(s.reportedAt.Add(s.validity)) {
 			for d := range reserved {
 				reserved[d] += out[d]
 			}
@@ -219,8 +219,8 @@
 		}
 		a.active++
 		for d := range wants {
-			wants[d] = append(wants[d], h.wanted[d])
-			wanted[d] += h.wanted[d]
+			wants[d] = append(wants[d], s.wanted[d])
+			wanted[d] += s.wanted[d]
 		}
 	}
 	budget := a.budget(now, view)
@@ -256,10 +256,10 @@
 		a.day = d
 		a.earlierSpend, a.reportedSpend = 0, 0
 		a.refreshed = time.Time{}
-		for _, h := range a.daemons {
-			h.spent = 0
-			for i := range h.grants {
-				h.grants[i].amounts[dimSpend] = 0
+		for _, s := range a.daemons {
+			s.spent = 0
+			for i := range s.grants {
+				s.grants[i].amounts[dimSpend] = 0
 			}
 		}
 	}
--- a/admission/group.go
+++ b/admission/group.go
@@ -99,10 +99,10 @@
 }
 
 // setLoad changes the bound on bulk requests and starts those that now fit.
-func (g *group) setLoad(now time.Time, r GroupLoad) {
+func (g *group) setLoad(now time.Time, l GroupLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.SetBulkLimit(r)
+	g.queue.SetBulkLimit(l)
 	g.startLocked(now)
 }
 
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -40,13 +40,13 @@
 		m.waiting[it] = true
 		if evicted != nil {
 			if evicted.class < it.class {
-				t.Fatalf("class %d pushed out class %d", it.class, evicted.class)
+				t.Fatalf("class %d evicted class %d", it.class, evicted.class)
 			}
 			delete(m.waiting, evicted)
 		}
 	case Refuse:
 		if after < minRetryAfter || before != m.q.waiting {
-			t.Fatalf("refused with advice %v, waiting %d then %d", after, before, m.q.waiting)
+			t.Fatalf("refused with retry time %v, waiting %d then %d", after, before, m.q.waiting)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 	cases := []struct {
 		name    string
 		own     int
-		sharers int
+		daemons int
 		busy    []int // of engines with 40 slots, 35 of them for bulk
 		want    int
 	}{
@@ -258,7 +258,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Check(t, BulkLimit(test.own, loadOf(test.sharers, test.busy)), qt.Equals, test.want)
+			qt.Check(t, BulkLimit(test.own, loadOf(test.daemons, test.busy)), qt.Equals, test.want)
 		})
 	}
 	now := time.Unix(0, 0)
@@ -275,10 +275,10 @@
 	qt.Check(t, d, qt.Equals, StartNow)
 }
 
-func loadOf(sharers int, busy []int) GroupLoad {
-	room := GroupLoad{Daemons: sharers}
+func loadOf(daemons int, busy []int) GroupLoad {
+	load := GroupLoad{Daemons: daemons}
 	for _, b := range busy {
-		room.Add(40, b)
+		load.Add(40, b)
 	}
-	return room
+	return load
 }
--- a/admission/report.go
+++ b/admission/report.go
@@ -86,16 +86,16 @@
 // nearAllowance reports whether use is close to the allowance, so that an earlier
 // report may get a larger share.
 func (a *account) nearAllowance(now time.Time) bool {
-	may := a.allowance(now)
-	if a.limit.limited(dimConcurrent) && float64(a.inUse) >= earlyReportThreshold*may[dimConcurrent] {
+	allowed := a.allowance(now)
+	if a.limit.limited(dimConcurrent) && float64(a.inUse) >= earlyReportThreshold*allowed[dimConcurrent] {
 		return true
 	}
 	for d := range a.offered {
-		if a.limit.limited(d) && a.offered[d].perSecond(now) > earlyReportThreshold*may[d] {
+		if a.limit.limited(d) && a.offered[d].perSecond(now) > earlyReportThreshold*allowed[d] {
 			return true
 		}
 	}
-	return a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved > earlyReportThreshold*may[dimSpend]
+	return a.limit.limited(dimSpend) && a.spend.spent+a.spend.reserved > earlyReportThreshold*allowed[dimSpend]
 }
 
 // usage returns a report and marks it as sent.
@@ -134,8 +134,8 @@
 	}
 	w[dimConcurrent] = float64(a.inUse+1) * headroom
 	if a.refused {
-		may := a.allowance(now)
-		w[dimConcurrent] = max(w[dimConcurrent], 2*may[dimConcurrent])
+		allowed := a.allowance(now)
+		w[dimConcurrent] = max(w[dimConcurrent], 2*allowed[dimConcurrent])
 	}
 	ahead := a.costs.perSecond(now) * shortestValidity.Seconds() * headroom
 	w[dimSpend] = a.spend.reserved + max(ahead, least[dimSpend]*minDemand)
