--- a/route/homes.go
+++ b/route/homes.go
@@ -11,7 +11,7 @@
 }
 
 // Allows reports whether engines of the region may serve the request.
-func (h RegionSet) Allows(region string) bool { return !h.Limited || slices.Contains(h.Names, region) }
+func (s RegionSet) Allows(region string) bool { return !s.Limited || slices.Contains(s.Names, region) }
 
 // regionsOf returns the regions that a configuration lists, where an empty list
 // means all.
--- a/route/route.go
+++ b/route/route.go
@@ -102,7 +102,8 @@
 	// Models are the available sizes, the smallest first.
 	Models []Model
 	// ColdFor is how long an engine is cold after its start, and ColdPerSecond how many
-	// requests per second it can serve during that time. Zero means no bound.
+	// requests per second it can serve during that time. A ColdPerSecond of zero means
+	// no bound.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 	// ShortestTarget is the shortest target among the routes to this service whose
