--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -44,7 +44,7 @@
 
 // deliverBuffered reads the complete answer and passes it on.
 func (g *Gateway) deliverBuffered(t *task, to *target, x *attempt.Exchange) *attemptError {
-	whole, failed := readBuffered(x)
+	buffered, failed := readBuffered(x)
 	if failed != nil {
 		return failed
 	}
@@ -53,7 +53,7 @@
 	g.Introductions.Observe(t.service, t.route.Name, to.engine.Version, false, latency)
 	g.Quarantine.Completed(t.hash, time.Now())
 	t.request.trace.first = t.elapsed()
-	if f := whole.deliver(t.answer); f != nil {
+	if f := buffered.deliver(t.answer); f != nil {
 		t.answer.fail(f)
 	}
 	return nil
@@ -62,7 +62,7 @@
 // deliverFailure handles an error answer of an engine. It is kept, to be passed on if no
 // other engine may be tried or none succeeds.
 func (g *Gateway) deliverFailure(t *task, to *target, x *attempt.Exchange) *attemptError {
-	whole, failed := readBuffered(x)
+	buffered, failed := readBuffered(x)
 	if failed != nil {
 		return failed
 	}
@@ -76,7 +76,7 @@
 		return &attemptError{Kind: kind, Ran: failure.RanUnknown, Cause: errEngineFailure}
 	}
 	if !t.answer.begun() {
-		t.failedAnswer = whole
+		t.failedAnswer = buffered
 	}
 	return &attemptError{Kind: kind, Ran: failure.RanYes, Cause: errEngineFailure}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -139,11 +139,11 @@
 	b := NewBudget(BudgetOptions{FloorPerSecond: 10, Burst: 10})
 	c.Check(b.Take(epoch), qt.IsTrue)
 	full := epoch.Add(time.Minute)
-	spare := 0
+	unreserved := 0
 	for b.TakeUnreserved(full, 0.5) {
-		spare++
+		unreserved++
 	}
-	c.Check(spare, qt.Equals, 5)
+	c.Check(unreserved, qt.Equals, 5)
 	rest := 0
 	for b.Take(full) {
 		rest++
--- a/router/answer_test.go
+++ b/router/answer_test.go
@@ -125,7 +125,7 @@
 		}))
 		for i := range 40 {
 			tag := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, fmt.Sprint(i))}
-			c.Assert(s.send(tag).whole(tag), qt.IsTrue)
+			c.Assert(s.send(tag).complete(tag), qt.IsTrue)
 		}
 		c.Assert(numbers[""], qt.IsFalse)
 		c.Assert(len(numbers) > 1, qt.IsTrue)
@@ -214,7 +214,7 @@
 		w := &slowWriter{header: make(http.Header), limit: 1}
 		c.Assert(s.serveTo(w, tag.request()), qt.IsTrue)
 		again := s.send(tag)
-		c.Check(again.whole(tag), qt.IsTrue, qt.Commentf("%s", again.Body))
+		c.Check(again.complete(tag), qt.IsTrue, qt.Commentf("%s", again.Body))
 		c.Check(s.network.hosts(), qt.HasLen, 1)
 		c.Check(s.ledger.bills, qt.HasLen, 1)
 		c.Check(s.ledger.completed, qt.HasLen, 1)
@@ -275,7 +275,7 @@
 			canceled <- time.Since(start)
 		}, func(cfg *standin.EngineConfig) { cfg.AnswerTokens = 100 })
 		g := s.send(quick)
-		c.Check(g.whole(quick), qt.IsTrue)
+		c.Check(g.complete(quick), qt.IsTrue)
 		c.Check(time.Since(start) > 500*time.Millisecond, qt.IsTrue)
 		c.Check(<-canceled < 100*time.Millisecond, qt.IsTrue, qt.Commentf("the loser is canceled when the winner begins"))
 		c.Check(s.network.hosts(), qt.HasLen, 2)
@@ -295,7 +295,7 @@
 				s.engines[0].ServeHTTP(w, r)
 			}))
 			g := s.send(quick)
-			c.Check(g.whole(quick), qt.IsTrue)
+			c.Check(g.complete(quick), qt.IsTrue)
 			synctest.Wait()
 			c.Check(s.network.hosts(), qt.HasLen, 2)
 			c.Check(s.ledger.billsOf(g.id()), qt.HasLen, 1)
@@ -415,7 +415,7 @@
 				s.engines[0].ServeHTTP(w, r)
 			})
 			quick := callerRequest{model: cheap, header: header(callerapi.HeaderKind, "quick")}
-			c.Check(s.send(quick).whole(quick), qt.IsTrue, qt.Commentf("a request that is running is completed"))
+			c.Check(s.send(quick).complete(quick), qt.IsTrue, qt.Commentf("a request that is running is completed"))
 			c.Check(s.network.hosts(), qt.HasLen, 1)
 		})
 	})
@@ -515,7 +515,7 @@
 			sending.Go(func() {
 				a := callerRequest{stream: i%2 == 0, prompt: strings.Repeat("word ", i+1)}
 				g := s.send(a)
-				qt.Check(t, g.whole(a), qt.IsTrue, qt.Commentf("%d: %s", i, g.Body))
+				qt.Check(t, g.complete(a), qt.IsTrue, qt.Commentf("%d: %s", i, g.Body))
 			})
 		}
 		sending.Wait()
--- a/router/property_test.go
+++ b/router/property_test.go
@@ -150,11 +150,11 @@
 		return "billed more than once"
 	case d.kind == "tag" && runs > 1:
 		return "a non-idempotent request ran more than once"
-	case g.whole(d.callerRequest) && bills != 1:
+	case g.complete(d.callerRequest) && bills != 1:
 		return "a complete answer without a bill"
-	case !g.cut && g.Code == http.StatusOK && !g.whole(d.callerRequest):
+	case !g.cut && g.Code == http.StatusOK && !g.complete(d.callerRequest):
 		return "an incomplete answer ended like a complete one"
-	case !g.whole(d.callerRequest) && g.failure().Code == "":
+	case !g.complete(d.callerRequest) && g.failure().Code == "":
 		return "a failure without a code"
 	case g.failure().Ran == "no" && runs > 0:
 		return "a failure that says the request did not run, although it ran"
--- a/router/rechoose_test.go
+++ b/router/rechoose_test.go
@@ -33,14 +33,14 @@
 				c := qt.New(t)
 				s := newFixture(t)
 				before := s.send(test.request)
-				c.Assert(before.whole(test.request), qt.IsTrue, qt.Commentf("%s", before.Body))
+				c.Assert(before.complete(test.request), qt.IsTrue, qt.Commentf("%s", before.Body))
 				s.Admission.SetCapacity(test.full, 0)
 				if test.name == "not in a conversation" {
 					test.request.model = "" // The conversation is pinned to its version already.
 				}
 				got := s.send(test.request)
 				if test.version != "" {
-					c.Assert(got.whole(test.request), qt.IsTrue, qt.Commentf("%s", got.Body))
+					c.Assert(got.complete(test.request), qt.IsTrue, qt.Commentf("%s", got.Body))
 					c.Assert(got.version(), qt.Equals, test.version)
 					c.Assert(s.executions(got.id()), qt.Equals, 1)
 					return
@@ -70,7 +70,7 @@
 			s.leaving.Store("host-of-"+engineName(i), true)
 		}
 		got := s.send(callerRequest{})
-		c.Assert(got.whole(callerRequest{}), qt.IsTrue, qt.Commentf("%s", got.Body))
+		c.Assert(got.complete(callerRequest{}), qt.IsTrue, qt.Commentf("%s", got.Body))
 		c.Assert(got.version(), qt.Equals, strong)
 		c.Assert(s.executions(got.id()), qt.Equals, 1)
 		c.Assert(s.ledger.billsOf(got.id()), qt.HasLen, 1)
@@ -123,7 +123,7 @@
 				s.Admission.SetLimits([]*bronzeturnv1.Limit{{Organisation: "depot", DailySpendMicros: test.limit}}, 1)
 				got := s.send(report)
 				if test.version != "" {
-					c.Assert(got.whole(report), qt.IsTrue, qt.Commentf("%s", got.Body))
+					c.Assert(got.complete(report), qt.IsTrue, qt.Commentf("%s", got.Body))
 					c.Assert(got.version(), qt.Equals, test.version)
 					return
 				}
--- a/router/refusal_test.go
+++ b/router/refusal_test.go
@@ -164,7 +164,7 @@
 		s := newFixture(t)
 		first := callerRequest{header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
 		g := s.send(first)
-		c.Assert(g.whole(first), qt.IsTrue, qt.Commentf("%s", g.Body))
+		c.Assert(g.complete(first), qt.IsTrue, qt.Commentf("%s", g.Body))
 		again := s.send(first)
 		c.Assert(again.Body.String(), qt.Equals, g.Body.String())
 		c.Assert(s.network.hosts(), qt.HasLen, 1)
@@ -202,10 +202,10 @@
 		time.Sleep(100 * time.Millisecond)
 		other := callerRequest{}
 		start := time.Now()
-		c.Check(s.send(other).whole(other), qt.IsTrue)
+		c.Check(s.send(other).complete(other), qt.IsTrue)
 		c.Check(time.Since(start) < 1200*time.Millisecond, qt.IsTrue)
-		c.Check((<-answers).whole(tag), qt.IsTrue)
-		c.Check((<-answers).whole(tag), qt.IsTrue)
+		c.Check((<-answers).complete(tag), qt.IsTrue)
+		c.Check((<-answers).complete(tag), qt.IsTrue)
 		c.Check(s.network.hosts(), qt.HasLen, 2)
 	})
 }
@@ -246,7 +246,7 @@
 		s.setEngines(s.engines[0])
 		time.Sleep(time.Second) // The refusals made the balancer avoid the engines for a while.
 		third := s.send(tag)
-		c.Check(third.whole(tag), qt.IsTrue, qt.Commentf("a request that did not run may be sent again: %s", third.Body))
+		c.Check(third.complete(tag), qt.IsTrue, qt.Commentf("a request that did not run may be sent again: %s", third.Body))
 	})
 }
 
@@ -343,7 +343,7 @@
 			s.ledger.onBill = func(context.Context) error { return ledger.ErrStopped }
 			tag := callerRequest{stream: stream, header: header(callerapi.HeaderKind, "tag", callerapi.HeaderIdempotencyKey, "k1")}
 			g := s.send(tag)
-			c.Check(g.whole(tag), qt.IsFalse)
+			c.Check(g.complete(tag), qt.IsFalse)
 			c.Check(g.cut, qt.Equals, stream)
 			c.Check(g.failure().Code, qt.Equals, string(failure.CodeLedgerUnavailable))
 			c.Check(g.failure().Ran, qt.Equals, "yes")
--- a/router/site_test.go
+++ b/router/site_test.go
@@ -575,8 +575,8 @@
 	return text.String()
 }
 
-// whole reports whether the caller got the complete answer to its request.
-func (g callerResponse) whole(a callerRequest) bool {
+// complete reports whether the caller got the complete answer to its request.
+func (g callerResponse) complete(a callerRequest) bool {
 	if g.cut || g.Code != http.StatusOK || (a.stream && !strings.HasSuffix(g.Body.String(), "data: [DONE]\n\n")) {
 		return false
 	}
