--- a/router/property_test.go
+++ b/router/property_test.go
@@ -128,7 +128,7 @@
 	return d
 }
 
-// send sends the request after its delay, with its disconnection.
+// send sends the request after its delay, and disconnects after d.leaves unless it is zero.
 func (d drawnRequest) send(s *fixture) callerResponse {
 	time.Sleep(d.start)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -150,11 +150,11 @@
 		return "billed more than once"
 	case d.kind == "tag" && runs > 1:
 		return "a non-idempotent request ran more than once"
-	case g.whole(d.callerRequest) && bills != 1:
+	case g.complete(d.callerRequest) && bills != 1:
 		return "a complete answer without a bill"
-	case !g.cut && g.Code == http.StatusOK && !g.whole(d.callerRequest):
+	case !g.cut && g.Code == http.StatusOK && !g.complete(d.callerRequest):
 		return "an incomplete answer ended like a complete one"
-	case !g.whole(d.callerRequest) && g.failure().Code == "":
+	case !g.complete(d.callerRequest) && g.failure().Code == "":
 		return "a failure without a code"
 	case g.failure().Ran == "no" && runs > 0:
 		return "a failure that says the request did not run, although it ran"
