--- a/collect.go
+++ b/collect.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// collectInterval is the time between two collections of the parts that only
-	// old configurations use.
+	// collectInterval is the time between two garbage collections, which delete the
+	// parts that only old configurations refer to.
 	collectInterval = 10 * time.Minute
-	// collectTimeout bounds one collection.
+	// collectTimeout bounds one garbage collection.
 	collectTimeout = 2 * time.Minute
 	// keptGenerations is the number of older generations whose parts are kept,
 	// for daemons that lag behind.
 	keptGenerations = 100
-	// collectKey is the key whose preferred owner collects. Two daemons that
+	// collectKey is the key whose preferred owner collects garbage. Two daemons that
 	// collect at once do no harm.
 	collectKey = "config/collect"
 )
--- a/compiler.go
+++ b/compiler.go
@@ -78,9 +78,9 @@
 	return c.visible
 }
 
-// sharers estimates the number of daemons that send work to an engine of this
-// daemon, itself included.
-func (c *compiler) sharers() int {
+// daemonsPerEngine estimates how many daemons send requests to each engine that this
+// daemon uses, itself included.
+func (c *compiler) daemonsPerEngine() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot == nil {
--- a/decisions.go
+++ b/decisions.go
@@ -25,7 +25,8 @@
 // a fresh configuration. They can use the other addresses at once.
 const staleRetryAfter = time.Second
 
-// decisions holds the state of the decision packages.
+// decisions holds the state of the packages that decide about requests: version
+// selection, load balancing, retries, hedging and admission.
 type decisions struct {
 	quality   *quality.Store
 	rollouts  *rollout.Controller
@@ -89,7 +90,7 @@
 	d.goLoop("samples", n.sampler.run)
 	d.goLoop("admission", n.admission.Run)
 	d.goLoop("engine review", d.reviewEngines)
-	d.goLoop("room", d.updateRoom)
+	d.goLoop("room", d.updateLoads)
 }
 
 // reviewEngines periodically compares the engines' latencies and logs ejections
@@ -118,8 +119,8 @@
 	freshnessPollInterval = 5 * time.Millisecond
 )
 
-// checkFresh returns an error when this daemon hears neither the store nor most
-// of its peers, since it may have missed the withdrawal of a version.
+// checkFresh returns an error if this daemon hears neither the store nor most of
+// its peers, since it may then have missed the withdrawal of a version.
 func (d *Daemon) checkFresh(now time.Time) *failure.Error {
 	_, f := d.freshness(now)
 	return f
--- a/quarantine.go
+++ b/quarantine.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// recordsInterval is the mean time between two listings of the records. In between, the
-	// crash reports of other daemons tell of new crashes. They live longer than the interval.
+	// recordsInterval is the mean time between two listings of the records. In between, a
+	// daemon learns of new records from the crash reports of others, which expire only after a
+	// longer time.
 	recordsInterval = 4 * time.Minute
 	// recordsMaxRetryDelay bounds the delay after a failed listing.
 	recordsMaxRetryDelay = 10 * time.Second
--- a/ratings.go
+++ b/ratings.go
@@ -55,15 +55,15 @@
 		Table:       shared,
 		Owners:      d.fleet.members,
 		Dialer:      d.fleet.directory,
-		OnMerged:    l.judge,
+		OnMerged:    l.evaluate,
 		Log:         l.log,
 	})
 	return l
 }
 
-// judge runs the sequential test of a version's quality on ratings that this daemon
+// evaluate runs the sequential test of a version's quality on ratings that this daemon
 // has merged, and shares the result.
-func (l *learning) judge(c quality.Counts, now time.Time) {
+func (l *learning) evaluate(c quality.Counts, now time.Time) {
 	l.sync.Changed(c.Version, l.versions.EvaluateVersion(c, now))
 }
 
--- a/room.go
+++ b/room.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// roomInterval is the time between two updates of the engines' load in
+	// loadUpdateInterval is the time between two updates of the engines' load in
 	// admission and of this daemon's load in membership.
-	roomInterval = time.Second
+	loadUpdateInterval = time.Second
 	// reportMaxAge is the age above which a load report is ignored.
 	reportMaxAge = 10 * time.Second
 )
 
-// occupancy holds the last load report of each engine, from which admission
-// bounds bulk requests. It is safe for concurrent use.
+// occupancy holds the last load report of each engine. Admission bounds the bulk
+// requests in progress according to these reports. It is safe for concurrent use.
 type occupancy struct {
 	mu      sync.Mutex
 	reports map[string]engineLoad
@@ -42,25 +42,25 @@
 	o.reports[name] = engineLoad{requests: load.RunningRequests + load.QueuedRequests, at: at}
 }
 
-// rooms sums up the load of the engines of each version. It ignores engines without
+// groupLoads sums up the load of the engines of each version. It ignores engines without
 // a recent report.
-func (o *occupancy) rooms(engines []*bronzeturnv1.Engine, sharers int, now time.Time) map[string]admission.GroupLoad {
+func (o *occupancy) groupLoads(engines []*bronzeturnv1.Engine, daemonsPerEngine int, now time.Time) map[string]admission.GroupLoad {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	rooms := make(map[string]admission.GroupLoad)
+	loads := make(map[string]admission.GroupLoad)
 	for _, e := range engines {
 		report, ok := o.reports[e.GetName()]
 		if !ok || now.Sub(report.at) > reportMaxAge {
 			continue
 		}
 		for _, version := range e.GetVersions() {
-			room := rooms[version]
-			room.Daemons = sharers
-			room.Add(int(e.GetSlots()), report.requests)
-			rooms[version] = room
+			load := loads[version]
+			load.Daemons = daemonsPerEngine
+			load.Add(int(e.GetSlots()), report.requests)
+			loads[version] = load
 		}
 	}
-	return rooms
+	return loads
 }
 
 // fullLoadFactor is the multiple of its fair share of the engine slots at which a
@@ -78,17 +78,17 @@
 	if slots == 0 {
 		return 0
 	}
-	fair := float64(slots) / float64(d.compiler.sharers())
+	fair := float64(slots) / float64(d.compiler.daemonsPerEngine())
 	return min(float64(d.router.InProgress())/(fullLoadFactor*fair), 1)
 }
 
-// updateRoom periodically passes the engines' load to admission and this daemon's
+// updateLoads periodically passes the engines' load to admission and this daemon's
 // load to membership, until ctx ends.
-func (d *Daemon) updateRoom(ctx context.Context) error {
-	for backoff.Sleep(ctx, roomInterval) == nil {
-		visible, sharers := d.compiler.visibleEngines(), d.compiler.sharers()
-		for version, room := range d.decisions.occupancy.rooms(visible, sharers, time.Now()) {
-			d.decisions.admission.SetGroupLoad(version, room)
+func (d *Daemon) updateLoads(ctx context.Context) error {
+	for backoff.Sleep(ctx, loadUpdateInterval) == nil {
+		visible, daemonsPerEngine := d.compiler.visibleEngines(), d.compiler.daemonsPerEngine()
+		for version, load := range d.decisions.occupancy.groupLoads(visible, daemonsPerEngine, time.Now()) {
+			d.decisions.admission.SetGroupLoad(version, load)
 		}
 		d.fleet.members.SetLoad(d.loadShare())
 	}
