--- a/quarantine.go
+++ b/quarantine.go
@@ -40,7 +40,7 @@
 	log := logging.Part(d.log, "quarantine")
 	publish := func(key string, version uint64, value []byte) {
 		if err := d.fleet.members.Table().Publish(key, version, value); err != nil {
-			log.Warn().Err(err).Str("key", key).Msg("report of ended engines not published")
+			log.Warn().Err(err).Str("key", key).Msg("crash report not published")
 		}
 	}
 	return &requestQuarantine{daemon: d, Quarantine: quarantine.New(quarantine.Options{
