--- a/objectstore/memstore/memstore_test.go
+++ b/objectstore/memstore/memstore_test.go
@@ -59,7 +59,7 @@
 	return keys
 }
 
-func (m *model) newer(prefix string, after uint64) []uint64 {
+func (m *model) revisionsSince(prefix string, after uint64) []uint64 {
 	var revisions []uint64
 	for key, o := range m.objects {
 		if strings.HasPrefix(key, prefix) && o.Revision > after {
@@ -111,7 +111,7 @@
 			},
 			"watch": func(t *rapid.T) {
 				prefix, after := prefixes.Draw(t, "prefix"), rapid.Uint64Range(0, m.revision).Draw(t, "after")
-				want := m.newer(prefix, after)
+				want := m.revisionsSince(prefix, after)
 				if len(want) == 0 {
 					return
 				}
