--- a/standin/engine.go
+++ b/standin/engine.go
@@ -35,8 +35,7 @@
 	// length, between half and one and a half times the mean. Zero means 32.
 	AnswerTokens int
 	// CacheBlocks is the size of the prefix cache, in blocks of
-	// engine.PrefixBlockBytes.
-	// Zero means 4096.
+	// engine.PrefixBlockBytes. Zero means 4096.
 	CacheBlocks int
 	// CacheEventLag delays the publication of cache events. Every
 	// CacheEventGap-th event is lost; zero means none.
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -17,8 +17,8 @@
 	"github.com/bronzeturn/bronzeturn/engine"
 )
 
-// ask calls e in process with a request for n tokens and returns the response.
-func ask(ctx context.Context, e *Engine, id string, priority, n int, prompt string) *httptest.ResponseRecorder {
+// callEngine calls e in process with a request for n tokens and returns the response.
+func callEngine(ctx context.Context, e *Engine, id string, priority, n int, prompt string) *httptest.ResponseRecorder {
 	body := fmt.Sprintf(`{"model":"v","max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, n, prompt)
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body))
 	r.Header.Set(engine.HeaderRequestID, id)
@@ -45,7 +45,7 @@
 			priority int
 		}{{"first", 1}, {"bulk 1", 1}, {"bulk 2", 1}, {"urgent", 3}} {
 			go func() {
-				ask(t.Context(), e, r.id, r.priority, 10, "p")
+				callEngine(t.Context(), e, r.id, r.priority, 10, "p")
 				done <- r.id
 			}()
 			synctest.Wait()
@@ -62,10 +62,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{Slots: 1, QueueLimit: 1, TokensPerSecond: 10})
 		for i := range 2 {
-			go ask(t.Context(), e, strconv.Itoa(i), 1, 10, "p")
+			go callEngine(t.Context(), e, strconv.Itoa(i), 1, 10, "p")
 			synctest.Wait()
 		}
-		w := ask(t.Context(), e, "refused", 3, 10, "p")
+		w := callEngine(t.Context(), e, "refused", 3, 10, "p")
 		qt.Check(t, w.Code, qt.Equals, http.StatusTooManyRequests)
 		qt.Check(t, w.Header().Get(engine.HeaderNotRun), qt.Equals, "true")
 		time.Sleep(time.Minute)
@@ -76,14 +76,14 @@
 func TestRequestCanceledInTheQueueDoesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{Slots: 1, TokensPerSecond: 10})
-		go ask(t.Context(), e, "running", 1, 10, "p")
+		go callEngine(t.Context(), e, "running", 1, 10, "p")
 		synctest.Wait()
 		ctx, cancel := context.WithCancel(t.Context())
-		go ask(ctx, e, "canceled", 1, 10, "p")
+		go callEngine(ctx, e, "canceled", 1, 10, "p")
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
-		qt.Check(t, ask(t.Context(), e, "last", 1, 10, "p").Code, qt.Equals, http.StatusOK)
+		qt.Check(t, callEngine(t.Context(), e, "last", 1, 10, "p").Code, qt.Equals, http.StatusOK)
 		qt.Check(t, e.Executions(), qt.DeepEquals, map[string]int{"running": 1, "last": 1})
 	})
 }
@@ -92,11 +92,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{TokensPerSecond: 50})
 		start := time.Now()
-		ask(t.Context(), e, "1", 1, 101, "p")
+		callEngine(t.Context(), e, "1", 1, 101, "p")
 		qt.Check(t, time.Since(start), qt.Equals, 2*time.Second)
 		e.SetFaults(Faults{RateFactor: 0.5})
 		start = time.Now()
-		ask(t.Context(), e, "2", 1, 101, "p")
+		callEngine(t.Context(), e, "2", 1, 101, "p")
 		qt.Check(t, time.Since(start), qt.Equals, 4*time.Second)
 	})
 }
@@ -107,7 +107,7 @@
 		prompt := strings.Repeat("a", 4*engine.PrefixBlockBytes)
 		took := func(prompt string) time.Duration {
 			start := time.Now()
-			ask(t.Context(), e, "1", 1, 1, prompt)
+			callEngine(t.Context(), e, "1", 1, 1, prompt)
 			return time.Since(start).Truncate(time.Second)
 		}
 		qt.Check(t, took(prompt), qt.Equals, 4*time.Second)
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestEngine(EngineConfig{TokensPerSecond: 10, ReportLag: 2 * time.Second})
 		time.Sleep(time.Minute)
-		go ask(t.Context(), e, "1", 1, 100, "p")
+		go callEngine(t.Context(), e, "1", 1, 100, "p")
 		synctest.Wait()
 		running := func() int {
 			w := httptest.NewRecorder()
@@ -143,9 +143,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := NewEngine(EngineConfig{LoadTime: 5 * time.Second})
 		qt.Assert(t, e.orders.apply(time.Now(), engine.Order{ID: "1", Op: engine.OpLoad, Version: "v"}), qt.IsNil)
-		qt.Check(t, ask(t.Context(), e, "1", 1, 1, "p").Code, qt.Equals, http.StatusNotFound)
+		qt.Check(t, callEngine(t.Context(), e, "1", 1, 1, "p").Code, qt.Equals, http.StatusNotFound)
 		time.Sleep(5 * time.Second)
-		qt.Check(t, ask(t.Context(), e, "2", 1, 1, "p").Code, qt.Equals, http.StatusOK)
+		qt.Check(t, callEngine(t.Context(), e, "2", 1, 1, "p").Code, qt.Equals, http.StatusOK)
 		qt.Check(t, e.Executions(), qt.DeepEquals, map[string]int{"2": 1})
 	})
 }
@@ -195,9 +195,9 @@
 	}
 	c.Assert(put(`{"slowms":3}`), qt.Equals, http.StatusBadRequest)
 	c.Assert(put(`{"refuse":true}`), qt.Equals, http.StatusOK)
-	c.Assert(ask(ctx, e, "1", 1, 1, "p").Code, qt.Equals, http.StatusServiceUnavailable)
+	c.Assert(callEngine(ctx, e, "1", 1, 1, "p").Code, qt.Equals, http.StatusServiceUnavailable)
 	c.Assert(put(`{}`), qt.Equals, http.StatusOK)
-	c.Assert(ask(ctx, e, "1", 1, 1, "p").Code, qt.Equals, http.StatusOK)
+	c.Assert(callEngine(ctx, e, "1", 1, 1, "p").Code, qt.Equals, http.StatusOK)
 }
 
 var ctx = context.Background()
