--- a/measure/bench_test.go
+++ b/measure/bench_test.go
@@ -14,7 +14,8 @@
 	"github.com/bronzeturn/bronzeturn/selection"
 )
 
-// Numbers of versions and engines in a deployment of the target size.
+// Number of versions in a deployment of the target size, and number of engines that one
+// daemon uses there.
 const (
 	targetVersions = 36
 	targetEngines  = 65
--- a/measure/daemon.go
+++ b/measure/daemon.go
@@ -223,13 +223,13 @@
 		if q == nil {
 			continue
 		}
-		room := admission.GroupLoad{Daemons: daemonCount}
+		load := admission.GroupLoad{Daemons: daemonCount}
 		for _, e := range d.sim.serving[v.GetName()] {
 			if report, ok := d.reported[e]; ok && d.sim.now.Sub(report.asOf) < maxReportAge {
-				room.Add(int(e.GetSlots()), int(report.requests))
+				load.Add(int(e.GetSlots()), int(report.requests))
 			}
 		}
-		q.SetBulkLimit(room)
+		q.SetBulkLimit(load)
 		d.startWaiting(q)
 	}
 }
