--- a/e2e/chatcrash_test.go
+++ b/e2e/chatcrash_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// countLate returns how many engines exited later than detectionDelay after the exit number
-// maxCrashes, and how many exited in all.
+// countLate returns how many engines exited later than detectionDelay after the first maxCrashes
+// exits, and how many exited in all.
 func (e *engineExits) countLate() (late, all int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/e2e/crashing_test.go
+++ b/e2e/crashing_test.go
@@ -125,7 +125,7 @@
 
 // lateArrivals counts how often a request reached engines later than detectionDelay after it
 // had crashed maxCrashes of them, and how many engines it crashed in all.
-func (f *entryFleet) lateArrivals(body string) (late, ended int) {
+func (f *entryFleet) lateArrivals(body string) (late, crashed int) {
 	var times []time.Time
 	for _, c := range f.record.Crashes() {
 		if c.Body == body {
@@ -161,14 +161,14 @@
 	repeating.Wait()
 	background.Wait()
 
-	late, ended := f.lateArrivals(crashBodyPrefix + " 1")
+	late, crashed := f.lateArrivals(crashBodyPrefix + " 1")
 	served, failed := harmless.countSince(from.Add(6 * time.Second))
 	allServed, allFailed := harmless.countSince(from)
 	t.Logf("%d engines crashed, %d late arrivals; other requests: %d served and %d not, from the sixth second on %d and %d",
-		ended, late, allServed, allFailed, served, failed)
-	c.Check(ended >= maxCrashes, qt.IsTrue, qt.Commentf("%d engines ended", ended))
-	c.Check(late <= maxLateArrivals, qt.IsTrue, qt.Commentf("reached engines %d times more", late))
-	c.Check(failed*100 <= served, qt.IsTrue, qt.Commentf("%d others served, %d not", served, failed))
+		crashed, late, allServed, allFailed, served, failed)
+	c.Check(crashed >= maxCrashes, qt.IsTrue, qt.Commentf("%d engines crashed", crashed))
+	c.Check(late <= maxLateArrivals, qt.IsTrue, qt.Commentf("%d late arrivals at engines", late))
+	c.Check(failed*100 <= served, qt.IsTrue, qt.Commentf("%d other requests served, %d not", served, failed))
 }
 
 // TestQuarantineSurvivesStoreOutagesAndRestartsOfAllDaemons sends four requests that crash engines.
@@ -210,13 +210,13 @@
 	background.Wait()
 
 	for _, body := range bodies {
-		late, ended := f.lateArrivals(body)
-		t.Logf("%s: %d engines ended, %d late arrivals", body, ended, late)
-		c.Check(late <= maxLateArrivals, qt.IsTrue, qt.Commentf("%s reached engines %d times more", body, late))
+		late, crashed := f.lateArrivals(body)
+		t.Logf("%s: %d engines crashed, %d late arrivals", body, crashed, late)
+		c.Check(late <= maxLateArrivals, qt.IsTrue, qt.Commentf("%s: %d late arrivals at engines", body, late))
 	}
 	served, failed := harmless.countSince(from)
-	t.Logf("after the loss of all daemons %d others served, %d not", served, failed)
-	c.Check(failed*100 <= served, qt.IsTrue, qt.Commentf("%d others served, %d not", served, failed))
+	t.Logf("after the restart of all daemons: %d other requests served, %d not", served, failed)
+	c.Check(failed*100 <= served, qt.IsTrue, qt.Commentf("%d other requests served, %d not", served, failed))
 }
 
 // restart kills a daemon, starts it again and waits until it is ready.
