--- a/plainservice/plainservice.go
+++ b/plainservice/plainservice.go
@@ -94,7 +94,7 @@
 const MaxBodyBytes = 16 << 20
 
 var (
-	errTooLong = errors.New("answer exceeds its bound")
+	errTooLong = errors.New("answer exceeds the size limit")
 	errNotRun  = errors.New("service refused the call without running it")
 	errPath    = errors.New("path does not begin with a slash")
 )
