--- a/standin/answer.go
+++ b/standin/answer.go
@@ -47,7 +47,7 @@
 
 // ErrWrongAnswer reports an answer that is incomplete or belongs to another
 // request.
-var ErrWrongAnswer = errors.New("not the whole answer to the request")
+var ErrWrongAnswer = errors.New("not the complete answer to the request")
 
 // CheckAnswer verifies that text is the complete answer of an Engine to the
 // request with the given body. If it is not, the error wraps ErrWrongAnswer.
