--- a/objectstore/httpstore/httpstore.go
+++ b/objectstore/httpstore/httpstore.go
@@ -269,7 +269,7 @@
 func (e *StatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
 var (
-	errBadTag           = errors.New("entity tag is not a revision")
+	errBadTag           = errors.New("answer without a revision")
 	errResponseTooLarge = errors.New("response exceeds 64 MiB")
 )
 
