--- a/balance/health.go
+++ b/balance/health.go
@@ -167,8 +167,8 @@
 }
 
 // refused pauses an engine that is full, for busyPause doubled with each consecutive
-// refusal, or for retryAfter if that is longer, and for maxBusyPause at most. Refusals during the pause, of requests sent before it, are
-// not counted.
+// refusal, or for retryAfter if that is longer, and for maxBusyPause at most. Refusals
+// during the pause, of requests sent before it, are not counted.
 func (h *health) refused(now time.Time, retryAfter time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
