--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -70,6 +70,16 @@
 	return deployWith(c, deploymentSpec{daemons: daemons, engines: engines})
 }
 
+// deployInOutage deploys three daemons and two engines, has one request served, and then makes
+// the store refuse all calls.
+func deployInOutage(c *qt.C) *deployment {
+	d := deploy(c, 3, 2)
+	before := demo.Chat{Key: key, Prompt: "before"}
+	c.Assert(send(before, d.daemons[0].callers).Check(before), qt.IsNil)
+	setFaults(c, d.store, standin.Faults{Refuse: true})
+	return d
+}
+
 func deployWith(c *qt.C, spec deploymentSpec) *deployment {
 	d := &deployment{}
 	hostFile := filepath.Join(c.TempDir(), "hosts.json")
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -192,10 +192,7 @@
 func TestStoreOutage(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	d := deploy(c, 3, 2)
-	before := demo.Chat{Key: key, Prompt: "before"}
-	c.Assert(send(before, d.daemons[0].callers).Check(before), qt.IsNil)
-	setFaults(c, d.store, standin.Faults{Refuse: true})
+	d := deployInOutage(c)
 
 	const requests = 10
 	for i := range requests {
@@ -213,6 +210,7 @@
 	// daemons must write its bills.
 	d.daemons[0].kill()
 	setFaults(c, d.store, standin.Faults{})
+	// deployInOutage had one more request served before the outage.
 	eventually(c, "all bills drained", func() bool { return d.billCount(c, d.daemons[1].operators) == requests+1 })
 	eventually(c, "tags accepted again", func() bool {
 		got := send(tag, d.daemons[1].callers)
--- a/e2e/starved_test.go
+++ b/e2e/starved_test.go
@@ -10,7 +10,6 @@
 	qt "github.com/frankban/quicktest"
 
 	"github.com/bronzeturn/bronzeturn/demo"
-	"github.com/bronzeturn/bronzeturn/standin"
 )
 
 // longClaimPatience is a deployment whose claims wait long enough for a platform that gets no CPU
@@ -45,10 +44,7 @@
 func TestPausedDaemonAnswersDuringAStoreOutage(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	d := deploy(c, 3, 2)
-	before := demo.Chat{Key: key, Prompt: "before"}
-	c.Assert(send(before, d.daemons[0].callers).Check(before), qt.IsNil)
-	setFaults(c, d.store, standin.Faults{Refuse: true})
+	d := deployInOutage(c)
 	for i := range d.daemons {
 		d.daemons[i].pauseFor(c, 1500*time.Millisecond)
 		chat := demo.Chat{Key: key, Prompt: fmt.Sprintf("after a pause %d", i)}
--- a/provider/fake_test.go
+++ b/provider/fake_test.go
@@ -73,6 +73,17 @@
 	return f
 }
 
+// startThree starts three daemons, of which the first watches, brings a first configuration in
+// force and returns the last daemon.
+func (f *fleet) startThree() *node {
+	f.start("d0", true)
+	f.start("d1", false)
+	last := f.start("d2", false)
+	f.apply(1)
+	time.Sleep(2 * time.Second)
+	return last
+}
+
 // start starts a daemon, or restarts one that was crashed.
 func (f *fleet) start(name string, watching bool) *node {
 	n := &node{fleet: f, name: name, watching: watching, changed: make(chan struct{})}
--- a/provider/provider_test.go
+++ b/provider/provider_test.go
@@ -344,13 +344,11 @@
 		c := qt.New(t)
 		f := newFleet(t, 5)
 		defer f.close()
-		nodes := []*node{f.start("d0", true), f.start("d1", false), f.start("d2", false)}
-		f.apply(1)
-		time.Sleep(2 * time.Second)
-		resumed := nodes[2].provider
+		last := f.startThree()
+		resumed := last.provider
 		fresh := func() (bool, Reason) { return resumed.CheckFreshness(time.Now(), 2, 2, 2) }
 
-		reads := nodes[2].storeReads()
+		reads := last.storeReads()
 		simulatePause(resumed)
 		ok, reason := fresh()
 		c.Assert(ok, qt.IsFalse)
@@ -359,7 +357,7 @@
 		ok, reason = fresh()
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(reason, qt.Equals, ReasonConfirmed)
-		c.Assert(nodes[2].storeReads(), qt.Equals, reads+1)
+		c.Assert(last.storeReads(), qt.Equals, reads+1)
 
 		// If the store is down for all, the majority counts after resumeGracePeriod.
 		f.failStoreCalls()
@@ -380,10 +378,7 @@
 		c := qt.New(t)
 		f := newFleet(t, 5)
 		defer f.close()
-		nodes := []*node{f.start("d0", true), f.start("d1", false), f.start("d2", false)}
-		f.apply(1)
-		time.Sleep(2 * time.Second)
-		resumed := nodes[2].provider
+		resumed := f.startThree().provider
 		f.failStoreCalls()
 		time.Sleep(20 * time.Second)
 		for range 2 { // Answers after an earlier pause do not count.
