--- a/configuration.go
+++ b/configuration.go
@@ -134,7 +134,7 @@
 }
 
 func newWatcher(members *membership.Membership) *watcher {
-	w := &watcher{members: members, watching: members.Watching(), changed: make(chan struct{})}
+	w := &watcher{members: members, watching: members.IsWatcher(), changed: make(chan struct{})}
 	members.Subscribe(w.viewChanged)
 	return w
 }
@@ -142,7 +142,7 @@
 func (w *watcher) viewChanged(v *membership.View) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	watching := v.Watching(v.Self)
+	watching := v.IsWatcher(v.Self)
 	if watching == w.watching {
 		return
 	}
--- a/membership/hosts.go
+++ b/membership/hosts.go
@@ -54,7 +54,7 @@
 		case <-m.tomb.Dying():
 			return nil
 		case <-ticker.C:
-			if m.Watching() {
+			if m.IsWatcher() {
 				w.read(m.tomb.Context(context.Background()))
 			} else {
 				w.known = 0
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -154,10 +154,10 @@
 	return name, name == m.options.Self.Name
 }
 
-// Watching tells whether this daemon is one of the few that read the store and
+// IsWatcher tells whether this daemon is one of the few that read the store and
 // the host list.
-func (m *Membership) Watching() bool {
-	return m.view.Load().Watching(m.options.Self.Name)
+func (m *Membership) IsWatcher() bool {
+	return m.view.Load().IsWatcher(m.options.Self.Name)
 }
 
 // BackendLeaving tells whether the host list shows the host leaving or gone. It
--- a/membership/view.go
+++ b/membership/view.go
@@ -113,8 +113,8 @@
 // Live returns the number of live daemons.
 func (v *View) Live() int { return v.live.Len() }
 
-// Watching tells whether the named daemon is a watcher.
-func (v *View) Watching(name string) bool {
+// IsWatcher tells whether the named daemon is a watcher.
+func (v *View) IsWatcher(name string) bool {
 	for _, w := range v.Watchers {
 		if w == name {
 			return true
--- a/roles.go
+++ b/roles.go
@@ -9,7 +9,7 @@
 // roles lists the work for the fleet that this daemon is preferred for now.
 func (d *Daemon) roles() []*bronzeturnv1.Role {
 	var roles []*bronzeturnv1.Role
-	if d.fleet.members.Watching() {
+	if d.fleet.members.IsWatcher() {
 		roles = append(roles,
 			&bronzeturnv1.Role{Kind: bronzeturnv1.RoleKind_ROLE_KIND_CONFIGURATION_WATCHER},
 			&bronzeturnv1.Role{Kind: bronzeturnv1.RoleKind_ROLE_KIND_HOST_LIST_WATCHER},
