--- a/engine/reports.go
+++ b/engine/reports.go
@@ -23,9 +23,9 @@
 	Stored bool `json:"stored"`
 }
 
-// Load is an engine's report of its load at the time AsOf, which may be a few
+// LoadReport is an engine's report of its load at the time AsOf, which may be a few
 // seconds ago.
-type Load struct {
+type LoadReport struct {
 	QueuedTokens    int64    `json:"queued_tokens"`
 	QueuedRequests  int      `json:"queued_requests"`
 	RunningRequests int      `json:"running_requests"`
@@ -71,8 +71,8 @@
 	Fencing uint64 `json:"fencing"`
 }
 
-// Reports reads load reports of engines and sends them orders.
-type Reports struct {
+// ControlClient reads load reports of engines and sends them orders.
+type ControlClient struct {
 	transport http.RoundTripper
 	timeout   time.Duration
 }
@@ -84,30 +84,30 @@
 	totalFactor = 2
 )
 
-// NewReports returns Reports over transport. A call ends after 2 s without
+// NewControlClient returns Reports over transport. A call ends after 2 s without
 // progress, and after 4 s in any case.
-func NewReports(transport http.RoundTripper) *Reports {
-	return &Reports{transport: transport, timeout: reportTimeout}
+func NewControlClient(transport http.RoundTripper) *ControlClient {
+	return &ControlClient{transport: transport, timeout: reportTimeout}
 }
 
 // Load returns the report of the engine with all cache events it still keeps.
 // The error is an *Error.
-func (r *Reports) Load(ctx context.Context, address string) (Load, error) {
+func (r *ControlClient) Load(ctx context.Context, address string) (LoadReport, error) {
 	return r.LoadSince(ctx, address, 0)
 }
 
 // LoadSince returns the report of the engine with the cache events whose
 // sequence is above after. The error is an *Error.
-func (r *Reports) LoadSince(ctx context.Context, address string, after uint64) (Load, error) {
+func (r *ControlClient) LoadSince(ctx context.Context, address string, after uint64) (LoadReport, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	var load Load
+	var load LoadReport
 	err := r.call(ctx, http.MethodGet, "http://"+address+PathLoad+"?"+query.Encode(), nil, &load)
 	return load, err
 }
 
 // Order sends an order and returns the engine's state after it. The error is
 // an *Error, of kind Fenced when the engine has met a higher fencing number.
-func (r *Reports) Order(ctx context.Context, address string, o Order) (State, error) {
+func (r *ControlClient) Order(ctx context.Context, address string, o Order) (State, error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return State{}, fmt.Errorf("encode order: %w", err)
@@ -118,7 +118,7 @@
 }
 
 // call makes one call and decodes its JSON answer into into.
-func (r *Reports) call(ctx context.Context, method, target string, body []byte, into any) error {
+func (r *ControlClient) call(ctx context.Context, method, target string, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, totalFactor*r.timeout)
 	defer cancel()
 	x, err := attempt.Send(ctx, r.transport, attempt.Request{
--- a/feedback.go
+++ b/feedback.go
@@ -31,7 +31,7 @@
 
 // loadReporter asks the visible engines for their load, in turn.
 type loadReporter struct {
-	reports   *engine.Reports
+	reports   *engine.ControlClient
 	state     *balance.State
 	occupancy *occupancy
 	engines   func() []*bronzeturnv1.Engine
@@ -94,7 +94,7 @@
 }
 
 // cacheEvents passes on what is new, and that something was missed.
-func (l *loadReporter) cacheEvents(name string, load engine.Load, now time.Time) {
+func (l *loadReporter) cacheEvents(name string, load engine.LoadReport, now time.Time) {
 	last := l.seen(name)
 	for _, ev := range load.CacheEvents {
 		if ev.Sequence > last+1 && last > 0 {
--- a/orders/decide.go
+++ b/orders/decide.go
@@ -39,7 +39,7 @@
 
 // observed is what is known of one engine.
 type observed struct {
-	load engine.Load
+	load engine.LoadReport
 	// fresh tells that load was read in this round.
 	fresh bool
 	// pending gives the time until which a change already ordered is waited for.
@@ -56,7 +56,7 @@
 }
 
 // see takes in a load report and forgets what it settles.
-func (o *observed) see(load engine.Load, target Target, now time.Time) {
+func (o *observed) see(load engine.LoadReport, target Target, now time.Time) {
 	o.load = load
 	o.fresh = true
 	for c, until := range o.pending {
@@ -77,7 +77,7 @@
 }
 
 // done tells whether the report shows the change.
-func (c change) done(load engine.Load) bool {
+func (c change) done(load engine.LoadReport) bool {
 	switch c.op {
 	case engine.OpLoad:
 		return slices.Contains(load.Versions, c.version)
@@ -134,7 +134,7 @@
 }
 
 // differences returns the changes that lead from the report to the target.
-func differences(target Target, load engine.Load) []change {
+func differences(target Target, load engine.LoadReport) []change {
 	var changes []change
 	for _, version := range target.Versions {
 		if !slices.Contains(load.Versions, version) {
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -32,7 +32,7 @@
 // Engines reads the state of engines and sends them orders. Calls must end
 // with the context.
 type Engines interface {
-	Load(ctx context.Context, address string) (engine.Load, error)
+	Load(ctx context.Context, address string) (engine.LoadReport, error)
 	Order(ctx context.Context, address string, o engine.Order) (engine.State, error)
 }
 
--- a/orders/pool.go
+++ b/orders/pool.go
@@ -184,7 +184,7 @@
 func (p *pool) observe(ctx context.Context, d Desired) {
 	ctx, cancel := context.WithTimeout(ctx, p.runner.options.ReadTimeout)
 	defer cancel()
-	loads := make([]*engine.Load, len(d.Engines))
+	loads := make([]*engine.LoadReport, len(d.Engines))
 	var wait sync.WaitGroup
 	free := make(chan struct{}, readers)
 	for i := range d.Engines {
@@ -204,7 +204,7 @@
 
 // take takes in the reports of one round. What was known of engines that left
 // the pool is dropped.
-func (p *pool) take(d Desired, loads []*engine.Load) {
+func (p *pool) take(d Desired, loads []*engine.LoadReport) {
 	now := time.Now()
 	old := p.seen
 	p.seen = make(map[string]*observed, len(d.Engines))
--- a/platform.go
+++ b/platform.go
@@ -33,7 +33,7 @@
 	ratings  *rating.Client
 	weights  *weightstore.Client
 	engines  *engine.Client
-	reports  *engine.Reports
+	reports  *engine.ControlClient
 	services *plainservice.Client
 }
 
@@ -47,7 +47,7 @@
 		store:    httpstore.New(d.settings.GetStoreUrl(), client),
 		hosts:    hostlist.New(d.settings.GetHostListUrl(), client),
 		engines:  engine.New(transport),
-		reports:  engine.NewReports(transport),
+		reports:  engine.NewControlClient(transport),
 		services: plainservice.New(transport),
 	}
 	if url := d.settings.GetRatingUrl(); url != "" {
--- a/room.go
+++ b/room.go
@@ -36,7 +36,7 @@
 func newOccupancy() *occupancy { return &occupancy{reports: make(map[string]occupied)} }
 
 // reported takes in a load report.
-func (o *occupancy) reported(name string, load engine.Load, at time.Time) {
+func (o *occupancy) reported(name string, load engine.LoadReport, at time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.reports[name] = occupied{requests: load.RunningRequests + load.QueuedRequests, at: at}
--- a/standin/generate.go
+++ b/standin/generate.go
@@ -242,7 +242,7 @@
 	e.mu.Lock()
 	s, _ := e.past.asOf(known)
 	e.mu.Unlock()
-	writeJSON(w, engine.Load{
+	writeJSON(w, engine.LoadReport{
 		QueuedTokens: s.tokens, QueuedRequests: s.queued, RunningRequests: s.running, FreeSlots: s.free,
 		Versions: state.Versions, Role: state.Role, CacheEvents: events, Sequence: sequence, AsOf: known,
 	})
