--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin serves what monitoring asks of a daemon: /metrics, /healthz and
-// /readyz, and /debug/pprof when the settings say so. It carries nothing of
-// callers and has no authentication: its listener belongs on a private address.
+// Package admin serves /metrics, /healthz and /readyz of a daemon for monitoring, and
+// /debug/pprof if the settings enable it. It serves no data of callers and has no
+// authentication, so its listener must have a private address.
 package admin
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/uptrace/bunrouter"
 )
 
-// Paths served.
+// Paths that the handler serves.
 const (
 	PathMetrics = "/metrics"
 	PathHealth  = "/healthz"
@@ -21,14 +21,14 @@
 	pathPprof   = "/debug/pprof"
 )
 
-// Readiness tells whether the daemon takes new work.
+// Readiness reports whether the daemon accepts new work.
 type Readiness interface {
-	// Ready returns nil, or why the daemon takes no new work, for example that
-	// it is leaving or has no configuration. It must not block.
+	// Ready returns nil, or the reason why the daemon accepts no new work, for example that
+	// it is shutting down or has no configuration. It must not block.
 	Ready() error
 }
 
-// Options are the parts that a Handler serves.
+// Options holds what the handler serves.
 type Options struct {
 	Metrics   prometheus.Gatherer
 	Readiness Readiness
--- a/caller/answer.go
+++ b/caller/answer.go
@@ -13,14 +13,15 @@
 	"github.com/bronzeturn/bronzeturn/callerapi"
 )
 
-// Words of server-sent events in the usual protocol of language model APIs.
+// Parts of streamed answers, which are server-sent events as in the chat completions
+// protocol of language model APIs.
 const (
 	eventDataPrefix = "data:"
 	eventDone       = "[DONE]"
 	contentStream   = "text/event-stream"
-	// maxEventBytes bounds one event.
+	// maxEventBytes is the size limit of one line of the stream.
 	maxEventBytes = 1 << 20
-	// headerPrefix begins the headers that daemons add to answers.
+	// headerPrefix is the prefix of headers that daemons add to answers.
 	headerPrefix = "Bronzeturn-"
 )
 
@@ -30,14 +31,14 @@
 	Completion int64 `json:"completion_tokens"`
 }
 
-// choice is one alternative of an answer, whole or one event's part of it.
+// choice is one alternative of an answer, or the part of it in one event of a stream.
 type choice struct {
 	Message      Message `json:"message"`
 	Delta        Message `json:"delta"`
 	FinishReason string  `json:"finish_reason"`
 }
 
-// completionAnswer is a whole answer or one event of a stream.
+// completionAnswer is the body of an answer in one piece, or one event of a stream.
 type completionAnswer struct {
 	Model   string                 `json:"model"`
 	Choices []choice               `json:"choices"`
@@ -45,13 +46,13 @@
 	Error   *callerapi.ErrorDetail `json:"error"`
 }
 
-// Header is one header that the daemon added.
+// Header is one header that the daemon added to the answer.
 type Header struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// Answer is what a caller got, checked to be whole.
+// Answer is a complete answer of a model. FirstToken is zero unless it was streamed.
 type Answer struct {
 	Address      string        `json:"address"`
 	RequestID    string        `json:"request_id"`
@@ -72,7 +73,7 @@
 	Body      []byte
 }
 
-// newAnswer takes the headers of r.
+// newAnswer returns an Answer with what the headers of r say.
 func newAnswer(r *http.Response) *Answer {
 	return &Answer{
 		Address:   r.Request.URL.Host,
@@ -82,7 +83,7 @@
 	}
 }
 
-// addedHeaders returns the headers that the daemon added, in order.
+// addedHeaders returns the headers that the daemon added, sorted by name.
 func addedHeaders(r *http.Response) []Header {
 	added := []Header{}
 	for name := range r.Header {
@@ -98,7 +99,7 @@
 func readService(r *http.Response) (*ServiceAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, &BrokenAnswerError{Reason: "body is not whole", Cause: err}
+		return nil, &BrokenAnswerError{Reason: "response body is incomplete or invalid", Cause: err}
 	}
 	return &ServiceAnswer{
 		Address:   r.Request.URL.Host,
@@ -108,12 +109,12 @@
 	}, nil
 }
 
-// readWhole reads an answer that comes in one piece.
+// readWhole reads an answer in one piece.
 func readWhole(r *http.Response, start time.Time) (*Answer, error) {
 	a := newAnswer(r)
 	var body completionAnswer
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxAnswerBytes)).Decode(&body); err != nil {
-		return nil, &BrokenAnswerError{Reason: "body is not whole", Cause: err}
+		return nil, &BrokenAnswerError{Reason: "response body is incomplete or invalid", Cause: err}
 	}
 	if body.Error != nil {
 		return nil, &BrokenAnswerError{Reason: "error in the body", Detail: body.Error}
@@ -123,7 +124,7 @@
 	return a, a.checkFinished()
 }
 
-// readStream reads server-sent events up to the end mark and hands every piece
+// readStream reads server-sent events up to the final [DONE] event and passes each piece
 // of text to onText.
 func readStream(r *http.Response, start time.Time, onText func(string)) (*Answer, error) {
 	a := newAnswer(r)
@@ -143,10 +144,10 @@
 			return nil, err
 		}
 	}
-	return nil, &BrokenAnswerError{Reason: "stream ended without its end mark", Cause: scanner.Err()}
+	return nil, &BrokenAnswerError{Reason: "stream ended without [DONE]", Cause: scanner.Err()}
 }
 
-// addEvent takes the data of one addEvent.
+// addEvent adds the data of one event to the answer and passes its text to onText.
 func (a *Answer) addEvent(data []byte, start time.Time, onText func(string)) error {
 	var event completionAnswer
 	if err := json.Unmarshal(data, &event); err != nil {
@@ -168,7 +169,8 @@
 	return nil
 }
 
-// add adds one body or event and returns its text.
+// add adds the content of a body or event to the answer and returns its text. textOf
+// returns the text of a choice.
 func (a *Answer) add(body completionAnswer, textOf func(choice) string) string {
 	if body.Usage != nil {
 		a.Usage = *body.Usage
@@ -184,7 +186,7 @@
 	return text
 }
 
-// checkFinished reports an answer that ended like a whole one and is not.
+// checkFinished returns an error for an answer that ended without a finish reason.
 func (a *Answer) checkFinished() error {
 	if a.FinishReason == "" {
 		return &BrokenAnswerError{Reason: "no finish reason"}
@@ -192,12 +194,12 @@
 	return nil
 }
 
-// isStream tells whether the answer comes as server-sent events.
+// isStream reports whether the answer is a stream of server-sent events.
 func isStream(r *http.Response) bool {
 	return strings.HasPrefix(r.Header.Get("Content-Type"), contentStream)
 }
 
-// readAnswer reads the answer as its content type says.
+// readAnswer reads the answer, streamed or in one piece according to its content type.
 func readAnswer(r *http.Response, start time.Time, onText func(string)) (*Answer, error) {
 	if isStream(r) {
 		return readStream(r, start, onText)
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,13 +1,14 @@
-// Package caller is the client library for the programs of organisations. A
-// Client asks any daemon which addresses to use, keeps the answer for its time
-// and connects there. It repeats a request at another daemon only where that
-// can't make the request run twice, and it tells whole answers from broken ones.
+// Package caller is the client library for callers, the programs of organisations.
+// A Client fetches the addresses to use from any daemon, caches them as long as
+// the daemon allows, and sends requests there. It retries a request at another
+// daemon only if that can't make the request run twice, and it reports incomplete
+// answers as errors.
 //
 //	c, err := caller.New(caller.Options{Entry: "127.0.0.1:8080", Key: key})
 //	if err != nil { ... }
 //	answer, err := c.Complete(ctx, caller.Params{Kind: "report"}, caller.Prompt("motor 4"), nil)
 //
-// Failures are a *RefusalError, an *UnavailableError or a *BrokenAnswerError.
+// A failed request gives a *RefusalError, an *UnavailableError or a *BrokenAnswerError.
 package caller
 
 import (
@@ -29,50 +30,53 @@
 	"github.com/bronzeturn/bronzeturn/security"
 )
 
-// Bounds of a client's connections.
+// Limits of a client.
 const (
 	dialTimeout = 2 * time.Second
-	// entriesTimeout bounds the question which addresses to use.
+	// entriesTimeout is the time limit for fetching the entry addresses, over all daemons
+	// that are asked.
 	entriesTimeout = 5 * time.Second
-	// maxEntriesAge bounds how long an answer is believed.
+	// maxEntriesAge is the longest time for which entry addresses are cached, whatever the
+	// daemon allows.
 	maxEntriesAge = 10 * time.Minute
-	// maxAttempts bounds the entries tried for one request.
+	// maxAttempts is the largest number of entries tried for one request.
 	maxAttempts = 3
-	// maxAnswerBytes bounds a whole answer and an error body.
+	// maxAnswerBytes is the size limit of an answer in one piece and of an error body.
 	maxAnswerBytes = 64 << 20
-	// maxDrainedBytes bounds what is read of a body that nobody wants.
+	// maxDrainedBytes is how much of an unused body is read so that its connection can be
+	// reused.
 	maxDrainedBytes = 64 << 10
-	// idleConnections is the number of connections kept for each entry.
+	// idleConnections is the largest number of idle connections kept per entry.
 	idleConnections = 512
 )
 
-// Options say whom to ask first, and as whom.
+// Options name the daemon to ask for entry addresses, and the credentials.
 type Options struct {
-	// Entry is any daemon's address for callers: IP:PORT, or an http or https
+	// Entry is the address of any daemon for callers: IP:PORT, or an http or https
 	// URL. Required.
 	Entry string
-	// Key is the key of the organisation. It is never logged or printed.
+	// Key is the API key of the organisation. It is never logged or printed.
 	Key string
-	// Authorities is a PEM file with those that sign the daemons' certificates.
-	// Empty: those of the system.
+	// Authorities is the path of a PEM file with the certificate authorities of the
+	// daemons. If empty, those of the system are used.
 	Authorities string
 }
 
-// Client sends requests as the program of an organisation does. It is safe for
-// concurrent use.
+// Client sends requests of an organisation to daemons. It is safe for concurrent use.
 type Client struct {
 	http   *http.Client
 	scheme string
 	key    logging.Secret
 	entry  string
 
-	// mu guards the answer kept, and makes concurrent requests ask once.
+	// mu guards the cached entries. It is held while they are fetched, so that concurrent
+	// requests fetch them once.
 	mu      sync.Mutex
 	entries callerapi.Entries
 	expires time.Time
 }
 
-// New returns a client. It connects to nothing yet. A wrong entry is an
+// New returns a client. It does not connect yet. An invalid Options.Entry gives an
 // *OptionError.
 func New(o Options) (*Client, error) {
 	scheme, address, found := strings.Cut(o.Entry, "://")
@@ -97,7 +101,7 @@
 	return &Client{http: client, scheme: scheme, key: logging.NewSecret(o.Key), entry: address}, nil
 }
 
-// hasPort tells whether the address is a host and the number of a port.
+// hasPort reports whether the address is a host and a port number.
 func hasPort(address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -107,14 +111,15 @@
 	return err == nil
 }
 
-// Close closes the connections that are not in use.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// noRedirect keeps the key from being sent elsewhere.
+// noRedirect stops the client from following redirects, which could send the key to
+// another server.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Dial opens a connection within the bound for callers. Its failures are told
-// apart from those of a request that may have left.
+// Dial opens a connection, with a time limit of dialTimeout. Its errors are marked, so
+// that a Client can tell them from those of a request that may have been sent.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 	if err != nil {
@@ -123,8 +128,8 @@
 	return conn, nil
 }
 
-// Entries returns which addresses to use, best first, from the answer kept or a
-// new one.
+// Entries returns the addresses to use, best first, from the cache or from a daemon.
+// It asks the cached addresses first, then Options.Entry.
 func (c *Client) Entries(ctx context.Context) (callerapi.Entries, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,33 +139,34 @@
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	known := append(slices.Clone(c.entries.Addresses), c.entry)
-	var failed error
+	var lastErr error
 	for _, address := range known {
 		entries, err := c.fetchEntries(ctx, address)
 		if err == nil {
 			c.cacheEntries(entries)
 			return entries, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	return callerapi.Entries{}, failed
+	return callerapi.Entries{}, lastErr
 }
 
-// cacheEntries stores an answer for its time, within bounds. The caller holds the lock.
+// cacheEntries caches entries as long as the daemon allows, at most maxEntriesAge. The
+// caller holds mu.
 func (c *Client) cacheEntries(entries callerapi.Entries) {
 	c.entries = entries
-	kept := time.Duration(entries.KeepSeconds) * time.Second
-	c.expires = time.Now().Add(min(max(kept, 0), maxEntriesAge))
+	age := time.Duration(entries.KeepSeconds) * time.Second
+	c.expires = time.Now().Add(min(max(age, 0), maxEntriesAge))
 }
 
-// expireEntries makes the next request ask anew which addresses to use.
+// expireEntries makes the next request fetch the entry addresses again.
 func (c *Client) expireEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// fetchEntries asks one daemon which addresses to use.
+// fetchEntries fetches the entry addresses from one daemon.
 func (c *Client) fetchEntries(ctx context.Context, address string) (callerapi.Entries, error) {
 	var entries callerapi.Entries
 	request, err := c.newRequest(ctx, http.MethodGet, address, callerapi.PathEntries, nil)
@@ -178,5 +184,5 @@
 	return entries, nil
 }
 
-// NewIdempotencyKey returns a random key.
+// NewIdempotencyKey returns a random idempotency key.
 func NewIdempotencyKey() string { return rand.Text() }
--- a/caller/callertest/callertest.go
+++ b/caller/callertest/callertest.go
@@ -1,4 +1,4 @@
-// Package callertest is a fake daemon as callers see it, for tests of clients.
+// Package callertest provides a fake daemon for tests of package caller and its users.
 package callertest
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/bronzeturn/bronzeturn/callerapi"
 )
 
-// keepSeconds is how long the answer which addresses to use may be kept.
+// keepSeconds is how long clients may cache the entry addresses.
 const keepSeconds = 60
 
-// Data of the events of a streamed answer, "all good" in two pieces.
+// Data of the events of a streamed answer. EventText and EventFinish together give the
+// text "all good".
 const (
 	EventText   = `{"choices":[{"delta":{"content":"all "}}]}`
 	EventFinish = `{"choices":[{"delta":{"content":"good"},"finish_reason":"stop"}]}`
@@ -24,10 +25,10 @@
 	EventDone   = "[DONE]"
 )
 
-// Entry is a fake daemon. Close must be called at the end.
+// Entry is a fake daemon. It must be closed after use.
 type Entry struct {
 	*httptest.Server
-	// chat answers requests to models and services.
+	// chat handles requests to models and services.
 	chat http.HandlerFunc
 
 	mu             sync.Mutex
@@ -42,7 +43,8 @@
 	Body   string
 }
 
-// NewEntry starts a fake daemon that names itself to callers.
+// NewEntry starts a fake daemon whose list of entry addresses is its own address. chat
+// handles requests to models and services.
 func NewEntry(chat http.HandlerFunc) *Entry {
 	e := &Entry{chat: chat}
 	e.Server = httptest.NewServer(e)
@@ -50,24 +52,24 @@
 	return e
 }
 
-// Address returns the address for callers.
+// Address returns the address on which the daemon listens.
 func (e *Entry) Address() string { return e.Listener.Addr().String() }
 
-// SetAddresses makes the fake name these addresses to callers.
+// SetAddresses sets the entry addresses that the daemon returns.
 func (e *Entry) SetAddresses(addresses ...string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.entries = callerapi.Entries{Addresses: addresses, KeepSeconds: keepSeconds}
 }
 
-// EntriesQueries returns how often callers asked which addresses to use.
+// EntriesQueries returns how often the entry addresses were fetched.
 func (e *Entry) EntriesQueries() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.entriesQueries
 }
 
-// Requests returns the requests to models and services so far.
+// Requests returns the requests to models and services received so far.
 func (e *Entry) Requests() []Request {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,14 +96,14 @@
 	_ = json.NewEncoder(w).Encode(e.entries)
 }
 
-// AnswerWhole answers in one piece.
+// AnswerWhole answers with "all good" in one piece.
 func AnswerWhole(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(callerapi.HeaderVersion, "diag-large@3")
 	w.Header().Set(callerapi.HeaderRequestID, "r1")
 	_, _ = io.WriteString(w, `{"model":"diag-large@3","choices":[{"message":{"role":"assistant","content":"all good"},"finish_reason":"stop"}],"usage":{"prompt_tokens":4,"completion_tokens":2}}`)
 }
 
-// Stream returns a handler that answers with the given data of events.
+// Stream returns a handler that answers with a stream of the given events' data.
 func Stream(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -111,7 +113,7 @@
 	}
 }
 
-// Refuse returns a handler that answers with a failure.
+// Refuse returns a handler that answers with an error.
 func Refuse(status int, detail callerapi.ErrorDetail) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -7,7 +7,7 @@
 	"github.com/bronzeturn/bronzeturn/callerapi"
 )
 
-// OptionError reports an option that can't be used.
+// OptionError reports an invalid option.
 type OptionError struct {
 	Option string
 	Reason string
@@ -16,7 +16,8 @@
 // Error implements error.
 func (e *OptionError) Error() string { return e.Option + " " + e.Reason }
 
-// RefusalError is the answer of a daemon that refused or failed a request.
+// RefusalError is the error that a daemon answered with: it refused the request, or the
+// request failed.
 type RefusalError struct {
 	Status  int
 	Address string
@@ -32,8 +33,8 @@
 	return text
 }
 
-// UnavailableError reports that no answer came. Unless Sent, the request never
-// left this process.
+// UnavailableError reports that no answer was received. If Sent is false, no connection
+// could be opened and the request was not sent.
 type UnavailableError struct {
 	Address string
 	Sent    bool
@@ -51,10 +52,10 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// BrokenAnswerError reports an answer that began and did not come whole.
+// BrokenAnswerError reports an answer that began but is incomplete or invalid.
 type BrokenAnswerError struct {
 	Reason string
-	// Detail is what the daemon said about the break, if anything.
+	// Detail is the error that the daemon put into the answer, or nil.
 	Detail *callerapi.ErrorDetail
 	Cause  error
 }
@@ -74,7 +75,7 @@
 // Unwrap returns the cause.
 func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
 
-// dialError marks a failure to open a connection.
+// dialError marks an error of opening a connection.
 type dialError struct{ cause error }
 
 // Error implements error.
--- a/caller/example_test.go
+++ b/caller/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/bronzeturn/bronzeturn/caller/callertest"
 )
 
-// A program asks for a streamed answer and tells refusals from other failures.
+// A program asks for a streamed answer and distinguishes refusals from other errors.
 func ExampleClient_Complete() {
 	daemon := callertest.NewEntry(callertest.Stream(
 		callertest.EventText, callertest.EventFinish, callertest.EventUsage, callertest.EventDone))
--- a/caller/request.go
+++ b/caller/request.go
@@ -16,24 +16,24 @@
 	"github.com/bronzeturn/bronzeturn/failure"
 )
 
-// Params say how a request is to be run. All are optional.
+// Params are the parameters of a request that daemons take from headers. All are optional.
 type Params struct {
 	// Kind is the task kind, as defined by the rules.
 	Kind string
-	// Conversation names the conversation whose version to keep.
+	// Conversation names a conversation. All its requests run on the same version.
 	Conversation string
-	// IdempotencyKey makes a repeat get the first outcome.
+	// IdempotencyKey makes a repeated request get the outcome of the first one.
 	IdempotencyKey string
-	// Priority is bulk, normal or urgent. It only lowers that of the kind.
+	// Priority is bulk, normal or urgent. It can only lower the priority of the kind.
 	Priority string
-	// Deadline is the time for the whole answer. Zero: that of the kind.
+	// Deadline is the time limit for the complete answer. If zero, that of the kind applies.
 	Deadline time.Duration
 }
 
 // Request is one request to a daemon.
 type Request struct {
 	Params
-	// Path is one of those in package callerapi.
+	// Path is a path of package callerapi.
 	Path string
 	Body []byte
 }
@@ -44,21 +44,21 @@
 	Content string `json:"content,omitempty"`
 }
 
-// Completion asks a model for an answer.
+// Completion is a request to a model.
 type Completion struct {
-	// Model is a model or a version. Empty: the rules of the kind decide.
+	// Model is a model or a version. If empty, the rules of the task kind decide.
 	Model     string
 	Messages  []Message
 	Stream    bool
 	MaxTokens int
 }
 
-// Prompt returns a completion with one message of the user.
+// Prompt returns a completion with one user message.
 func Prompt(text string) Completion {
 	return Completion{Messages: []Message{{Role: "user", Content: text}}}
 }
 
-// completionRequest is the body of a completion.
+// completionRequest is the JSON shape of a request to a model.
 type completionRequest struct {
 	Model         string         `json:"model,omitempty"`
 	Messages      []Message      `json:"messages"`
@@ -67,12 +67,12 @@
 	MaxTokens     int            `json:"max_tokens,omitempty"`
 }
 
-// streamOptions asks for the token counts at the end of a stream.
+// streamOptions asks for token counts at the end of a stream.
 type streamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Body returns the body of the request.
+// Body returns the JSON body of the request.
 func (c Completion) Body() ([]byte, error) {
 	request := completionRequest{Model: c.Model, Messages: c.Messages, Stream: c.Stream, MaxTokens: c.MaxTokens}
 	if c.Stream {
@@ -85,8 +85,8 @@
 	return body, nil
 }
 
-// Complete asks a model and returns the answer, checked to be whole. Each piece
-// of a streamed answer also goes to onText as it comes, unless onText is nil.
+// Complete sends a request to a model and returns the complete answer. Each piece of
+// text of a streamed answer is also passed to onText as it arrives, unless onText is nil.
 func (c *Client) Complete(ctx context.Context, p Params, completion Completion, onText func(string)) (*Answer, error) {
 	body, err := completion.Body()
 	if err != nil {
@@ -99,12 +99,12 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if completion.Stream && !isStream(response) {
-		return nil, &BrokenAnswerError{Reason: "not a stream"}
+		return nil, &BrokenAnswerError{Reason: "a stream was requested, but the answer is not one"}
 	}
 	return readAnswer(response, start, onText)
 }
 
-// CallService calls a plain service, written NAME/PATH, and returns its answer.
+// CallService calls a plain service, given as NAME/PATH, and returns its answer.
 func (c *Client) CallService(ctx context.Context, p Params, service string, body []byte) (*ServiceAnswer, error) {
 	path := callerapi.PathServices + strings.TrimPrefix(service, "/")
 	response, err := c.Post(ctx, Request{Params: p, Path: path, Body: body})
@@ -115,9 +115,9 @@
 	return readService(response)
 }
 
-// Post sends the request to the best entry, and to the next ones as long as
-// that can't make it run twice. The answer is a success; the user must close its
-// body.
+// Post sends the request to the best entry, and after a failure to the next ones, as long
+// as that can't make the request run twice. The status of the answer is 2xx, and
+// its body must be closed.
 func (c *Client) Post(ctx context.Context, r Request) (*http.Response, error) {
 	entries, err := c.Entries(ctx)
 	if err != nil {
@@ -140,19 +140,19 @@
 	}
 }
 
-// safeToRetry tells whether sending the request again can't make it run twice:
-// it never left, the daemon promised that it did not run and named others, or
-// its idempotency key makes the repeat get the first outcome.
+// safeToRetry reports whether sending the request again can't make it run twice: it was
+// not sent, the daemon reported that it did not run and named other entries, or no answer
+// was received and its idempotency key makes the repeated request get the first outcome.
 func (r Request) safeToRetry(err error) bool {
-	var silent *UnavailableError
-	if errors.As(err, &silent) {
-		return !silent.Sent || r.IdempotencyKey != ""
+	var unavailable *UnavailableError
+	if errors.As(err, &unavailable) {
+		return !unavailable.Sent || r.IdempotencyKey != ""
 	}
 	return len(namedEntries(err)) > 0
 }
 
-// namedEntries returns the entries that a daemon named when it refused the request
-// unseen, for example because it is leaving.
+// namedEntries returns the other entries that a daemon named when it refused a request
+// that did not run, for example because the daemon is shutting down.
 func namedEntries(err error) []string {
 	var refused *RefusalError
 	if !errors.As(err, &refused) || refused.Detail.Ran != string(failure.RanNo) {
@@ -194,14 +194,14 @@
 	return request, nil
 }
 
-// send sends the request and turns every answer but a success into an error.
+// send sends the request and returns answers with a status other than 2xx as errors.
 func (c *Client) send(request *http.Request) (*http.Response, error) {
-	// The transport repeats a request by itself only when nothing of it was
-	// written, or when it carries an idempotency key.
+	// The HTTP transport retries a request by itself only if nothing of it was written, or
+	// if it has an idempotency key.
 	answer, err := c.http.Do(request)
 	if err != nil {
-		var undialled *dialError
-		return nil, &UnavailableError{Address: request.URL.Host, Sent: !errors.As(err, &undialled), Cause: err}
+		var dialErr *dialError
+		return nil, &UnavailableError{Address: request.URL.Host, Sent: !errors.As(err, &dialErr), Cause: err}
 	}
 	if answer.StatusCode/100 == http.StatusOK/100 {
 		return answer, nil
@@ -210,7 +210,7 @@
 	return nil, refusalOf(request.URL.Host, answer)
 }
 
-// refusalOf reads the error body of an answer.
+// refusalOf returns the error of an answer, from its body if it is one of a daemon.
 func refusalOf(address string, answer *http.Response) error {
 	var body callerapi.ErrorBody
 	err := json.NewDecoder(io.LimitReader(answer.Body, maxAnswerBytes)).Decode(&body)
@@ -220,7 +220,7 @@
 	return &RefusalError{Status: answer.StatusCode, Address: address, Detail: body.Error}
 }
 
-// drain reads the rest of a small answer, so that its connection is used again.
+// drain reads the rest of a small answer, so that its connection is reused, and closes it.
 func drain(answer *http.Response) {
 	_, _ = io.CopyN(io.Discard, answer.Body, maxDrainedBytes)
 	_ = answer.Body.Close()
--- a/cli/apply.go
+++ b/cli/apply.go
@@ -12,18 +12,18 @@
 	"github.com/bronzeturn/bronzeturn/objectstore/httpstore"
 )
 
-// applyTimeout bounds a change of the configuration, retries included.
+// applyTimeout is the time limit for a change of the configuration, including retries.
 const applyTimeout = 60 * time.Second
 
-// storeFlags say where the configuration is and who changes it.
+// storeFlags name the store of the configuration and who changes it, and why.
 type storeFlags struct {
 	Store string  `name:"store" env:"BRONZETURN_STORE_URL" required:"" help:"URL of the object API."`
-	By    string  `name:"by" env:"USER" help:"Who makes the change. Kept with it."`
-	Note  string  `help:"Why the change is made. Kept with it."`
-	Base  *uint64 `placeholder:"GENERATION" help:"Generation that the change was made for. Another one in force is a conflict."`
+	By    string  `name:"by" env:"USER" help:"Who makes the change. Stored with it."`
+	Note  string  `help:"Why the change is made. Stored with it."`
+	Base  *uint64 `placeholder:"GENERATION" help:"Generation that the change is based on. If another one is in force, the change is refused as a conflict."`
 }
 
-// publish puts the change in force and prints the outcome.
+// publish applies the change to the store and prints the result.
 func (s storeFlags) publish(a *app, change config.Change) error {
 	u, err := url.Parse(s.Store)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
@@ -43,7 +43,7 @@
 	return printResult(a.out, result)
 }
 
-// States of a change that was published.
+// States of a published change.
 const (
 	stateAccepted   = "accepted"
 	stateUnchanged  = "accepted, with the content as before"
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// applyCommand puts files in force.
+// applyCommand publishes register and rules files.
 type applyCommand struct {
 	storeFlags
 	Files []string `arg:"" name:"file" help:"register*.yaml and rules*.yaml, one of each at most."`
@@ -92,7 +92,7 @@
 	return c.publish(a, config.Change{Register: f.register, Rules: f.rules})
 }
 
-// withdrawCommand withdraws a version.
+// withdrawCommand publishes the withdrawal of a version.
 type withdrawCommand struct {
 	storeFlags
 	Version string `arg:"" help:"Version to withdraw."`
--- a/cli/certs.go
+++ b/cli/certs.go
@@ -7,17 +7,16 @@
 	"github.com/bronzeturn/bronzeturn/security"
 )
 
-// hoursPerDay converts days of validity.
 const hoursPerDay = 24
 
-// maxCertificateDays bounds the validity of certificates for trying things out.
+// maxCertificateDays is the longest validity of certificates for trials.
 const maxCertificateDays = 365
 
-// certsCommand creates certificates.
+// certsCommand creates certificate authorities and certificates.
 type certsCommand struct {
-	Directory string   `arg:"" type:"path" help:"Directory to write to. Existing files are not replaced."`
+	Directory string   `arg:"" type:"path" help:"Directory to write to. Existing files are not overwritten."`
 	Hosts     []string `required:"" help:"IP addresses or DNS names of the daemons, separated by commas."`
-	Days      int      `default:"30" help:"Days for which the certificates hold, at most 365."`
+	Days      int      `default:"30" help:"Days for which the certificates are valid, at most 365."`
 }
 
 // certsOutput is the JSON shape of the command.
--- a/cli/configuration.go
+++ b/cli/configuration.go
@@ -17,20 +17,20 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// Beginnings of the names of the files that make up a configuration.
+// Prefixes of the names of configuration files.
 const (
 	registerFilePrefix = "register"
 	rulesFilePrefix    = "rules"
 )
 
-// Extents of an offline check.
+// What an offline check covered.
 const (
 	checkedAll      = "complete"
 	checkedRegister = "register without rules"
 	checkedSyntax   = "syntax of the rules only, references need the register"
 )
 
-// files are decoded register and rules files. Either may be nil.
+// files holds a decoded register and decoded rules. Either may be nil.
 type files struct {
 	register *bronzeturnv1.Register
 	rules    *bronzeturnv1.Rules
@@ -68,7 +68,8 @@
 	return err
 }
 
-// readFile reads a file up to just above the bound that config refuses.
+// readFile reads one byte more than config accepts at most, so that larger files are
+// refused without being read completely.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -82,8 +83,8 @@
 	return data, nil
 }
 
-// check validates what can be validated without the store and says how much
-// that was.
+// check validates what can be validated without the store, and returns what that
+// covered.
 func (f files) check() (string, error) {
 	switch {
 	case f.register == nil:
@@ -95,8 +96,8 @@
 	}
 }
 
-// kindsNamedBy returns rules that only declare the task kinds which the register
-// refers to, to validate it without the real rules.
+// kindsNamedBy returns rules that declare just the task kinds that the register refers
+// to, so that it can be validated without the real rules.
 func kindsNamedBy(register *bronzeturnv1.Register) *bronzeturnv1.Rules {
 	names := map[string]bool{config.DefaultKind: true}
 	for _, version := range register.GetVersions() {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// faultOutput is one fault of a file.
+// faultOutput is the JSON shape of one fault of a file.
 type faultOutput struct {
 	File    string `json:"file,omitempty"`
 	Line    int    `json:"line,omitempty"`
@@ -149,7 +150,7 @@
 	Message string `json:"message"`
 }
 
-// String returns the fault in one line.
+// String returns the fault as one line of text.
 func (f faultOutput) String() string {
 	where := f.File
 	if f.Line > 0 {
@@ -158,7 +159,7 @@
 	return strings.TrimPrefix(strings.Join([]string{where, f.Path, f.Message}, ": "), ": ")
 }
 
-// faultsOf returns the faults of a register or rules that err reports.
+// faultsOf returns the faults of a register or rules file that err reports.
 func faultsOf(err error) []faultOutput {
 	var decode *config.DecodeError
 	if errors.As(err, &decode) {
@@ -175,7 +176,8 @@
 	return faults
 }
 
-// conflictOutput shows both generations of a lost conditional update.
+// conflictOutput is the JSON shape of a conflict: the generation that the change was based
+// on, and the one in force.
 type conflictOutput struct {
 	Base    uint64    `json:"base_generation"`
 	InForce uint64    `json:"generation_in_force"`
@@ -193,24 +195,24 @@
 	return &conflictOutput{Base: conflict.Base, InForce: conflict.Have, By: conflict.By, At: conflict.At, Note: conflict.Note}
 }
 
-// exitCodeOfConfig returns the exit code of failures of files, of conditional
-// updates and of the object API.
+// exitCodeOfConfig returns the exit code of errors of configuration files, conditional
+// updates and the object API.
 func exitCodeOfConfig(err error) int {
 	var (
-		unknown  *config.OutcomeError
-		conflict *config.ConflictError
-		silent   *objectstore.UnavailableError
-		limited  *objectstore.RateLimitError
+		unknown     *config.OutcomeError
+		conflict    *config.ConflictError
+		unavailable *objectstore.UnavailableError
+		limited     *objectstore.RateLimitError
 	)
 	switch {
-	// An unknown outcome may wrap a conflict and goes first.
+	// Checked first, as an unknown outcome may wrap a conflict.
 	case errors.As(err, &unknown):
 		return ExitUnavailable
 	case errors.As(err, &conflict), objectstore.IsConflict(err):
 		return ExitConflict
 	case len(faultsOf(err)) > 0:
 		return ExitInvalid
-	case errors.As(err, &silent), errors.As(err, &limited):
+	case errors.As(err, &unavailable), errors.As(err, &limited):
 		return ExitUnavailable
 	default:
 		return ExitFailure
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -8,19 +8,19 @@
 	"github.com/bronzeturn/bronzeturn/explain"
 )
 
-// explainCommand tells the story of one request from log files.
+// explainCommand shows what happened to one request, from log files.
 type explainCommand struct {
-	Request string   `arg:"" help:"Id of the request, as the caller sent it."`
+	Request string   `arg:"" help:"ID of the request, as the caller sent it."`
 	Files   []string `arg:"" type:"existingfile" help:"Log files of the daemons."`
 }
 
-// timelineCommand tells what the fleet believed and when.
+// timelineCommand shows the state changes of all daemons in order of time.
 type timelineCommand struct {
 	Files []string `arg:"" type:"existingfile" help:"Log files of the daemons."`
 }
 
 // errNoSuchRequest reports that no log line names the request.
-var errNoSuchRequest = errors.New("no line names this request")
+var errNoSuchRequest = errors.New("no log line has this request ID")
 
 // Run implements the command.
 func (c *explainCommand) Run(a *app) error {
@@ -28,11 +28,11 @@
 	if err != nil {
 		return err
 	}
-	story := explain.RequestTimeline(lines, c.Request)
-	if len(story) == 0 {
+	timeline := explain.RequestTimeline(lines, c.Request)
+	if len(timeline) == 0 {
 		return fmt.Errorf("%s: %w", c.Request, errNoSuchRequest)
 	}
-	return a.printLines(story)
+	return a.printLines(timeline)
 }
 
 // Run implements the command.
@@ -44,7 +44,7 @@
 	return a.printLines(explain.Timeline(lines))
 }
 
-// readLogs reads all lines of the files.
+// readLogs returns the lines of all files, file by file.
 func readLogs(files []string) ([]explain.Line, error) {
 	var all []explain.Line
 	for _, path := range files {
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 		lines, _, err := explain.ReadLog(file)
-		_ = file.Close() // Nothing was written.
+		_ = file.Close() // Opened for reading only.
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
@@ -62,7 +62,7 @@
 	return all, nil
 }
 
-// printLines prints lines, for people or as JSON.
+// printLines prints log lines as text or JSON.
 func (a *app) printLines(lines []explain.Line) error {
 	if a.out.json {
 		return a.out.object(lines)
--- a/cli/fake_test.go
+++ b/cli/fake_test.go
@@ -12,13 +12,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// outcome is what one run of the command line gave.
+// outcome is the result of one run of the command line.
 type outcome struct {
 	code           int
 	stdout, stderr string
 }
 
-// run runs the command line.
+// run runs the command line with args, without a demo.
 func run(t *testing.T, args ...string) outcome {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -26,13 +26,13 @@
 	return outcome{code: code, stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// decode parses JSON output into v.
+// decode decodes JSON output into v.
 func decode(t *testing.T, text string, v any) {
 	t.Helper()
 	qt.Assert(t, json.Unmarshal([]byte(text), v), qt.IsNil, qt.Commentf("%s", text))
 }
 
-// newEntry starts a fake daemon that names itself to callers.
+// newEntry starts a fake daemon whose list of entry addresses is its own address.
 func newEntry(t *testing.T, chat http.HandlerFunc) *callertest.Entry {
 	t.Helper()
 	e := callertest.NewEntry(chat)
@@ -40,7 +40,7 @@
 	return e
 }
 
-// deadAddress returns an address on which nothing listens.
+// deadAddress returns an address on which no process listens.
 func deadAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,7 +49,7 @@
 	return l.Addr().String()
 }
 
-// contains tells whether text holds every part.
+// contains reports whether text contains every part.
 func contains(text string, parts ...string) bool {
 	for _, part := range parts {
 		if !strings.Contains(text, part) {
--- a/cli/load.go
+++ b/cli/load.go
@@ -12,20 +12,20 @@
 // loadCommand sends requests at a steady rate.
 type loadCommand struct {
 	entryFlags
-	Rate      float64        `default:"50" help:"Requests a second, at most 5000."`
-	Duration  time.Duration  `default:"10s" help:"Time to send for, at most 60s."`
+	Rate      float64        `default:"50" help:"Requests per second, at most 5000."`
+	Duration  time.Duration  `default:"10s" help:"How long to send requests, at most 60s."`
 	Mix       map[string]int `mapsep:"," default:"default=1" help:"Task kinds with their weights, such as quick=8,report=1."`
-	Stream    bool           `help:"Ask for streams."`
+	Stream    bool           `help:"Ask for streamed answers."`
 	Model     string         `help:"Model or version to ask for."`
 	Prompt    string         `default:"Motor controller log: E42 after rain. Short check, please." help:"Prompt of every request."`
-	MaxTokens int            `help:"Most tokens to generate."`
-	Deadline  time.Duration  `default:"30s" help:"Time for each whole answer."`
-	InFlight  int            `default:"512" help:"Requests in progress at most. Beyond it, due requests are counted as not sent."`
-	Seed      uint64         `default:"1" help:"Seed of the order of kinds."`
-	StandIns  bool           `name:"stand-ins" help:"The engines are stand-ins: check that each answer is the one to its own request."`
+	MaxTokens int            `help:"Largest number of tokens to generate."`
+	Deadline  time.Duration  `default:"30s" help:"Time limit for each complete answer."`
+	InFlight  int            `default:"512" help:"Largest number of requests in progress. While it is reached, requests that are due are counted as not sent."`
+	Seed      uint64         `default:"1" help:"Seed of the random order of kinds."`
+	StandIns  bool           `name:"stand-ins" help:"The engines are stand-ins: also check that each answer belongs to its request."`
 }
 
-// options returns the load that the flags describe.
+// options returns the options of the load run.
 func (l loadCommand) options() load.Options {
 	o := load.Options{
 		Rate: l.Rate, Duration: l.Duration, Mix: l.Mix, Stream: l.Stream, Model: l.Model, Prompt: l.Prompt,
@@ -44,9 +44,9 @@
 		return err
 	}
 	report, err := load.Run(a.ctx, c, l.options())
-	var wrong *load.OptionError
-	if errors.As(err, &wrong) {
-		return usage("--%w", wrong)
+	var invalid *load.OptionError
+	if errors.As(err, &invalid) {
+		return usage("--%w", invalid)
 	}
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	if out.json {
 		return out.object(r)
 	}
-	out.printf("%d sent in %.1f s: %d answered whole, %d broken, %d not sent", r.Sent, r.Seconds, r.Answered, r.Broken, r.NotSent)
+	out.printf("%d sent in %.1f s: %d answered completely, %d broken, %d not sent", r.Sent, r.Seconds, r.Answered, r.Broken, r.NotSent)
 	rows := make([][]string, 0, len(r.Kinds))
 	for _, k := range r.Kinds {
 		row := []string{k.Kind, fmt.Sprint(k.Answered), fmt.Sprint(k.Tokens)}
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -7,13 +7,13 @@
 	"github.com/bronzeturn/bronzeturn/explain"
 )
 
-// lossesCommand tells where worth went.
+// lossesCommand shows how much worth requests lost, and why.
 type lossesCommand struct {
-	Step  time.Duration `help:"Length of the intervals of the table by time." default:"2s"`
+	Step  time.Duration `help:"Length of an interval in the table by time." default:"2s"`
 	Files []string      `arg:"" help:"Log files of the daemons." type:"existingfile"`
 }
 
-// lossesOutput is the output as JSON.
+// lossesOutput is the JSON shape of the command.
 type lossesOutput struct {
 	ByRoute []explain.Loss `json:"by_route"`
 	BySize  []explain.Loss `json:"by_size"`
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// printLosses prints one table and a blank line.
+// printLosses prints one table followed by a blank line.
 func (a *app) printLosses(name string, losses []explain.Loss) {
 	header := []string{name, "requests"}
 	for _, cause := range explain.Causes() {
--- a/cli/output.go
+++ b/cli/output.go
@@ -12,16 +12,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// columnGap is the space between the columns of a table.
+// columnGap is the number of spaces between the columns of a table.
 const columnGap = 2
 
-// printer writes the result of a command.
+// printer writes the output of a command, as JSON if json is set.
 type printer struct {
 	w    io.Writer
 	json bool
 }
 
-// printf writes a line for people.
+// printf writes a line of text.
 func (p printer) printf(format string, args ...any) {
 	fmt.Fprintf(p.w, format+"\n", args...)
 }
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// message writes m as JSON in the protobuf mapping: 64-bit numbers are strings.
+// message writes m in the JSON mapping of Protobuf, where 64-bit numbers are strings.
 func (p printer) message(m proto.Message) error {
 	options := protojson.MarshalOptions{UseProtoNames: true, EmitDefaultValues: true}
 	text, err := options.Marshal(m)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// table writes rows in columns under a header.
+// table writes rows in aligned columns under a header.
 func (p printer) table(header []string, rows [][]string) {
 	w := tabwriter.NewWriter(p.w, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintln(w, strings.Join(header, "\t"))
@@ -64,7 +64,7 @@
 // microsPerUnit is the number of micro-units in a unit of the currency.
 const microsPerUnit = 1_000_000
 
-// money writes micro-units as units of the currency.
+// money formats micro-units of the currency in units.
 func money(micros uint64) string {
 	return fmt.Sprintf("%d.%06d", micros/microsPerUnit, micros%microsPerUnit)
 }
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -17,16 +17,17 @@
 	"github.com/bronzeturn/bronzeturn/quarantine"
 )
 
-// quarantineTimeout bounds a question, maxQuarantineBytes its answer.
+// quarantineTimeout is the time limit for a call, maxQuarantineBytes the size limit of its
+// answer.
 const (
 	quarantineTimeout  = 5 * time.Second
 	maxQuarantineBytes = 8 << 20
 )
 
-// quarantineCommand shows the requests that are kept away from engines, or clears one.
+// quarantineCommand shows the requests in quarantine, or clears one.
 type quarantineCommand struct {
-	Daemon string `required:"" env:"BRONZETURN_ENTRY_ADMIN" help:"Address of any entry daemon for readiness or metrics, IP:PORT."`
-	Clear  string `help:"Hash of the request to clear, on all daemons. It may crash engines again." placeholder:"HASH"`
+	Daemon string `required:"" env:"BRONZETURN_ENTRY_ADMIN" help:"Address at which any entry daemon serves readiness or metrics, IP:PORT."`
+	Clear  string `help:"Hash of the request to clear on all daemons. It is sent to engines again and may crash them." placeholder:"HASH"`
 }
 
 // Run implements the command.
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// printQuarantine prints the entries.
+// printQuarantine prints a table of the requests in quarantine.
 func (a *app) printQuarantine(list *bronzeturnv1.QuarantineList) {
 	if len(list.GetEntries()) == 0 {
 		a.out.printf("nothing is in quarantine")
@@ -72,12 +73,12 @@
 	a.out.table([]string{"hash", "service", "versions", "crashed", "first", "last", "tied", "retries left", "told by"}, rows)
 }
 
-// ageOf prints an age.
+// ageOf formats an age.
 func ageOf(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String() + " ago"
 }
 
-// clear clears one entry.
+// clear releases one request from quarantine.
 func (c *quarantineCommand) clear(a *app) error {
 	if _, ok := quarantine.ParseHash(c.Clear); !ok {
 		return usage("--clear must be a hash as the list shows it")
@@ -91,11 +92,11 @@
 	case status != http.StatusNoContent:
 		return fmt.Errorf("daemon %s answered with status %d", c.Daemon, status)
 	}
-	a.out.printf("%s is cleared; it reaches engines again", c.Clear)
+	a.out.printf("%s is cleared; it is sent to engines again", c.Clear)
 	return nil
 }
 
-// call makes one call and returns the answer's body and status.
+// call makes an HTTP call to the daemon and returns the body and status of its answer.
 func (c *quarantineCommand) call(ctx context.Context, method, path string) ([]byte, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
@@ -107,7 +108,7 @@
 	if err != nil {
 		return nil, 0, &caller.UnavailableError{Address: c.Daemon, Cause: err}
 	}
-	defer func() { _ = resp.Body.Close() }() // Read to its end below.
+	defer func() { _ = resp.Body.Close() }() // Read below.
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxQuarantineBytes))
 	return data, resp.StatusCode, err
 }
--- a/cli/send.go
+++ b/cli/send.go
@@ -9,22 +9,23 @@
 	"github.com/bronzeturn/bronzeturn/caller"
 )
 
-// answerGrace is the time given to an answer beyond its deadline.
+// answerGrace is how long the client waits beyond the deadline, so that the daemon's own
+// error for a missed deadline can arrive.
 const answerGrace = 5 * time.Second
 
-// entryFlags say where and as whom to call.
+// entryFlags name the daemon to call and the credentials.
 type entryFlags struct {
-	Entry string `name:"entry" env:"BRONZETURN_ENTRY" required:"" help:"Any daemon's address for callers: IP:PORT, or an http or https URL."`
-	Key   string `name:"key" env:"BRONZETURN_KEY" help:"Key of the organisation. The variable keeps it out of the process list."`
-	CA    string `name:"entry-ca" type:"path" help:"Authorities that sign the daemons' certificates, PEM. Default: those of the system."`
+	Entry string `name:"entry" env:"BRONZETURN_ENTRY" required:"" help:"Address of any daemon for callers: IP:PORT, or an http or https URL."`
+	Key   string `name:"key" env:"BRONZETURN_KEY" help:"API key of the organisation. Set by the variable, it does not show in the process list."`
+	CA    string `name:"entry-ca" type:"path" help:"PEM file with the certificate authorities of the daemons. Default: those of the system."`
 }
 
-// newCaller returns a client that the flags describe.
+// newCaller returns a client for the daemon and credentials of the flags.
 func (f entryFlags) newCaller() (*caller.Client, error) {
 	c, err := caller.New(caller.Options{Entry: f.Entry, Key: f.Key, Authorities: f.CA})
-	var wrong *caller.OptionError
-	if errors.As(err, &wrong) {
-		return nil, usage("--%w", wrong)
+	var invalid *caller.OptionError
+	if errors.As(err, &invalid) {
+		return nil, usage("--%w", invalid)
 	}
 	return c, err
 }
@@ -57,15 +58,15 @@
 // sendCommand sends one request.
 type sendCommand struct {
 	entryFlags
-	Prompt         string        `arg:"" help:"Prompt, or the body when --service is given."`
-	Stream         bool          `help:"Ask for the answer as a stream."`
-	Model          string        `help:"Model or version to ask for. Empty: the rules of the kind decide."`
+	Prompt         string        `arg:"" help:"Prompt, or the request body if --service is given."`
+	Stream         bool          `help:"Ask for a streamed answer."`
+	Model          string        `help:"Model or version to ask for. Default: the rules of the task kind decide."`
 	Kind           string        `help:"Task kind, as defined by the rules."`
-	Conversation   string        `help:"Conversation whose version to keep."`
-	IdempotencyKey string        `help:"Key that makes a repeat get the first outcome. \"new\" draws one."`
-	Priority       string        `help:"bulk, normal or urgent. It can only lower the priority of the kind."`
-	Deadline       time.Duration `default:"60s" help:"Time for the whole answer."`
-	MaxTokens      int           `help:"Most tokens to generate."`
+	Conversation   string        `help:"Name of the conversation. All its requests run on the same version."`
+	IdempotencyKey string        `help:"Key that makes a repeated request get the first outcome. \"new\" generates one."`
+	Priority       string        `help:"bulk, normal or urgent. It can only lower the priority of the task kind."`
+	Deadline       time.Duration `default:"60s" help:"Time limit for the complete answer."`
+	MaxTokens      int           `help:"Largest number of tokens to generate."`
 	Service        string        `placeholder:"NAME/PATH" help:"Call this plain service instead of a model."`
 }
 
@@ -86,7 +87,7 @@
 	return s.complete(ctx, a.out, c)
 }
 
-// params returns how the request is to be run.
+// params returns the optional parameters of the request.
 func (s sendCommand) params() caller.Params {
 	p := caller.Params{
 		Kind:           s.Kind,
@@ -101,7 +102,7 @@
 	return p
 }
 
-// complete asks a model and prints the answer, a stream as it comes.
+// complete asks a model and prints the answer. A stream is printed as it arrives.
 func (s sendCommand) complete(ctx context.Context, out printer, c *caller.Client) error {
 	completion := caller.Prompt(s.Prompt)
 	completion.Model = s.Model
--- a/cmd/bronzeturn-entry/main.go
+++ b/cmd/bronzeturn-entry/main.go
@@ -1,5 +1,5 @@
-// Command bronzeturn-entry is the daemon of an entry host on the users'
-// platform. Its settings file is named by the platform.
+// Command bronzeturn-entry is the daemon that runs on each entry host of the users'
+// platform. The platform defines the path and the format of its settings file.
 package main
 
 import (
@@ -18,27 +18,27 @@
 	"github.com/bronzeturn/bronzeturn/platform"
 )
 
-// options are the command line.
+// options holds the command line.
 type options struct {
-	Settings     string    `help:"Path of the settings file. Default: the one that the platform names." type:"path" env:"BRONZETURN_ENTRY_SETTINGS"`
+	Settings     string    `help:"Path of the settings file. Default: the path that the platform defines." type:"path" env:"BRONZETURN_ENTRY_SETTINGS"`
 	Check        bool      `help:"Check the settings, and the configuration file if one is named, and exit." env:"BRONZETURN_ENTRY_CHECK"`
-	Config       string    `help:"Configuration document to check, as the store holds it." type:"path" env:"BRONZETURN_ENTRY_CONFIG"`
-	MetricsPort  int       `help:"Port for metrics on the host's own address, 0 for none." default:"0" env:"BRONZETURN_METRICS_PORT"`
-	AnswerValues []float64 `help:"What a right answer of usual length is worth by the priority of its route, the most urgent first, in the unit of the models' prices. The last one holds for all further priorities. Without any, it follows from the size of the request and the price of the largest model." env:"BRONZETURN_ANSWER_VALUES"`
+	Config       string    `help:"File with a configuration document to check, in the format of the store." type:"path" env:"BRONZETURN_ENTRY_CONFIG"`
+	MetricsPort  int       `help:"Additional port for metrics on the host's address, 0 for none." default:"0" env:"BRONZETURN_METRICS_PORT"`
+	AnswerValues []float64 `help:"Worth of a right answer of usual length for each route priority, the most urgent first, in the unit of the models' prices. The last value applies to all further priorities. Default: the worth follows from the size of the request and the price of the largest model." env:"BRONZETURN_ANSWER_VALUES"`
 }
 
-// modelOptions returns when a larger model's answer pays.
+// modelOptions returns the options of the choice among models, checked.
 func (o *options) modelOptions() (gateway.ModelOptions, error) {
 	models := gateway.DefaultModelOptions()
 	models.Values = o.AnswerValues
 	return models, models.Check()
 }
 
-// description is shown with --help.
+// description is the text of --help.
 const description = `Entry daemon: takes requests of callers and sends them to engines.
 
 Run it with the platform's settings:       bronzeturn-entry --settings settings.yaml
-Check settings before they are put in:     bronzeturn-entry --check --settings settings.yaml
+Check settings before deployment:          bronzeturn-entry --check --settings settings.yaml
 Check a configuration document as well:    bronzeturn-entry --check --settings settings.yaml --config main.json
 
 Exit codes: 0 stopped or checked, 1 failed, 2 settings or configuration refused.`
@@ -96,10 +96,10 @@
 	return 0
 }
 
-// check reads the configuration document, if one is named; the settings have been
-// read already.
+// check checks the configuration document, if --config is given. The settings are valid, as
+// they have been loaded before.
 func check(o options) int {
-	fmt.Printf("%s: settings are in order\n", o.Settings)
+	fmt.Printf("%s: settings are valid\n", o.Settings)
 	if o.Config == "" {
 		return 0
 	}
@@ -111,6 +111,6 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", o.Config, err)
 		return exitSettings
 	}
-	fmt.Printf("%s: configuration is in order\n", o.Config)
+	fmt.Printf("%s: configuration is valid\n", o.Config)
 	return 0
 }
--- a/cmd/bronzeturn-soak/main.go
+++ b/cmd/bronzeturn-soak/main.go
@@ -1,5 +1,6 @@
-// Command bronzeturn-soak runs the fault soak of the entry daemon for a range of
-// seeds. It exits with 1 when a promise was broken.
+// Command bronzeturn-soak runs the soak test of the entry daemon, with injected faults,
+// for a range of seeds. It exits with 1 if a guarantee to callers was broken or a run could
+// not be carried out.
 package main
 
 import (
@@ -14,24 +15,24 @@
 	"github.com/bronzeturn/bronzeturn/soak"
 )
 
-// options are the command line.
+// options holds the command line.
 type options struct {
-	Program  string        `help:"Path of the daemon's program." default:"target/bronzeturn-entry" type:"path"`
+	Program  string        `help:"Path of the daemon's binary." default:"target/bronzeturn-entry" type:"path"`
 	Seed     uint64        `help:"First seed." default:"1"`
 	Runs     int           `help:"Number of seeds." default:"1"`
-	Duration time.Duration `help:"Length of the disturbed part of a run." default:"20s"`
+	Duration time.Duration `help:"Length of the part of a run in which faults are injected." default:"20s"`
 	Daemons  int           `help:"Number of daemons." default:"4"`
 	Engines  int           `help:"Number of model engines." default:"4"`
 	Plain    int           `help:"Number of engines of the plain service." default:"3"`
-	Callers  int           `help:"Number of callers." default:"16"`
-	Keep     string        `help:"Folder for settings and logs, one folder a seed. Default: a temporary one, removed after a run that broke nothing." type:"path"`
+	Callers  int           `help:"Number of concurrent callers." default:"16"`
+	Keep     string        `help:"Directory for settings and logs, with a subdirectory for each seed. Default: a temporary one, removed after a run in which nothing was broken." type:"path"`
 }
 
 func main() { os.Exit(run()) }
 
 func run() int {
 	var o options
-	kong.Parse(&o, kong.Description("Fault soak: real daemons, failures from outside, promises checked by what callers got and engines ran."))
+	kong.Parse(&o, kong.Description("Soak test: runs real daemons, injects faults from outside, and checks the guarantees to callers by what callers received and engines ran."))
 	code := 0
 	for seed := o.Seed; seed < o.Seed+uint64(o.Runs); seed++ {
 		if !o.runSeed(seed) {
@@ -41,7 +42,7 @@
 	return code
 }
 
-// runSeed runs runSeed seed and tells whether nothing broke.
+// runSeed runs one seed and reports whether no guarantee was broken.
 func (o *options) runSeed(seed uint64) bool {
 	folder, err := o.folder(seed)
 	if err != nil {
@@ -62,7 +63,7 @@
 		fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
 		return false
 	}
-	fmt.Printf("seed %d: %d failures, %d requests: %d answered, %d refused, %d failed; %d promises broken\n",
+	fmt.Printf("seed %d: %d failures, %d requests: %d answered, %d refused, %d failed; %d guarantees broken\n",
 		seed, r.Faults, r.Requests, r.Good, r.Refused, r.Failed, len(r.Broken))
 	for _, line := range r.Broken {
 		fmt.Printf("  %s\n", line)
@@ -77,7 +78,7 @@
 	return true
 }
 
-// folder makes the folder of one seed.
+// folder creates the directory of one seed.
 func (o *options) folder(seed uint64) (string, error) {
 	if o.Keep == "" {
 		return os.MkdirTemp("", fmt.Sprintf("bronzeturn-soak-%d-", seed))
--- a/cmd/bronzeturn/main.go
+++ b/cmd/bronzeturn/main.go
@@ -1,4 +1,4 @@
-// Command bronzeturn is the command line for operators and for trying things.
+// Command bronzeturn is the command line for operators and for trials.
 package main
 
 import (
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,6 @@
-// Package explain reads the log files of daemons and tells the story of one
-// request, or what the fleet believed and when.
+// Package explain analyses the log files of daemons. It reconstructs what happened
+// to one request, lists the state changes of the fleet in order of time, and sums up
+// why requests fell short of their full worth.
 package explain
 
 import (
@@ -12,11 +13,11 @@
 	"time"
 )
 
-// maxLineBytes bounds one log line.
+// maxLineBytes is the length limit of one log line.
 const maxLineBytes = 1 << 20
 
-// Before and contextAfter a request, what daemons came to believe in this time is part
-// of its story.
+// State changes this long before a request's first log line and after its last one are
+// part of its timeline.
 const (
 	contextBefore = 5 * time.Second
 	contextAfter  = time.Second
@@ -29,22 +30,22 @@
 	Part    string
 	Level   string
 	Message string
-	// Fields are the other fields, each as its JSON text.
+	// Fields holds the other fields in the order of the line.
 	Fields []Field
 }
 
-// Field is one field of a line.
+// Field is one field of a line. Value is its JSON text.
 type Field struct {
 	Name, Value string
 }
 
-// field returns the value of a field without quotes, "" when there is none.
+// field returns the value of a field without quotes, or "" if the line does not have it.
 func (l *Line) field(name string) string {
 	value, _ := l.lookup(name)
 	return strings.Trim(value, `"`)
 }
 
-// lookup returns the JSON text of a field and whether the line has it.
+// lookup returns the JSON text of a field and reports whether the line has it.
 func (l *Line) lookup(name string) (string, bool) {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -54,7 +55,7 @@
 	return "", false
 }
 
-// list returns a field that is a list of texts, nil where it is anything else.
+// list returns the value of a field that is a list of strings, or nil if it is not one.
 func (l *Line) list(name string) (texts []string) {
 	value, _ := l.lookup(name)
 	if json.Unmarshal([]byte(value), &texts) != nil {
@@ -63,8 +64,8 @@
 	return texts
 }
 
-// ReadLog returns the lines of a log in the order of the file. What is not a JSON
-// object with a time is left out and counted.
+// ReadLog returns the lines of a log in the order of the file. Lines that are not a JSON
+// object with a time are skipped and counted.
 func ReadLog(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -79,7 +80,7 @@
 	return lines, skipped, scanner.Err()
 }
 
-// parse reads one line. Text before the object, as collectors add it, is ignored.
+// parse parses one line. It ignores text before the JSON object, which log collectors add.
 func parse(text []byte) (Line, bool) {
 	start := strings.IndexByte(string(text), '{')
 	if start < 0 {
@@ -102,7 +103,7 @@
 	return l, !l.Time.IsZero()
 }
 
-// setField files one field.
+// setField stores one field.
 func (l *Line) setField(name string, value json.RawMessage) {
 	var text string
 	isText := json.Unmarshal(value, &text) == nil
@@ -124,7 +125,8 @@
 	}
 }
 
-// Messages that tell a change of what a daemon believes.
+// stateChangeMessages are the prefixes of the messages that report a change in the state
+// of a daemon or in what it knows of engines, configuration, store and introductions.
 var stateChangeMessages = []string{
 	"daemon started", "daemon takes requests", "daemon leaves", "daemon stopped", "daemon state changed", "many daemons joined", "many engines changed",
 	"configuration in force", "configuration refused", "store does not answer", "store answers again",
@@ -135,17 +137,18 @@
 	"lines dropped",
 }
 
-// isStateChange tells whether a line tells a change of what a daemon believes.
+// isStateChange reports whether the line reports such a change.
 func (l *Line) isStateChange() bool {
 	return slices.ContainsFunc(stateChangeMessages, func(b string) bool { return strings.HasPrefix(l.Message, b) })
 }
 
-// sortByTime orders lines by their time, which hosts' clocks may set apart.
+// sortByTime sorts lines by their time. The clocks of hosts may differ, so lines of
+// different hosts may be in the wrong order.
 func sortByTime(lines []Line) {
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// Timeline returns all changes of belief in the order of their time.
+// Timeline returns the lines that report state changes, in order of time.
 func Timeline(lines []Line) []Line {
 	var kept []Line
 	for _, l := range lines {
@@ -157,9 +160,9 @@
 	return kept
 }
 
-// RequestTimeline returns the lines of one request, and around them what its daemon and
-// any daemon came to believe of its engines and service. It is empty when no
-// line names the request.
+// RequestTimeline returns the lines of one request in order of time, together with the
+// state changes around it that concern its engines or its service on any daemon, and
+// other state changes of its own daemon. It is empty if no line names the request.
 func RequestTimeline(lines []Line, request string) []Line {
 	var own []Line
 	for _, l := range lines {
@@ -171,18 +174,19 @@
 		return nil
 	}
 	sortByTime(own)
-	about := scopeOf(own)
-	story := own
+	scope := scopeOf(own)
+	timeline := own
 	for _, l := range lines {
-		if l.isStateChange() && about.includes(&l) {
-			story = append(story, l)
+		if l.isStateChange() && scope.includes(&l) {
+			timeline = append(timeline, l)
 		}
 	}
-	sortByTime(story)
-	return story
+	sortByTime(timeline)
+	return timeline
 }
 
-// requestScope is what a request had to do with.
+// requestScope holds the time span, host, service and engines of a request. Engines that
+// its log lines name are included even if they did not answer.
 type requestScope struct {
 	from, to time.Time
 	host     string
@@ -190,7 +194,7 @@
 	engines  map[string]bool
 }
 
-// scopeOf collects it from the request's own lines.
+// scopeOf returns the scope that the request's own lines, sorted by time, give.
 func scopeOf(own []Line) requestScope {
 	a := requestScope{engines: make(map[string]bool)}
 	first, last := own[0].Time, own[len(own)-1].Time
@@ -210,7 +214,8 @@
 	return a
 }
 
-// includes tells whether a change of belief belongs to the story.
+// includes reports whether a state change concerns the request. A line that names
+// engines is matched by engine, else one that names a service by service, else by host.
 func (a *requestScope) includes(l *Line) bool {
 	if l.Time.Before(a.from) || l.Time.After(a.to) {
 		return false
@@ -227,7 +232,7 @@
 	return l.Host == a.host
 }
 
-// WriteLines prints lines for people.
+// WriteLines writes lines as text, with the time of day, host, message and fields.
 func WriteLines(w io.Writer, lines []Line) error {
 	for _, l := range lines {
 		var fields strings.Builder
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -7,96 +7,99 @@
 	"time"
 )
 
-// Cause is why a request did not earn its full worth.
+// Cause is why a request did not bring its full worth, the value of a right answer on time.
 type Cause string
 
-// The causes, in the order in which the first one that holds is taken.
+// The causes. A request has one: the first that applies, in the order refused, failed,
+// late first byte, late pause, low confidence.
 const (
-	// CauseNone is an answer on time that its model did not doubt.
+	// CauseNone is an answer on time whose chance of being right, if known, is above
+	// evenChance.
 	CauseNone Cause = "on_time"
-	// CauseRefused is a request that did not run, CauseFailed one that got no whole
-	// answer though it may have run.
+	// CauseRefused is a request that did not run, CauseFailed one that may have run but
+	// got no complete answer.
 	CauseRefused Cause = "refused"
 	CauseFailed  Cause = "failed"
-	// CauseLateFirst is an answer that began after its route's target, CauseLatePause a
-	// stream with a pause above its route's bound.
+	// CauseLateFirst is an answer that began later than its route's target, CauseLatePause
+	// a stream with a longer pause than its route allows.
 	CauseLateFirst Cause = "late_first"
 	CauseLatePause Cause = "late_pause"
-	// CauseLowConfidence is an answer that is as likely wrong as right by its model's own
-	// confidence, or likelier.
+	// CauseLowConfidence is an answer whose chance of being right, by its model's own
+	// confidence, is evenChance or less.
 	CauseLowConfidence Cause = "doubted"
 )
 
-// Causes are all causes in the order of tables.
+// Causes returns all causes in the order of the columns of tables.
 func Causes() []Cause {
 	return []Cause{CauseNone, CauseRefused, CauseFailed, CauseLateFirst, CauseLatePause, CauseLowConfidence}
 }
 
-// evenChance is the chance of being right at and below which an answer counts as doubted.
+// evenChance is the chance of being right at or below which CauseLowConfidence applies.
 const evenChance = 0.5
 
 // Loss sums up the requests of one group.
 type Loss struct {
-	// Group names a route, a part of a route's sizes, or a time.
+	// Group is a route, a size class of a route, or the start of an interval.
 	Group    string `json:"group"`
 	Requests int    `json:"requests"`
-	// ByCause counts the requests by what became of them.
+	// ByCause counts the requests by cause.
 	ByCause map[Cause]int `json:"by_cause"`
-	// Worth is what right answers would have been worth, Doubt the part of it that
-	// answers are expected to miss for being wrong, Price what the model sizes cost. All
-	// are in the unit of the models' prices and zero where the size was not open.
+	// Worth is what right answers to all requests would have been worth, ExpectedLoss the
+	// part of it that answers are expected to lose by being wrong, and Price what the
+	// chosen models cost. All are in the unit of the models' prices, and zero for requests
+	// without a choice of model, whose log lines lack these fields.
 	Worth        float64 `json:"worth"`
 	ExpectedLoss float64 `json:"doubt"`
 	Price        float64 `json:"price"`
-	// Resends counts second and further sends, Resumed streams that went on at another
-	// engine.
+	// Resends counts attempts after the first one, Resumed counts streams that continued
+	// on another engine.
 	Resends int `json:"again"`
 	Resumed int `json:"resumed"`
 }
 
-// endedRequest is one request as its last log line tells it.
+// endedRequest holds the data of a request's last log line, "request ended".
 type endedRequest struct {
 	at           time.Time
 	route        string
 	size         float64
 	cause        Cause
 	worth, price float64
-	doubt        float64
-	again        int
+	expectedLoss float64
+	resends      int
 	resumed      int
 }
 
-// number returns a field as a number, zero when there is none.
+// number returns the value of a numeric field, or 0 if the line does not have it.
 func (l *Line) number(name string) float64 {
 	value, err := strconv.ParseFloat(l.field(name), 64)
 	if err != nil {
-		return 0 // The field is left out where it means nothing.
+		return 0 // Fields that do not apply to a request are left out.
 	}
 	return value
 }
 
-// outputSize is the size of a generated token in those of the prompt, as in the worth of
-// an answer.
+// outputSize is the number of prompt tokens that one generated token counts as in the
+// size of a request. The worth of an answer uses the same ratio.
 const outputSize = 10
 
-// parseEndedRequest reads the last line of a request.
+// parseEndedRequest reads the last log line of a request.
 func parseEndedRequest(l *Line) endedRequest {
 	e := endedRequest{
 		at: l.Time, route: l.field("route"), cause: causeOf(l), worth: l.number("worth"), price: l.number("price"),
 		size: l.number("prompt_tokens") + outputSize*l.number("answer_tokens"),
 	}
-	e.again = max(int(l.number("attempts"))-1, 0)
+	e.resends = max(int(l.number("attempts"))-1, 0)
 	e.resumed = int(l.number("resumed"))
 	if e.cause != CauseRefused && e.cause != CauseFailed {
-		e.doubt = e.worth * (1 - l.number("chance"))
+		e.expectedLoss = e.worth * (1 - l.number("chance"))
 	}
 	return e
 }
 
-// causeOf finds the first cause that holds.
+// causeOf returns the first cause that applies.
 func causeOf(l *Line) Cause {
 	target, pause := l.number("target_ms"), l.number("most_pause_ms")
-	_, sized := l.lookup("chance")
+	_, hasChance := l.lookup("chance")
 	switch {
 	case l.field("outcome") != "answered" && l.field("ran") == "no":
 		return CauseRefused
@@ -106,20 +109,20 @@
 		return CauseLateFirst
 	case pause > 0 && l.number("pause_ms") > pause:
 		return CauseLatePause
-	case sized && l.number("chance") <= evenChance:
+	case hasChance && l.number("chance") <= evenChance:
 		return CauseLowConfidence
 	}
 	return CauseNone
 }
 
-// sizeClasses are the parts of a route's requests by size that are told apart.
+// sizeClasses are the size classes of a route's requests, as quantile ranges of their sizes.
 var sizeClasses = []struct {
 	name     string
 	from, to float64
 }{{"smaller half", 0, 0.5}, {"next fifth", 0.5, 0.7}, {"fifth below the largest tenth", 0.7, 0.9}, {"largest tenth", 0.9, 1}}
 
-// Losses tell where worth went: by route, by size within the routes whose requests have
-// one, and by time in steps. Callers' tries count as requests of their own.
+// Losses sums up the requests of a log by route, by size within the routes whose requests
+// have one, and by intervals of length step. Each retry of a caller counts as a request.
 func Losses(lines []Line, step time.Duration) (byRoute, bySize, byTime []Loss) {
 	var all []endedRequest
 	for i := range lines {
@@ -144,7 +147,7 @@
 	return byRoute, bySize, byTime
 }
 
-// sumUpBySize sums up one route's requests, which are in the order of their sizes.
+// sumUpBySize sums up one route's requests, sorted by size, for each size class.
 func sumUpBySize(all []endedRequest) []Loss {
 	var parts []Loss
 	for _, p := range sizeClasses {
@@ -156,7 +159,7 @@
 	return parts
 }
 
-// runsOf cuts requests into runs of the same name.
+// runsOf splits requests into runs of consecutive ones with the same name.
 func runsOf(all []endedRequest, name func(endedRequest) string) (runs [][]endedRequest) {
 	for len(all) > 0 {
 		n := 1
@@ -169,15 +172,15 @@
 	return runs
 }
 
-// sumUp sums up requests.
+// sumUp returns the sums over the requests of one group.
 func sumUp(group string, all []endedRequest) Loss {
 	sum := Loss{Group: group, Requests: len(all), ByCause: make(map[Cause]int)}
 	for _, e := range all {
 		sum.ByCause[e.cause]++
 		sum.Worth += e.worth
-		sum.ExpectedLoss += e.doubt
+		sum.ExpectedLoss += e.expectedLoss
 		sum.Price += e.price
-		sum.Resends += e.again
+		sum.Resends += e.resends
 		sum.Resumed += e.resumed
 	}
 	return sum
--- a/jsoncall/jsoncall.go
+++ b/jsoncall/jsoncall.go
@@ -1,6 +1,5 @@
-// Package jsoncall makes one HTTP call with JSON on both sides and types its
-// failures. The adapters of the host list, the rating service and the weight
-// store are built on it.
+// Package jsoncall makes HTTP calls with JSON bodies and returns typed errors. The clients
+// of the host list, the rating service and the weight store use it.
 package jsoncall
 
 import (
@@ -17,26 +16,26 @@
 )
 
 const (
-	// timeout bounds one call as a whole.
+	// timeout is the time limit of one call, including reading the answer.
 	timeout = 2 * time.Second
-	// maxAnswerBytes bounds one answer.
+	// maxAnswerBytes is the size limit of an answer.
 	maxAnswerBytes = 16 << 20
-	// maxErrorBytes bounds the text kept of a failed call.
+	// maxErrorBytes is how much of the answer of a failed call becomes part of the error.
 	maxErrorBytes = 512
-	// maxRetryAfter bounds what a server may ask for.
+	// maxRetryAfter is the longest time for which a server may ask to wait.
 	maxRetryAfter = time.Hour
 )
 
-var errTooLong = errors.New("answer exceeds its bound")
+var errTooLong = errors.New("answer exceeds the size limit")
 
-// Error is a call without a usable answer. A call that changes something may
-// have taken effect unless Status is one of the client errors (4xx).
+// Error reports a call without a usable answer. A call that changes something may
+// have taken effect unless Status is a client error (4xx).
 type Error struct {
 	Method string
 	Path   string
-	// Status is the HTTP status, zero when none came.
+	// Status is the HTTP status, or zero if no answer was received.
 	Status int
-	// RetryAfter is the server's advice, zero when it gave none.
+	// RetryAfter is the value of the Retry-After header, or zero if the server sent none.
 	RetryAfter time.Duration
 	cause      error
 }
@@ -49,8 +48,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// RateLimitDelay tells whether err is a call that the server refused unseen
-// because of its rate limit, and when to come back.
+// RateLimitDelay reports whether err is a call that the server refused because of its
+// rate limit, without running it, and after which time to retry.
 func RateLimitDelay(err error) (time.Duration, bool) {
 	var e *Error
 	if errors.As(err, &e) && e.Status == http.StatusTooManyRequests {
@@ -59,20 +58,20 @@
 	return 0, false
 }
 
-// IsNotFound tells whether err is a call for something that does not exist.
+// IsNotFound reports whether err is a call that the server answered with 404 Not Found.
 func IsNotFound(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Status == http.StatusNotFound
 }
 
-// Client makes calls to one server. It may be used concurrently.
+// Client makes calls to one server. It is safe for concurrent use.
 type Client struct {
 	base   string
 	client *http.Client
 }
 
-// New returns a Client for baseURL, for example "http://127.0.0.1:8080". Nil
-// stands for http.DefaultClient.
+// New returns a Client for baseURL, for example "http://127.0.0.1:8080". If client is nil,
+// http.DefaultClient is used.
 func New(baseURL string, client *http.Client) *Client {
 	if client == nil {
 		client = http.DefaultClient
@@ -80,14 +79,13 @@
 	return &Client{base: strings.TrimSuffix(baseURL, "/"), client: client}
 }
 
-// Get reads path and decodes the answer into into. The error is an *Error.
+// Get gets path and decodes the answer into into. The error is an *Error.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.do(ctx, http.MethodGet, path, http.Header{}, nil, into)
 }
 
-// GetIfChanged reads path unless its entity tag is still the known one, and
-// decodes the answer into into. It reports whether there was an answer. The
-// error is an *Error.
+// GetIfChanged gets path unless its entity tag still equals known, and decodes the
+// answer into into. It reports whether into was set. The error is an *Error.
 func (c *Client) GetIfChanged(ctx context.Context, path, known string, into any) (changed bool, err error) {
 	header := http.Header{}
 	if known != "" {
@@ -101,7 +99,7 @@
 	return err == nil, err
 }
 
-// Post sends in as JSON and decodes the answer into into unless it is nil. The
+// Post sends in as JSON and decodes the answer into into, unless into is nil. The
 // error is an *Error.
 func (c *Client) Post(ctx context.Context, path string, in, into any) error {
 	body, err := json.Marshal(in)
@@ -138,15 +136,15 @@
 	return e
 }
 
-// closeIdleOnTimeout closes the idle connections after a timeout, since what lost track
-// of one connection has often lost track of the others.
+// closeIdleOnTimeout closes the idle connections if err is a timeout: a fault that stalls
+// one connection, such as a firewall that lost its state, often affects the others too.
 func (c *Client) closeIdleOnTimeout(err error) {
 	if errors.Is(err, context.DeadlineExceeded) {
 		c.client.CloseIdleConnections()
 	}
 }
 
-// decodeAnswer decodes a complete answer or tells why it is unusable.
+// decodeAnswer decodes a complete answer, or returns an error that tells why it is unusable.
 func decodeAnswer(resp *http.Response, answer []byte, readErr error, into any) error {
 	switch {
 	case readErr != nil:
@@ -164,7 +162,7 @@
 	return nil
 }
 
-// StatusError is what a server said with a status other than 200.
+// StatusError holds the beginning of the body of an answer with a status other than 200.
 type StatusError struct {
 	Text string
 }
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait for a reader that is slow.
+	// maxQueuedLines is the largest number of lines that wait for a slow reader.
 	maxQueuedLines = 4096
-	// batchDelay is how long lines are gathered before they are written together.
+	// batchDelay is how long lines are collected before they are written in one call.
 	batchDelay = 50 * time.Millisecond
-	// maxBatchBytes bounds the bytes written together.
+	// maxBatchBytes is the size at which a batch is written without taking further lines.
 	maxBatchBytes = 64 << 10
-	// closeTimeout bounds the wait for a reader at the end.
+	// closeTimeout is how long Close waits for a slow reader.
 	closeTimeout = 300 * time.Millisecond
 )
 
-// AsyncWriter is a writer for log lines that never blocks: lines wait in bounded
-// memory, and what does not fit is dropped and counted in the log itself.
+// AsyncWriter writes log lines in the background, so that a slow reader of the log never
+// blocks the daemon. Lines wait in a queue of limited length. When it is full, further
+// lines are dropped, and their number is logged with the next batch.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -29,14 +30,14 @@
 	once    sync.Once
 }
 
-// NewAsyncWriter returns a writer that passes lines on to w.
+// NewAsyncWriter returns a writer that writes lines to w in a goroutine of its own.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
 	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go b.run(w)
 	return b
 }
 
-// Write implements io.Writer for one line. It never blocks and never fails.
+// Write implements io.Writer. It queues a copy of line, never blocks and never fails.
 func (b *AsyncWriter) Write(line []byte) (int, error) {
 	kept := make([]byte, len(line))
 	copy(kept, line)
@@ -48,10 +49,11 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped and not yet told of in the log.
+// Dropped returns the number of dropped lines that have not been logged yet.
 func (b *AsyncWriter) Dropped() uint64 { return b.dropped.Load() }
 
-// Close writes what waits, unless the reader takes too long.
+// Close writes the queued lines. It returns after closeTimeout even if the reader has not
+// taken them all.
 func (b *AsyncWriter) Close() {
 	b.once.Do(func() { close(b.closing) })
 	timer := time.NewTimer(closeTimeout)
@@ -62,7 +64,7 @@
 	}
 }
 
-// run writes lines until Close.
+// run writes lines in batches until Close is called.
 func (b *AsyncWriter) run(w io.Writer) {
 	defer close(b.done)
 	for {
@@ -77,7 +79,7 @@
 	}
 }
 
-// waitForBatch lets more lines gather.
+// waitForBatch waits for batchDelay, or until Close is called, so that more lines are queued.
 func (b *AsyncWriter) waitForBatch() {
 	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
@@ -87,7 +89,7 @@
 	}
 }
 
-// flush writes the lines that wait.
+// flush writes first and all queued lines, in batches.
 func (b *AsyncWriter) flush(w io.Writer, first []byte) {
 	batch := append([]byte(nil), first...)
 	for {
@@ -105,7 +107,7 @@
 		batch = fmt.Appendf(batch, `{"level":"warn","part":"logging","dropped":%d,"message":"lines dropped, the reader was too slow"}`+"\n", n)
 	}
 	if len(batch) > 0 {
-		_, _ = w.Write(batch) // There is no other place to tell of a log that fails.
+		_, _ = w.Write(batch) // An error of the log itself can't be logged.
 	}
 	if len(b.lines) > 0 {
 		b.flush(w, nil)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the loggers of a daemon. Every part logs with a fixed
-// field "part"; values that must never be logged are of type Secret.
+// Package logging builds the loggers of a daemon. The lines of each part of a daemon have
+// a field "part" with its name. Values that must never be logged have type Secret.
 package logging
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Fields that each line carries.
+// Names of the fields that lines have.
 const (
 	fieldHost = "host"
 	fieldPart = "part"
@@ -19,7 +19,7 @@
 // timeLayout is RFC 3339 in UTC with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// levels maps the values of the setting log-level.
+// levels maps the values of the setting log-level to levels.
 var levels = map[string]zerolog.Level{
 	"debug": zerolog.DebugLevel,
 	"info":  zerolog.InfoLevel,
@@ -27,7 +27,8 @@
 	"error": zerolog.ErrorLevel,
 }
 
-// timestamp adds the time of a line without changing zerolog's global settings.
+// timestamp is a hook that adds the time to lines, in timeLayout. zerolog's own timestamp
+// takes its format from a global variable.
 type timestamp struct{}
 
 // Run implements zerolog.Hook.
@@ -36,9 +37,9 @@
 	e.Bytes(zerolog.TimestampFieldName, time.Now().UTC().AppendFormat(buffer[:0], timeLayout))
 }
 
-// New returns the logger of the daemon that s describes. It writes one line per
-// call to w, which must be safe for concurrent use. An unknown level counts as
-// info, an unknown format as json.
+// New returns the logger of a daemon with settings s. It writes each line to w in one call
+// of Write, which must be safe for concurrent use. An unknown level counts as info, an
+// unknown format as JSON.
 func New(s *bronzeturnv1.Settings, w io.Writer) zerolog.Logger {
 	if s.GetLogFormat() == "console" {
 		w = zerolog.ConsoleWriter{Out: w}
@@ -55,7 +56,7 @@
 	return log.With().Str(fieldPart, part).Logger()
 }
 
-// NewJSON returns a logger of JSON lines of all levels from info on, for a host.
+// NewJSON returns the logger of a host that writes lines of level info and above as JSON.
 func NewJSON(w io.Writer, host string) zerolog.Logger {
 	return New(&bronzeturnv1.Settings{Name: host}, w)
 }
--- a/logging/secret.go
+++ b/logging/secret.go
@@ -5,11 +5,11 @@
 	"io"
 )
 
-// redacted stands for a secret in every output.
+// redacted replaces a secret in every output.
 const redacted = "[redacted]"
 
-// Secret holds a text, such as a key, that shows in no log, format or encoding.
-// Comparing two secrets must be done on their digests, in constant time.
+// Secret holds a text, such as a key, that is redacted wherever it is logged, formatted or
+// encoded. Secrets must be compared by their digests, in constant time.
 type Secret struct {
 	text string
 }
@@ -23,8 +23,8 @@
 // String implements fmt.Stringer.
 func (Secret) String() string { return redacted }
 
-// Format implements fmt.Formatter for every verb.
+// Format implements fmt.Formatter. It writes redacted for every verb.
 func (Secret) Format(f fmt.State, _ rune) { _, _ = io.WriteString(f, redacted) }
 
-// MarshalText implements encoding.TextMarshaler. JSON and YAML use it too.
+// MarshalText implements encoding.TextMarshaler, which JSON and YAML encoders use too.
 func (Secret) MarshalText() ([]byte, error) { return []byte(redacted), nil }
--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what every daemon needs of its process: loops that end
-// with it, and a seed for its random sources.
+// Package process provides what all daemons need: background loops that end together,
+// and a seed for random number generators.
 package process
 
 import (
@@ -11,8 +11,8 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Go runs a loop under the tomb. Its context ends with the tomb, and its error
-// bears its name.
+// Go runs f in a goroutine of the tomb. The context of f is cancelled when the tomb is
+// dying, and an error of f is wrapped with name.
 func Go(t *tomb.Tomb, name string, f func(ctx context.Context) error) {
 	ctx := t.Context(context.Background())
 	t.Go(func() error {
@@ -23,9 +23,9 @@
 	})
 }
 
-// Seed returns a seed that differs between processes.
+// Seed returns a random seed.
 func Seed() uint64 {
 	var data [8]byte
-	_, _ = cryptorand.Read(data[:]) // Read never fails.
+	_, _ = cryptorand.Read(data[:]) // Never returns an error.
 	return binary.LittleEndian.Uint64(data[:])
 }
