--- a/demo/platform.go
+++ b/demo/platform.go
@@ -199,12 +199,12 @@
 func (p *Platform) hosts(daemons int) []hostlist.Host {
 	var hosts []hostlist.Host
 	for i := range daemons {
-		hosts = append(hosts, hostlist.Host{Name: DaemonName(i), DataCentre: p.DataCentre(i), Role: hostlist.RoleEntry, State: hostlist.Live})
+		hosts = append(hosts, hostlist.Host{Name: DaemonName(i), DataCentre: p.DataCentre(i), Role: hostlist.RoleEntry, State: hostlist.StateLive})
 	}
 	backend := func(name, dataCentre string) {
 		known := slices.ContainsFunc(hosts, func(h hostlist.Host) bool { return h.Name == name })
 		if !known {
-			hosts = append(hosts, hostlist.Host{Name: name, DataCentre: dataCentre, Role: hostlist.RoleBackend, State: hostlist.Live})
+			hosts = append(hosts, hostlist.Host{Name: name, DataCentre: dataCentre, Role: hostlist.RoleBackend, State: hostlist.StateLive})
 		}
 	}
 	for _, e := range p.Register.GetEngines() {
--- a/fleetbench/platform.go
+++ b/fleetbench/platform.go
@@ -130,10 +130,10 @@
 func (p *platform) hosts(daemons int) []hostlist.Host {
 	var hosts []hostlist.Host
 	for i := range daemons {
-		hosts = append(hosts, hostlist.Host{Name: daemonName(i), DataCentre: p.dataCentre(i), Role: hostlist.RoleEntry, State: hostlist.Live})
+		hosts = append(hosts, hostlist.Host{Name: daemonName(i), DataCentre: p.dataCentre(i), Role: hostlist.RoleEntry, State: hostlist.StateLive})
 	}
 	for _, e := range p.register.GetEngines() {
-		hosts = append(hosts, hostlist.Host{Name: e.GetHost(), DataCentre: e.GetDataCentre(), Role: hostlist.RoleBackend, State: hostlist.Live})
+		hosts = append(hosts, hostlist.Host{Name: e.GetHost(), DataCentre: e.GetDataCentre(), Role: hostlist.RoleBackend, State: hostlist.StateLive})
 	}
 	return hosts
 }
--- a/hostlist/hostlist.go
+++ b/hostlist/hostlist.go
@@ -20,8 +20,8 @@
 
 // The states of listed hosts. A host that is gone is not listed.
 const (
-	Live    State = "live"
-	Leaving State = "leaving"
+	StateLive    State = "live"
+	StateLeaving State = "leaving"
 )
 
 // The roles of hosts.
@@ -89,7 +89,7 @@
 // to those that ask several times a second.
 func (c *Client) ListChanged(ctx context.Context, known uint64) (List, bool, error) {
 	var raw json.RawMessage
-	changed, err := c.calls.GetChanged(ctx, Path, Tag(known), &raw)
+	changed, err := c.calls.GetChanged(ctx, Path, EntityTag(known), &raw)
 	if err != nil {
 		return List{}, false, fmt.Errorf("read host list: %w", err)
 	}
@@ -100,8 +100,8 @@
 	return list, err == nil, err
 }
 
-// Tag is the entity tag of the list at a revision, empty for zero.
-func Tag(revision uint64) string {
+// EntityTag is the entity tag of the list at a revision, empty for zero.
+func EntityTag(revision uint64) string {
 	if revision == 0 {
 		return ""
 	}
@@ -133,7 +133,7 @@
 		return "data_centre"
 	case h.Role != RoleEntry && h.Role != RoleBackend:
 		return "role"
-	case h.State != Live && h.State != Leaving:
+	case h.State != StateLive && h.State != StateLeaving:
 		return "state"
 	case h.Revision > revision:
 		return "revision"
--- a/platform.go
+++ b/platform.go
@@ -89,7 +89,7 @@
 			Name:       host.Name,
 			DataCentre: host.DataCentre,
 			Entry:      host.Role == hostlist.RoleEntry,
-			Leaving:    host.State == hostlist.Leaving,
+			Leaving:    host.State == hostlist.StateLeaving,
 			Revision:   host.Revision,
 		})
 	}
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -49,7 +49,7 @@
 // get answers the list, or that it is still the one that the caller knows.
 func (h *HostList) get(w http.ResponseWriter, r *http.Request) {
 	list := h.shown()
-	tag := hostlist.Tag(list.Revision)
+	tag := hostlist.EntityTag(list.Revision)
 	w.Header().Set("ETag", tag)
 	if tag != "" && r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
