--- a/fleetbench/fleet.go
+++ b/fleetbench/fleet.go
@@ -15,36 +15,36 @@
 	"github.com/bronzeturn/bronzeturn/settings"
 )
 
-// seedCount is how many daemons started before a daemon gets as seeds.
+// seedCount is the maximum number of seeds of a daemon: the daemons that started first.
 const seedCount = 3
 
-// fleet is a number of running daemons.
+// fleet is a set of running daemons, addressed by number.
 type fleet interface {
-	// admins are the addresses of the daemons' admin listeners.
-	admins() []string
-	// live returns how many live daemons one of them knows.
-	live(ctx context.Context, i int) (int, error)
-	// usage is what the daemons have used so far. In this process it includes
-	// the stand-ins.
+	// adminAddresses returns the addresses of the daemons' admin listeners.
+	adminAddresses() []string
+	// liveCount returns the number of live daemons that daemon i knows, itself included.
+	liveCount(ctx context.Context, i int) (int, error)
+	// usage returns the resources that the daemons have used so far. For daemons in
+	// this process it includes the stand-ins and the benchmark.
 	usage(ctx context.Context) (usage, error)
-	// lose ends daemons at once.
-	lose(numbers []int)
+	// terminate ends the given daemons at the same time.
+	terminate(numbers []int)
 	stop() error
 }
 
-// usage is what processes use.
+// usage is the resource usage of processes.
 type usage struct {
-	// cpu is the processor time of each process by its number; those that have
-	// ended are missing.
+	// cpu is the CPU time of each process, in user and system mode, by its number.
+	// Processes that have ended are missing.
 	cpu        map[int]time.Duration
 	resident   uint64 // bytes
-	heap       uint64 // bytes after a collection, zero when not known
+	heap       uint64 // bytes after a garbage collection, zero if unknown
 	goroutines int
 }
 
-// since returns the processor time of all processes that still run, since an
-// earlier usage.
-func (u usage) since(before usage) time.Duration {
+// cpuSince returns the CPU time since an earlier usage, over all processes that are
+// still running.
+func (u usage) cpuSince(before usage) time.Duration {
 	var sum time.Duration
 	for i, cpu := range u.cpu {
 		sum += cpu - before.cpu[i]
@@ -71,7 +71,7 @@
 	return f, nil
 }
 
-// start provisions one daemon and runs it.
+// start creates a daemon and runs it.
 func (f *inProcess) start(p *platform, i int, progress *progress) error {
 	var seeds []string
 	for _, d := range f.daemons[:min(len(f.daemons), seedCount)] {
@@ -102,7 +102,7 @@
 	}
 }
 
-func (f *inProcess) admins() []string {
+func (f *inProcess) adminAddresses() []string {
 	var addresses []string
 	for _, d := range f.daemons {
 		addresses = append(addresses, d.AdminAddress())
@@ -110,7 +110,7 @@
 	return addresses
 }
 
-func (f *inProcess) live(_ context.Context, i int) (int, error) {
+func (f *inProcess) liveCount(_ context.Context, i int) (int, error) {
 	return f.daemons[i].LiveDaemons(), nil
 }
 
@@ -132,7 +132,7 @@
 	}, nil
 }
 
-func (f *inProcess) lose(numbers []int) {
+func (f *inProcess) terminate(numbers []int) {
 	for _, i := range numbers {
 		f.cancels[i]()
 	}
--- a/fleetbench/platform.go
+++ b/fleetbench/platform.go
@@ -16,27 +16,28 @@
 
 // Properties of the stand-ins.
 const (
-	hostListLag = 200 * time.Millisecond
-	reportLag   = 500 * time.Millisecond
-	anyPort     = "127.0.0.1:0"
+	hostListLag    = 200 * time.Millisecond
+	reportLag      = 500 * time.Millisecond
+	anyPortAddress = "127.0.0.1:0"
 )
 
-// system is one kind of outside system.
-type system int
+// externalSystem is a kind of external system that the daemons use.
+type externalSystem int
 
-// The outside systems.
+// The external systems.
 const (
-	systemStore system = iota
+	systemStore externalSystem = iota
 	systemHosts
 	systemRating
 	systemWeights
 	systemEngines
-	systems
+	systemCount
 )
 
-var systemNames = [systems]string{"object API", "host list", "rating service", "weight store", "engines"}
+var systemNames = [systemCount]string{"object API", "host list", "rating service", "weight store", "engines"}
 
-// traffic counts the bytes of the connections of one outside system, both ways.
+// traffic counts the open connections of the stand-ins of one external system, and the
+// bytes in both directions.
 type traffic struct {
 	in, out     atomic.Uint64
 	connections atomic.Int64
@@ -47,8 +48,8 @@
 	register *bronzeturnv1.Register
 	rules    *bronzeturnv1.Rules
 	store    *standin.ObjectAPI
-	urls     [systems]string
-	traffic  [systems]traffic
+	urls     [systemCount]string
+	traffic  [systemCount]traffic
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 }
@@ -59,7 +60,7 @@
 	p.done.Wait()
 }
 
-// startPlatform starts the stand-ins for a register of the size.
+// startPlatform starts the stand-ins for a generated register of the given size.
 func startPlatform(size Size, daemons int) (*platform, error) {
 	register, rules, err := Generate(size)
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &platform{register: register, rules: rules, cancel: cancel}
-	// Goroutines inherit the label, so that a profile tells the parts.
+	// Goroutines inherit the label, so that a profile distinguishes daemons and stand-ins.
 	pprof.Do(ctx, pprof.Labels("part", "stand-ins"), func(ctx context.Context) { err = p.start(ctx, daemons) })
 	if err != nil {
 		p.stop()
@@ -78,9 +79,9 @@
 
 func (p *platform) start(ctx context.Context, daemons int) error {
 	p.store = standin.NewObjectAPI(standin.ObjectAPIConfig{})
-	servers := [systems]server{
+	servers := [systemCount]server{
 		systemStore:   p.store,
-		systemHosts:   standin.NewHostList(standin.HostListConfig{Lag: hostListLag, Hosts: p.hosts(daemons)}),
+		systemHosts:   standin.NewHostList(standin.HostListConfig{Lag: hostListLag, Hosts: p.hostEntries(daemons)}),
 		systemRating:  standin.NewRating(standin.RatingConfig{}),
 		systemWeights: standin.NewWeightStore(standin.WeightStoreConfig{}),
 	}
@@ -88,17 +89,17 @@
 		if s == nil {
 			continue
 		}
-		address, err := p.serve(ctx, system(kind), s)
+		address, err := p.serve(ctx, externalSystem(kind), s)
 		if err != nil {
 			return err
 		}
 		p.urls[kind] = "http://" + address
 	}
-	return p.engines(ctx)
+	return p.startEngines(ctx)
 }
 
-// engines starts one stand-in for each engine.
-func (p *platform) engines(ctx context.Context) error {
+// startEngines starts a stand-in for each engine and sets its address in the register.
+func (p *platform) startEngines(ctx context.Context) error {
 	for _, e := range p.register.GetEngines() {
 		address, err := p.serve(ctx, systemEngines, standin.NewEngine(standin.EngineConfig{Versions: e.GetVersions(), ReportLag: reportLag}))
 		if err != nil {
@@ -109,25 +110,25 @@
 	return nil
 }
 
-// server is a stand-in.
+// server is a stand-in of an external system.
 type server interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
 
-// serve runs a stand-in on a free port and counts its traffic.
-func (p *platform) serve(ctx context.Context, kind system, s server) (string, error) {
-	l, err := net.Listen("tcp", anyPort)
+// serve runs a stand-in on a free port, counts its traffic and returns its address.
+func (p *platform) serve(ctx context.Context, kind externalSystem, s server) (string, error) {
+	l, err := net.Listen("tcp", anyPortAddress)
 	if err != nil {
 		return "", fmt.Errorf("listen for a stand-in: %w", err)
 	}
 	p.done.Go(func() {
-		_ = s.Serve(ctx, &countedListener{Listener: l, traffic: &p.traffic[kind]}) // It ends with ctx.
+		_ = s.Serve(ctx, &countedListener{Listener: l, traffic: &p.traffic[kind]}) // It returns when ctx is done.
 	})
 	return l.Addr().String(), nil
 }
 
-// hosts lists the daemons' hosts and those of all engines.
-func (p *platform) hosts(daemons int) []hostlist.Host {
+// hostEntries returns the host list: the hosts of the daemons and of all engines.
+func (p *platform) hostEntries(daemons int) []hostlist.Host {
 	var hosts []hostlist.Host
 	for i := range daemons {
 		hosts = append(hosts, hostlist.Host{Name: daemonName(i), DataCentre: p.dataCentre(i), Role: hostlist.RoleEntry, State: hostlist.Live})
@@ -140,24 +141,24 @@
 
 func daemonName(i int) string { return fmt.Sprintf("entry-%03d", i) }
 
-// dataCentre is that of a daemon.
+// dataCentre returns the data centre of daemon i.
 func (p *platform) dataCentre(i int) string {
 	all := p.register.GetDataCentres()
 	return all[i%len(all)].GetName()
 }
 
-// arguments are the settings of one daemon.
+// arguments returns the command-line arguments of daemon i.
 func (p *platform) arguments(i int, seeds string) []string {
 	return []string{
 		"--name", daemonName(i), "--data-centre", p.dataCentre(i),
-		"--caller-listen", anyPort, "--peer-listen", anyPort, "--operator-listen", anyPort, "--admin-listen", anyPort,
+		"--caller-listen", anyPortAddress, "--peer-listen", anyPortAddress, "--operator-listen", anyPortAddress, "--admin-listen", anyPortAddress,
 		"--store-url", p.urls[systemStore], "--host-list-url", p.urls[systemHosts],
 		"--rating-url", p.urls[systemRating], "--weight-store-url", p.urls[systemWeights],
 		"--insecure-plaintext-peers", "--insecure-plaintext-operators", "--admin-pprof", "--seeds", seeds,
 	}
 }
 
-// countedListener counts what its connections carry.
+// countedListener counts its open connections and their traffic.
 type countedListener struct {
 	net.Listener
 	traffic *traffic
@@ -186,8 +187,8 @@
 	return n, err
 }
 
-// Write implements net.Conn. It counts first, so that who has got an answer
-// finds it counted.
+// Write implements net.Conn. It counts before it writes, so that an answer is already
+// counted when the client has received it.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.traffic.out.Add(uint64(len(b)))
 	return c.Conn.Write(b)
--- a/fleetbench/profile.go
+++ b/fleetbench/profile.go
@@ -10,8 +10,8 @@
 	"runtime/pprof"
 )
 
-// profile begins the processor profile of the idle phase, if one is asked for.
-// The function returned ends it.
+// profile starts the CPU profile of the idle phase if Options.CPUProfile is set. The
+// returned function completes the profile and closes its file.
 func (b *bench) profile(ctx context.Context) (finish func() error, err error) {
 	if b.options.CPUProfile == "" {
 		return func() error { return nil }, nil
@@ -32,15 +32,16 @@
 	}, nil
 }
 
-// profileProcess asks the first daemon for its profile.
+// profileProcess requests a profile from the first daemon's admin listener. The returned
+// function waits for its end.
 func (b *bench) profileProcess(ctx context.Context, f *os.File) (finish func() error) {
 	result := make(chan error, 1)
-	go func() { result <- errors.Join(b.download(ctx, f), f.Close()) }()
+	go func() { result <- errors.Join(b.fetchProfile(ctx, f), f.Close()) }()
 	return func() error { return <-result }
 }
 
-func (b *bench) download(ctx context.Context, w io.Writer) error {
-	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", b.fleet.admins()[0], max(1, int(b.options.Idle.Seconds())))
+func (b *bench) fetchProfile(ctx context.Context, w io.Writer) error {
+	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", b.fleet.adminAddresses()[0], max(1, int(b.options.Idle.Seconds())))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return fmt.Errorf("processor profile: %w", err)
--- a/fleetbench/register.go
+++ b/fleetbench/register.go
@@ -10,17 +10,17 @@
 	bronzeturnv1 "github.com/bronzeturn/bronzeturn/gen/bronzeturn/v1"
 )
 
-// Size is the size of a register.
+// Size is the number of entries of each kind in a generated register.
 type Size struct {
 	Engines, Pools, Organisations, Models, Versions, DataCentres int
 }
 
-// Today is about the size of one of the deployments of today.
+// Today returns about the size of an existing deployment.
 func Today() Size {
 	return Size{Engines: 12, Pools: 2, Organisations: 10, Models: 2, Versions: 4, DataCentres: 3}
 }
 
-// Target is the size that the design is made for.
+// Target returns the size that bronzeturn is designed for.
 func Target() Size {
 	return Size{Engines: 5300, Pools: 16, Organisations: 300, Models: 9, Versions: 36, DataCentres: 4}
 }
@@ -30,7 +30,7 @@
 	promptPrice     = 100_000
 	completionPrice = 400_000
 	allowedVersions = 12
-	// exampleRules gives the task kinds.
+	// exampleRules is the example file that the request kinds are taken from.
 	exampleRules = "andina/rules.yaml"
 )
 
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Generate returns the register and the rules of a size, always the same ones.
-// Engines have made-up addresses.
+// Generate returns a register of the given size and matching rules. The result is
+// deterministic. The addresses of the engines are fictitious.
 func Generate(s Size) (*bronzeturnv1.Register, *bronzeturnv1.Rules, error) {
 	data, err := examples.Files.ReadFile(exampleRules)
 	if err != nil {
@@ -57,27 +57,27 @@
 		kind.PreferredVersions = nil
 	}
 	r := &bronzeturnv1.Register{}
-	s.places(r)
-	s.versions(r, rules)
+	s.addDataCentresAndPools(r)
+	s.addVersions(r, rules)
 	for i := range s.Engines {
-		r.Engines = append(r.Engines, s.engine(i))
+		r.Engines = append(r.Engines, s.newEngine(i))
 	}
-	s.organisations(r, rules)
+	s.addOrganisations(r, rules)
 	return r, rules, nil
 }
 
-// places adds the data centres and the pools.
-func (s Size) places(r *bronzeturnv1.Register) {
+// addDataCentresAndPools adds the data centres and the pools.
+func (s Size) addDataCentresAndPools(r *bronzeturnv1.Register) {
 	for i := range s.DataCentres {
-		r.DataCentres = append(r.DataCentres, &bronzeturnv1.DataCentre{Name: centreName(i), Region: fmt.Sprintf("region-%d", i/2)})
+		r.DataCentres = append(r.DataCentres, &bronzeturnv1.DataCentre{Name: dataCentreName(i), Region: fmt.Sprintf("region-%d", i/2)})
 	}
 	for i := range s.Pools {
 		r.Pools = append(r.Pools, &bronzeturnv1.Pool{Name: poolName(i), ChecksFencing: i%2 == 0})
 	}
 }
 
-// versions adds the models and their versions.
-func (s Size) versions(r *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
+// addVersions adds the models and their versions.
+func (s Size) addVersions(r *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
 	for i := range s.Models {
 		r.Models = append(r.Models, &bronzeturnv1.Model{Name: modelName(i)})
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// organisations adds the organisations and a limit for each.
-func (s Size) organisations(r *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
+// addOrganisations adds the organisations, and a limit for each to the rules.
+func (s Size) addOrganisations(r *bronzeturnv1.Register, rules *bronzeturnv1.Rules) {
 	for i := range s.Organisations {
 		name := fmt.Sprintf("organisation-%03d", i)
 		digest := sha256.Sum256([]byte(name))
@@ -107,10 +107,10 @@
 	}
 }
 
-func (s Size) engine(i int) *bronzeturnv1.Engine {
+func (s Size) newEngine(i int) *bronzeturnv1.Engine {
 	e := &bronzeturnv1.Engine{
 		Name: fmt.Sprintf("engine-%04d", i), Pool: poolName(i % s.Pools),
-		DataCentre: centreName(i % s.DataCentres), Host: fmt.Sprintf("backend-%04d", i),
+		DataCentre: dataCentreName(i % s.DataCentres), Host: fmt.Sprintf("backend-%04d", i),
 		Address: fmt.Sprintf("10.%d.%d.%d:8000", i>>16, i>>8&255, i&255),
 		Slots:   16, TokensPerSecond: 60,
 	}
@@ -122,12 +122,12 @@
 	return e
 }
 
-// versionName names a version; numbers beyond the last begin anew.
+// versionName returns the name of version i modulo the number of versions.
 func (s Size) versionName(i int) string {
 	i %= s.Versions
 	return fmt.Sprintf("model-%d@%d", i%s.Models, i/s.Models+1)
 }
 
-func modelName(i int) string  { return fmt.Sprintf("model-%d", i) }
-func poolName(i int) string   { return fmt.Sprintf("pool-%02d", i) }
-func centreName(i int) string { return fmt.Sprintf("centre-%d", i) }
+func modelName(i int) string      { return fmt.Sprintf("model-%d", i) }
+func poolName(i int) string       { return fmt.Sprintf("pool-%02d", i) }
+func dataCentreName(i int) string { return fmt.Sprintf("centre-%d", i) }
