--- a/cmd/bronzeturn-fleetbench/main.go
+++ b/cmd/bronzeturn-fleetbench/main.go
@@ -32,9 +32,9 @@
 }
 
 func (f flags) options() fleetbench.Options {
-	size := fleetbench.Today()
+	size := fleetbench.ExistingSize()
 	if f.Register == "target" {
-		size = fleetbench.Target()
+		size = fleetbench.TargetSize()
 	}
 	if f.Engines > 0 {
 		size.Engines = f.Engines
--- a/fleetbench/register.go
+++ b/fleetbench/register.go
@@ -15,13 +15,13 @@
 	Engines, Pools, Organisations, Models, Versions, DataCentres int
 }
 
-// Today returns about the size of an existing deployment.
-func Today() Size {
+// ExistingSize returns about the size of an existing deployment.
+func ExistingSize() Size {
 	return Size{Engines: 12, Pools: 2, Organisations: 10, Models: 2, Versions: 4, DataCentres: 3}
 }
 
-// Target returns the size that bronzeturn is designed for.
-func Target() Size {
+// TargetSize returns the size that bronzeturn is designed for.
+func TargetSize() Size {
 	return Size{Engines: 5300, Pools: 16, Organisations: 300, Models: 9, Versions: 36, DataCentres: 4}
 }
 
