--- a/cmd/bronzeturn-standin/commands.go
+++ b/cmd/bronzeturn-standin/commands.go
@@ -52,9 +52,9 @@
 	if err := readFile(c.Quality, &quality); err != nil {
 		return err
 	}
-	return serve(o, standin.NewRating(standin.RatingConfig{
+	return serve(o, standin.NewRatingService(standin.RatingServiceConfig{
 		Quality: quality, DefaultQuality: c.DefaultQuality, Noise: c.Noise,
-		Bias: c.Bias, Answered: c.Answered, Lag: c.Lag,
+		Bias: c.Bias, RatedShare: c.Answered, Lag: c.Lag,
 	}))
 }
 
--- a/demo/platform.go
+++ b/demo/platform.go
@@ -43,7 +43,7 @@
 
 	Store    *standin.ObjectAPI
 	Hosts    *standin.HostList
-	Rating   *standin.Rating
+	Rating   *standin.RatingService
 	Weights  *standin.WeightStore
 	Engines  map[string]*standin.Engine
 	Services []*standin.PlainService
@@ -117,7 +117,7 @@
 	p.Engines = make(map[string]*standin.Engine)
 	p.Store = standin.NewObjectAPI(standin.ObjectAPIConfig{})
 	p.Hosts = standin.NewHostList(standin.HostListConfig{Lag: hostListLag, Hosts: p.hosts(daemons)})
-	p.Rating = standin.NewRating(standin.RatingConfig{Quality: p.qualities(), Noise: ratingNoise, Lag: ratingLag})
+	p.Rating = standin.NewRatingService(standin.RatingServiceConfig{Quality: p.qualities(), Noise: ratingNoise, Lag: ratingLag})
 	p.Weights = standin.NewWeightStore(standin.WeightStoreConfig{})
 	for _, s := range []struct {
 		url    *string
--- a/fleetbench/platform.go
+++ b/fleetbench/platform.go
@@ -81,7 +81,7 @@
 	servers := [systems]server{
 		systemStore:   p.store,
 		systemHosts:   standin.NewHostList(standin.HostListConfig{Lag: hostListLag, Hosts: p.hosts(daemons)}),
-		systemRating:  standin.NewRating(standin.RatingConfig{}),
+		systemRating:  standin.NewRatingService(standin.RatingServiceConfig{}),
 		systemWeights: standin.NewWeightStore(standin.WeightStoreConfig{}),
 	}
 	for kind, s := range servers {
